--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,56 +1,57 @@
-// Package admission keeps to limits of back ends that hold over a whole fleet of balancers, each of which
-// sees its own flows alone. It has no clock, no state and no input or output.
+// Package admission enforces fleet-wide connection limits of back ends on balancers that count only their
+// own flows. It has no clock, no state and no input or output.
 //
-// A limit of flows is divided among the balancers by fixed parts: nobody needs to be asked, and the
-// parts stay within the limit however old what balancers tell each other is. A balancer avoids a back end
-// that holds its part. It refuses flows, where no other back end is left, only well above it: when
-// balancers come and go, flows are met by another one and are counted by both until the first one forgets
-// them, and the flows that a balancer meets vary by chance.
+// Each balancer gets a fixed share of a limit, so that the limit holds without coordination. At its share,
+// the soft limit, a balancer prefers other back ends. It refuses flows only at a higher hard limit, because
+// flows that move between balancers are counted twice until the former balancer drops them, and because the
+// number of flows that reach a balancer varies.
 //
 // # Usage
 //
-//	limit := admission.Connections{Limit: 2000, Zone: 17, Fleet: 67, Local: true}
-//	limit.Avoids(own)  // go elsewhere if there is room
-//	limit.Refuses(own) // nothing is sent there
+//	limit := admission.ConnectionLimit{Limit: 2000, ZoneSize: 17, FleetSize: 67, Local: true}
+//	limit.SoftLimitReached(own) // prefer another back end
+//	limit.HardLimitReached(own) // send no flow there
 package admission
 
 import "math"
 
 const (
-	// localPart is the part of a limit that the balancers of the back end's own zone divide; they place
-	// nearly all flows there. The rest is divided by all balancers, those of the zone included, since others do not know how many these are.
-	localPart = 0.75
-	// countedTwice is how often one flow may be counted, and byChance by how many standard deviations a
-	// balancer may meet more flows than its part.
-	countedTwice = 2
-	byChance     = 3
+	// localFraction is the fraction of a limit that the balancers in the back end's zone share, because they
+	// place most of its flows. All balancers share the rest, those of that zone included, since balancers of
+	// other zones do not know that zone's size.
+	localFraction = 0.75
+	// The hard limit is the share times hardLimitFactor, because two balancers may count the same flow, plus
+	// hardLimitDeviations standard deviations of the number of flows.
+	hardLimitFactor     = 2
+	hardLimitDeviations = 3
 )
 
-// Connections is a limit of the flows that a back end holds at once, and who divides it.
+// ConnectionLimit is a back end's limit of concurrent flows and the balancers that share it.
 type Connections struct {
-	// Limit is that of the back end, 0 for none.
+	// Limit is the back end's limit of concurrent flows, 0 for none.
 	Limit int
-	// Zone and Fleet are how many balancers there are in the asking one's zone and in all, itself included.
+	// ZoneSize and FleetSize are the numbers of balancers in this balancer's zone and in the fleet, itself
+	// included.
 	Zone, Fleet int
-	// Local is set where the back end is in that zone.
+	// Local is set if the back end is in this balancer's zone.
 	Local bool
 }
 
-// part is how many flows this balancer may hold there.
-func (c Connections) part() float64 {
+// share returns this balancer's share of the limit, in flows.
+func (c Connections) share() float64 {
 	if c.Local {
-		return localPart * float64(c.Limit) / float64(max(c.Zone, 1))
+		return localFraction * float64(c.Limit) / float64(max(c.Zone, 1))
 	}
-	return (1 - localPart) * float64(c.Limit) / float64(max(c.Fleet, c.Zone, 1))
+	return (1 - localFraction) * float64(c.Limit) / float64(max(c.Fleet, c.Zone, 1))
 }
 
-// Avoids tells whether a balancer that holds so many flows there rather uses another back end.
+// SoftLimitReached reports whether a balancer with own flows at the back end should prefer another one.
 func (c Connections) Avoids(own int) bool {
-	return c.Limit > 0 && float64(own) >= c.part()
+	return c.Limit > 0 && float64(own) >= c.share()
 }
 
-// Refuses tells whether it sends no flow there at all.
+// HardLimitReached reports whether a balancer with own flows at the back end must send no more flows there.
 func (c Connections) Refuses(own int) bool {
-	part := c.part()
-	return c.Limit > 0 && float64(own) >= countedTwice*part+byChance*math.Sqrt(part)
+	share := c.share()
+	return c.Limit > 0 && float64(own) >= hardLimitFactor*share+hardLimitDeviations*math.Sqrt(share)
 }
--- a/internal/balancer/answer.go
+++ b/internal/balancer/answer.go
@@ -8,13 +8,13 @@
 )
 
 // ownAnswer handles a back end's datagram as the owner. The shard is locked.
-func (c *Core) ownAnswer(x *exchangeContext, shard *flow.Shard) {
-	source := c.registry.at(x.packet.Backend)
-	if source == nil {
+func (c *Core) handleAnswer(x *exchangeContext, shard *flow.Shard) {
+	sender := c.registry.getOrAdd(x.packet.Backend)
+	if sender == nil {
 		c.drop(errkind.Malformed)
 		return
 	}
-	source.alive(x.now)
+	sender.recordActivity(x.now)
 	f := shard.Flows[x.packet.Flow]
 	if f == nil && c.config.Mechanisms.NoAnswerAdoption {
 		c.deliver(x.packet, x.effects)
@@ -24,22 +24,22 @@
 		f = &flow.Flow{Key: x.packet.Flow, Hash: x.hash}
 		shard.Add(f)
 	}
-	c.learnPin(x, f, source)
-	if f.Backend != source.id {
+	c.learnPin(x, f, sender)
+	if f.Backend != sender.id {
 		c.Counters.LateAnswer.Add(1)
 		c.deliver(x.packet, x.effects)
 		return
 	}
 	f.LastSeen = x.now
 	f.Observing = f.Observing || x.packet.Observe
-	c.complete(x, f, source)
+	c.completeRequest(x, f, sender)
 	switch {
 	case c.config.Strategy != Replicated || x.pair.Successor == 0:
 		c.deliver(x.packet, x.effects)
 	case !f.Verified:
-		c.teach(x, f, RelayPropose)
+		c.sendThroughSuccessor(x, f, RelayPropose)
 	case c.needsReplica(x, f):
-		c.teach(x, f, RelayTeach)
+		c.sendThroughSuccessor(x, f, RelayCopyAnswer)
 		f.Replica = x.pair.Successor
 		f.ReplicatedAt = x.now
 	default:
@@ -49,20 +49,20 @@
 
 // learnPin adopts the sender of an answer as the flow's back end where this
 // owner cannot vouch for what it has: an answer proves where the flow is.
-func (c *Core) learnPin(x *exchangeContext, f *flow.Flow, source *backend) {
+func (c *Core) learnPin(x *exchangeContext, f *flow.Flow, sender *backend) {
 	if f.Verified || f.Backend != 0 || f.AmbiguousUntil > x.now || c.config.Mechanisms.NoAnswerAdoption {
 		return
 	}
 	c.Counters.Adopted.Add(1)
-	c.pin(f, source)
+	c.pin(f, sender)
 }
 
 // complete settles the request that the datagram answers.
-func (c *Core) complete(x *exchangeContext, f *flow.Flow, source *backend) {
+func (c *Core) completeRequest(x *exchangeContext, f *flow.Flow, sender *backend) {
 	if x.packet.Kind == Acknowledge {
-		if exchange := f.Find(x.packet.MessageID); exchange != nil {
+		if exchange := f.FindExchange(x.packet.MessageID); exchange != nil {
 			exchange.Confirmable = false
-			c.confirm(x, f, exchange)
+			c.confirmReplica(x, f, exchange)
 		}
 		return
 	}
@@ -70,36 +70,36 @@
 	if exchange == nil {
 		return
 	}
-	c.confirm(x, f, exchange)
-	source.inFlight.Add(-1)
-	source.sample(x.now - exchange.Started)
+	c.confirmReplica(x, f, exchange)
+	sender.inFlight.Add(-1)
+	sender.recordServiceTime(x.now - exchange.Started)
 	if c.config.Mechanisms.NoAnswerMemory || exchange.Continues {
-		f.Remove(exchange.MessageID)
+		f.RemoveExchange(exchange.MessageID)
 		return
 	}
-	f.Answer(exchange, x.now+x.service.RequestLifetime)
+	f.MarkAnswered(exchange, x.now+x.service.RequestLifetime)
 }
 
 // confirm notes that the successor holds the flow: the request that was
 // answered reached the back end through it.
-func (c *Core) confirm(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
+func (c *Core) confirmReplica(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
 	if exchange.Replica == 0 || exchange.Replica != x.pair.Successor {
 		return
 	}
 	exchange.Proposed = false
 	f.Verified = true
-	f.Replaced = 0
+	f.PreviousBackend = 0
 	f.Replica = exchange.Replica
 	f.ReplicatedAt = x.now
 }
 
 // teach delivers an answer through the successor, which records the flow, or
 // returns the answer with what it holds of a flow that is only proposed.
-func (c *Core) teach(x *exchangeContext, f *flow.Flow, kind RelayKind) {
+func (c *Core) sendThroughSuccessor(x *exchangeContext, f *flow.Flow, kind RelayKind) {
 	relay := Relay{
 		Kind:     kind,
 		Hops:     x.hops,
-		Backend:  c.addressOf(f),
+		Backend:  c.backendAddress(f),
 		Refusals: refusalsOf(f, x.now),
 		Packet:   x.packet,
 	}
@@ -107,20 +107,20 @@
 }
 
 // forget removes a request from the flow and from the counts.
-func (c *Core) forget(f *flow.Flow, messageID uint16) {
-	exchange := f.Find(messageID)
+func (c *Core) removeRequest(f *flow.Flow, messageID uint16) {
+	exchange := f.FindExchange(messageID)
 	if exchange == nil {
 		return
 	}
 	if target := c.registry.get(f.Backend); target != nil && exchange.State == flow.InFlight {
 		target.inFlight.Add(-1)
 	}
-	f.Remove(messageID)
+	f.RemoveExchange(messageID)
 }
 
 // giveUp settles a request whose deadline has passed: the caller is told at
 // once that its outcome is unknown.
-func (c *Core) giveUp(now time.Duration, due deadline, effects *Effects) {
+func (c *Core) timeOutRequest(now time.Duration, due deadline, effects *Effects) {
 	shard := c.flows.ShardOf(due.key.Hash())
 	shard.Lock()
 	defer shard.Unlock()
@@ -128,7 +128,7 @@
 	if f == nil {
 		return
 	}
-	exchange := f.Find(due.messageID)
+	exchange := f.FindExchange(due.messageID)
 	if exchange == nil || exchange.State != flow.InFlight || exchange.Until > now {
 		return
 	}
@@ -138,10 +138,10 @@
 		if target := c.registry.get(f.Backend); target != nil {
 			target.inFlight.Add(-1)
 		}
-		f.Answer(exchange, now+c.longestLifetime())
+		f.MarkAnswered(exchange, now+c.longestLifetime())
 		return
 	}
-	exchange.State = flow.GivenUp
+	exchange.State = flow.OutcomeUnknown
 	lifetime := time.Duration(0)
 	if service := c.snapshot.ServiceAt(due.key.Service); service != nil {
 		lifetime = service.RequestLifetime
@@ -149,7 +149,7 @@
 	exchange.Until = now + lifetime
 	if target := c.registry.get(f.Backend); target != nil {
 		target.inFlight.Add(-1)
-		if target.missedDeadline(now) {
+		if target.recordMissedDeadline(now) {
 			effects.add(Effect{Kind: StateChanged, Subject: target.address.String(), State: Quarantined.String()})
 		}
 	}
@@ -183,7 +183,7 @@
 	case message.Copy != nil:
 		c.receiveCopy(now, message.From, message.Copy, effects)
 	case message.CopyDone != nil:
-		c.copyDone(now, message.CopyDone.Sequence)
+		c.handleCopyDone(now, message.CopyDone.Sequence)
 	case message.Grant != nil:
 		c.receiveGrant(message.From, message.Grant)
 	}
--- a/internal/balancer/budget.go
+++ b/internal/balancer/budget.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	budgetSlot    = 100 * time.Millisecond
-	bulkPart      = 0.8
-	essentialPart = 1.0
+	budgetSlot        = 100 * time.Millisecond
+	bulkFraction      = 0.8
+	essentialFraction = 1.0
 )
 
 // byteBudget bounds the control bytes of any window of one second: it never
@@ -43,11 +43,11 @@
 	for _, bytes := range b.slots {
 		used += bytes
 	}
-	part := essentialPart
+	fraction := essentialFraction
 	if class == bulk {
-		part = bulkPart
+		fraction = bulkFraction
 	}
-	if !b.unlimited && float64(used+size) > part*float64(b.perSecond) {
+	if !b.unlimited && float64(used+size) > fraction*float64(b.perSecond) {
 		return false
 	}
 	b.slots[current%time.Duration(len(b.slots))] += size
--- a/internal/balancer/caller.go
+++ b/internal/balancer/caller.go
@@ -10,16 +10,16 @@
 )
 
 // ownCaller handles a caller's datagram as the owner. The shard is locked.
-func (c *Core) ownCaller(x *exchangeContext, shard *flow.Shard) {
+func (c *Core) handleCallerDatagram(x *exchangeContext, shard *flow.Shard) {
 	f := shard.Flows[x.packet.Flow]
 	if x.packet.Kind == Control {
-		c.ownControl(x, f)
+		c.handleControl(x, f)
 		return
 	}
 	if f == nil {
-		f = c.insert(x, shard)
+		f = c.insertFlow(x, shard)
 	}
-	c.unpinWhereAllowed(x, f)
+	c.unpinIfSafe(x, f)
 	f.LastSeen = x.now
 	switch {
 	case f.AmbiguousUntil > x.now:
@@ -27,14 +27,14 @@
 	case !f.Verified || f.Backend == 0:
 		c.propose(x, f)
 	default:
-		c.ownRequest(x, f)
+		c.handleRequest(x, f)
 	}
 }
 
 // ownControl passes an acknowledgement or reset to the flow's back end. One
 // that belongs to no known flow opens nothing: the back end repeats what it
 // wants acknowledged, and that names the pin.
-func (c *Core) ownControl(x *exchangeContext, f *flow.Flow) {
+func (c *Core) handleControl(x *exchangeContext, f *flow.Flow) {
 	if f == nil || f.Backend == 0 {
 		c.drop(errkind.NoOwner)
 		return
@@ -45,21 +45,21 @@
 
 // unpinWhereAllowed releases a flow from its back end where its next request
 // may be placed anew without harm.
-func (c *Core) unpinWhereAllowed(x *exchangeContext, f *flow.Flow) {
+func (c *Core) unpinIfSafe(x *exchangeContext, f *flow.Flow) {
 	if f.Backend == 0 || !f.Verified {
 		return
 	}
 	// Without a majority the back end may only be out of this node's reach.
-	dead := c.quorum && c.registry.get(f.Backend).dead(x.now)
-	if !dead && !c.rested(x, f) {
+	down := c.quorum && c.registry.get(f.Backend).down(x.now)
+	if !down && !c.idleOnDraining(x, f) {
 		return
 	}
-	if dead && !x.service.Repeatable && x.now-f.LastSeen <= x.service.RequestLifetime {
+	if down && !x.service.Repeatable && x.now-f.LastSeen <= x.service.RequestLifetime {
 		// Copies of requests that ran at the dead back end may still arrive.
 		f.AmbiguousUntil = x.now + x.service.RequestLifetime
 	}
 	c.release(f)
-	f.Replaced = f.Backend
+	f.PreviousBackend = f.Backend
 	f.Backend = 0
 	f.Replica = 0
 	f.Observing = false
@@ -67,7 +67,7 @@
 
 // rested tells whether a flow has been at rest for so long, at a back end that
 // is leaving, that no copy of an earlier request can still arrive.
-func (c *Core) rested(x *exchangeContext, f *flow.Flow) bool {
+func (c *Core) idleOnDraining(x *exchangeContext, f *flow.Flow) bool {
 	if f.Observing || x.now-f.LastSeen <= x.service.RequestLifetime {
 		return false
 	}
@@ -76,27 +76,27 @@
 }
 
 // ownRequest handles a request of a flow whose record this owner vouches for.
-func (c *Core) ownRequest(x *exchangeContext, f *flow.Flow) {
-	if exchange := f.Find(x.packet.MessageID); exchange != nil {
-		c.repeatRequest(x, f, exchange)
+func (c *Core) handleRequest(x *exchangeContext, f *flow.Flow) {
+	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil {
+		c.handleRetransmission(x, f, exchange)
 		return
 	}
-	if c.powerless() && !x.service.Repeatable && !x.packet.Continues {
+	if c.lacksQuorum() && !x.service.Repeatable && !x.packet.Continues {
 		// The side with the majority may refuse this request.
-		c.standBack(x, f)
+		c.deferToMajority(x, f)
 		return
 	}
 	if kind := c.admit(x, f); kind != errkind.None {
 		c.refuse(x, f, kind)
 		return
 	}
-	detour := c.needsReplica(x, f)
-	c.begin(x, f, detour)
-	c.forwardPinned(x, f, detour)
+	viaSuccessor := c.needsReplica(x, f)
+	c.recordInFlight(x, f, viaSuccessor)
+	c.forwardPinned(x, f, viaSuccessor)
 }
 
 // repeatRequest handles another copy of a request.
-func (c *Core) repeatRequest(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
+func (c *Core) handleRetransmission(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
 	switch exchange.State {
 	case flow.Refused:
 		if exchange.Proposed && !f.Complete {
@@ -105,11 +105,11 @@
 			return
 		}
 		c.sendRefusal(x, f, exchange.Kind)
-	case flow.GivenUp:
+	case flow.OutcomeUnknown:
 		c.answer(x.packet, errkind.OutcomeUnknown, x.service.RefusalRetry, x.effects)
 	case flow.InFlight, flow.Answered:
 		target := c.registry.get(f.Backend)
-		if target == nil || !c.config.Mechanisms.NoRetryBudget && !target.mayRetry(x.service.RetryBudget) {
+		if target == nil || !c.config.Mechanisms.NoRetryBudget && !target.takeRetry(x.service.RetryBudget) {
 			c.drop(errkind.RetryBudgetSpent)
 			return
 		}
@@ -132,7 +132,7 @@
 	switch {
 	case int(target.inFlight.Load()) >= inFlightLimit(configured, nodes):
 		kind = errkind.SlotsFull
-	case !c.config.Mechanisms.NoDeadlineAdmission && c.tooLate(x.service, target):
+	case !c.config.Mechanisms.NoDeadlineAdmission && c.wouldMissDeadline(x.service, target):
 		kind = errkind.DeadlineTooShort
 	}
 	if kind == errkind.None || f.Complete {
@@ -145,12 +145,12 @@
 
 // tooLate tells whether a request sent now would be answered after its
 // deadline, from the smoothed time that the back end takes at present.
-func (c *Core) tooLate(service *settings.Service, target *backend) bool {
+func (c *Core) wouldMissDeadline(service *settings.Service, target *backend) bool {
 	return target.inFlight.Load() > 0 && time.Duration(target.serviceTime.Load()) > service.RequestDeadline
 }
 
 // begin records a request in flight.
-func (c *Core) begin(x *exchangeContext, f *flow.Flow, replicated bool) {
+func (c *Core) recordInFlight(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	until := x.now + x.service.RequestDeadline
 	exchange := flow.Exchange{
 		MessageID:   x.packet.MessageID,
@@ -161,7 +161,7 @@
 		Started:     x.now,
 		Until:       until,
 	}
-	if replicated {
+	if viaSuccessor {
 		exchange.Replica = x.pair.Successor
 	}
 	f.Exchanges = append(f.Exchanges, exchange)
@@ -181,13 +181,13 @@
 
 // forwardPinned sends a datagram to the flow's back end, through the successor
 // when that must record the flow.
-func (c *Core) forwardPinned(x *exchangeContext, f *flow.Flow, detour bool) {
+func (c *Core) forwardPinned(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	target := c.registry.get(f.Backend)
 	if target == nil {
 		c.drop(errkind.NoBackend)
 		return
 	}
-	if detour && x.pair.Successor != 0 {
+	if viaSuccessor && x.pair.Successor != 0 {
 		relay := Relay{Kind: RelayCopy, Hops: x.hops, Backend: target.address, Packet: x.packet}
 		relay.Refusals = refusalsOf(f, x.now)
 		c.relay(x.pair.Successor, relay, x.effects)
@@ -198,9 +198,9 @@
 
 // insert adds an empty flow. Where this owner has a record of every request
 // that may be repeated, the flow is new, and all its requests pass here.
-func (c *Core) insert(x *exchangeContext, shard *flow.Shard) *flow.Flow {
+func (c *Core) insertFlow(x *exchangeContext, shard *flow.Shard) *flow.Flow {
 	f := &flow.Flow{Key: x.packet.Flow, Hash: x.hash, LastSeen: x.now}
-	f.Complete = c.covers(x)
+	f.Complete = c.hasCompleteHistory(x)
 	shard.Add(f)
 	return f
 }
@@ -232,11 +232,11 @@
 	}
 	target.flowCount(f.Key.Service).Add(-1)
 	target.inFlight.Add(-int64(f.InFlightCount()))
-	f.HandOver(f.LastSeen + c.longestLifetime())
+	f.SettleInFlight(f.LastSeen + c.longestLifetime())
 }
 
 // addressOf returns the address of a flow's back end, or the zero value.
-func (c *Core) addressOf(f *flow.Flow) netip.AddrPort {
+func (c *Core) backendAddress(f *flow.Flow) netip.AddrPort {
 	if target := c.registry.get(f.Backend); target != nil {
 		return target.address
 	}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -11,9 +11,9 @@
 
 const (
 	// historyLength is how many earlier revisions a node keeps to send changes from.
-	historyLength = 16
+	maxHistory = 16
 	// partChanges is how many changes one datagram of settings carries.
-	partChanges = 12
+	changesPerPart = 12
 )
 
 // assembly collects the parts of a revision on its way from a peer.
@@ -39,11 +39,11 @@
 	first := len(c.snapshot.Services) == 0
 	for _, service := range next.Services {
 		for _, backend := range service.Backends {
-			c.noteBackend(now, backend, first)
+			c.startRamp(now, backend, first)
 		}
 	}
 	c.history = append(c.history, c.snapshot)
-	if len(c.history) > historyLength {
+	if len(c.history) > maxHistory {
 		c.history = slices.Delete(c.history, 0, 1)
 	}
 	c.snapshot = next
@@ -51,12 +51,12 @@
 }
 
 // noteBackend starts the slow start of a back end that is new or was draining.
-func (c *Core) noteBackend(now time.Duration, backend *settings.Backend, first bool) {
+func (c *Core) startRamp(now time.Duration, backend *settings.Backend, first bool) {
 	old := c.snapshot.Backends[backend.ID]
 	if first || backend.Draining || old != nil && !old.Draining {
 		return
 	}
-	c.ramps[backend.ID] = now
+	c.rampStarts[backend.ID] = now
 }
 
 // sendSettings sends a peer the changes since the revision it has, in parts.
@@ -75,14 +75,14 @@
 		}
 	}
 	changes := settings.Diff(base, c.snapshot.Tree)
-	count := max(1, (len(changes)+partChanges-1)/partChanges)
+	count := max(1, (len(changes)+changesPerPart-1)/changesPerPart)
 	for index := range count {
 		part := &SettingsPart{
 			Base:     from,
 			Revision: c.snapshot.Revision,
 			Index:    index,
 			Count:    count,
-			Changes:  changes[index*partChanges : min(len(changes), (index+1)*partChanges)],
+			Changes:  changes[index*changesPerPart : min(len(changes), (index+1)*changesPerPart)],
 		}
 		c.settingsQueue = append(c.settingsQueue, queuedPart{member.Address, part})
 	}
@@ -122,14 +122,14 @@
 		a.missing--
 	}
 	// A part arrived: what is still under way need not be asked for again.
-	c.lastRequest = now
+	c.lastSettingsRequest = now
 	if a.missing > 0 {
 		return
 	}
-	tree, faults := c.assembled()
+	tree, errs := c.assembledTree()
 	c.assembly = assembly{}
-	if len(faults) > 0 {
-		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "refused a revision from a peer: " + faults[0].Error()})
+	if len(errs) > 0 {
+		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "refused a revision from a peer: " + errs[0].Error()})
 		return
 	}
 	c.applySettings(now, settings.Resolve(tree, part.Revision), effects)
@@ -139,7 +139,7 @@
 const maxParts = 4096
 
 // assembled applies the collected changes to their base.
-func (c *Core) assembled() (settings.Tree, []error) {
+func (c *Core) assembledTree() (settings.Tree, []error) {
 	tree := settings.Tree{"": settings.Values{}}
 	if c.assembly.base != 0 {
 		tree = c.snapshot.Tree
--- a/internal/balancer/copy.go
+++ b/internal/balancer/copy.go
@@ -11,11 +11,11 @@
 
 const (
 	// copyBatch is how many flows one Copy carries.
-	copyBatch = 48
+	copyBatchSize = 48
 	// copyWait is how long an acknowledgement is waited for.
-	copyWait = 500 * time.Millisecond
+	copyAckTimeout = 500 * time.Millisecond
 	// copyQueue bounds the flows remembered for copying; a walk finds the rest again.
-	copyQueue = 4096
+	maxCopyQueue = 4096
 )
 
 // copyTarget is one flow and the node that lacks it.
@@ -50,9 +50,9 @@
 }
 
 // want notes that a node lacks the flow.
-func (p *copier) want(to membership.ID, f *flow.Flow) {
+func (p *copier) enqueue(to membership.ID, f *flow.Flow) {
 	p.missing[membership.PartitionOf(f.Hash)] = true
-	if !p.draining && len(p.queue) < copyQueue {
+	if !p.draining && len(p.queue) < maxCopyQueue {
 		p.queue = append(p.queue, copyTarget{f.Key, f.Hash, to})
 	}
 }
@@ -72,7 +72,7 @@
 }
 
 // forget drops what was granted to a peer.
-func (p *copier) forget(peer membership.ID) {
+func (p *copier) resetPeer(peer membership.ID) {
 	p.interrupted = true
 	p.walks = 0
 	for partition := range p.granted {
@@ -85,7 +85,7 @@
 // sendCopy sends the next batch when the last one is settled.
 func (c *Core) sendCopy(now time.Duration, effects *Effects) {
 	p := &c.copier
-	if len(p.sent) > 0 && now-p.sentAt < copyWait || c.config.Mechanisms.NoBackgroundCopy {
+	if len(p.sent) > 0 && now-p.sentAt < copyAckTimeout || c.config.Mechanisms.NoBackgroundCopy {
 		return
 	}
 	// What was not acknowledged is found again by the next walk.
@@ -98,7 +98,7 @@
 	var records []Record
 	var sent, rest []copyTarget
 	for _, target := range p.queue {
-		if target.to != to || len(sent) >= copyBatch {
+		if target.to != to || len(sent) >= copyBatchSize {
 			rest = append(rest, target)
 			continue
 		}
@@ -130,16 +130,16 @@
 	if f == nil {
 		return false
 	}
-	if !c.vouches(now, f) || f.Replica == target.to {
+	if !c.isAuthoritative(now, f) || f.Replica == target.to {
 		return false
 	}
-	backend := c.addressOf(f)
-	at := slices.IndexFunc(*records, func(r Record) bool { return r.Service == f.Key.Service && r.Backend == backend })
-	if at < 0 {
-		at = len(*records)
+	backend := c.backendAddress(f)
+	index := slices.IndexFunc(*records, func(r Record) bool { return r.Service == f.Key.Service && r.Backend == backend })
+	if index < 0 {
+		index = len(*records)
 		*records = append(*records, Record{Service: f.Key.Service, Backend: backend})
 	}
-	record := &(*records)[at]
+	record := &(*records)[index]
 	if refusals := refusalsOf(f, now); len(refusals) > 0 {
 		record.Refused = append(record.Refused, RefusedCaller{Index: len(record.Callers), Refusals: refusals})
 	}
@@ -148,7 +148,7 @@
 }
 
 // copyDone notes that the other node holds the last batch.
-func (c *Core) copyDone(now time.Duration, sequence uint32) {
+func (c *Core) handleCopyDone(now time.Duration, sequence uint32) {
 	p := &c.copier
 	if sequence != p.sequence {
 		return
@@ -200,7 +200,7 @@
 		shard.Add(f)
 	}
 	mergeRefusals(f, refusals, now)
-	target := c.registry.at(backend)
+	target := c.registry.getOrAdd(backend)
 	switch {
 	case pair.Owner == from && target != nil:
 		// The owner's word counts over what this node holds.
@@ -285,8 +285,8 @@
 
 // settled tells whether the last whole walk found nothing that the other nodes
 // of this node's pairs lack.
-func (p *copier) settled(walks int) bool {
-	return p.walks >= walks && len(p.queue) == 0 && len(p.sent) == 0 && !p.ungranted
+func (p *copier) isSettled(minWalks int) bool {
+	return p.walks >= minWalks && len(p.queue) == 0 && len(p.sent) == 0 && !p.ungranted
 }
 
 // longestLifetime returns the longest request lifetime of all services.
--- a/internal/balancer/core.go
+++ b/internal/balancer/core.go
@@ -30,7 +30,7 @@
 	assembly    assembly
 	// settingsQueue holds parts of settings that wait for the byte budget.
 	settingsQueue []queuedPart
-	ramps         map[settings.BackendID]time.Duration
+	rampStarts    map[settings.BackendID]time.Duration
 	leave         leaveState
 
 	flows     *flow.Table
@@ -44,13 +44,13 @@
 	lastTick      atomic.Int64
 	lastHeartbeat time.Duration
 	// heartbeats counts the heartbeats sent to all peers.
-	heartbeats  uint64
-	lastRequest time.Duration
+	heartbeats          uint64
+	lastSettingsRequest time.Duration
 	// viewChanged is when the view last became another one.
 	viewChanged time.Duration
 	// breaks counts how often this node has stopped to vouch for its records.
-	breaks    uint32
-	lastBreak time.Duration
+	invalidations    uint32
+	lastInvalidation time.Duration
 	// joinAt is when this node has listened long enough to join the view.
 	joinAt time.Duration
 	// ticked is set once the first tick has passed.
@@ -80,7 +80,7 @@
 		detector:   membership.NewDetector(config.Self),
 		continuity: membership.NewContinuity(config.Self.ID, config.BootstrapUntil),
 		snapshot:   settings.Resolve(settings.Tree{"": settings.Values{}}, 0),
-		ramps:      map[settings.BackendID]time.Duration{},
+		rampStarts: map[settings.BackendID]time.Duration{},
 		flows:      flow.NewTable(),
 	}
 	core.view = membership.NewView(nil, false)
@@ -110,7 +110,7 @@
 // must be done to effects. Packets and messages in effects are valid until the
 // driver reuses the event's memory.
 func (c *Core) Step(now time.Duration, event Event, effects *Effects) {
-	c.notePause(now, effects)
+	c.detectPause(now, effects)
 	switch e := event.(type) {
 	case *Datagram:
 		c.control.RLock()
@@ -127,7 +127,7 @@
 		c.detector.Listed(e.Addresses)
 		c.control.Unlock()
 	case *LoadReport:
-		c.registry.report(e.Backend, e.Utilization)
+		c.registry.recordUtilization(e.Backend, e.Utilization)
 	case *Tick:
 		c.tick(now, effects)
 	case *Leave:
@@ -139,7 +139,7 @@
 
 func (c *Core) handleDatagram(now time.Duration, packet *Packet, effects *Effects) {
 	c.Counters.Datagrams.Add(1)
-	c.leave.traffic(now)
+	c.leave.recordTraffic(now)
 	c.route(now, packet, 0, effects)
 }
 
@@ -161,7 +161,7 @@
 	hash := packet.Flow.Hash()
 	pair := c.view.PairOf(hash)
 	if pair.Owner == c.self {
-		c.own(now, packet, service, hash, pair, hops, effects)
+		c.handleAsOwner(now, packet, service, hash, pair, hops, effects)
 		return
 	}
 	answer := packet.Kind >= Answer
@@ -174,16 +174,16 @@
 }
 
 // own handles a datagram as the flow's owner.
-func (c *Core) own(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
+func (c *Core) handleAsOwner(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
 	context := exchangeContext{now: now, packet: packet, service: service, hash: hash, pair: pair, hops: hops, effects: effects}
 	shard := c.flows.ShardOf(hash)
 	shard.Lock()
 	defer shard.Unlock()
 	if packet.Kind >= Answer {
-		c.ownAnswer(&context, shard)
+		c.handleAnswer(&context, shard)
 		return
 	}
-	c.ownCaller(&context, shard)
+	c.handleCallerDatagram(&context, shard)
 }
 
 // exchangeContext is what the handling of one datagram needs throughout.
@@ -204,7 +204,7 @@
 		return
 	}
 	candidates, backends := c.candidates(0, service, effects)
-	index := placement.Default(packet.Flow.Hash(), candidates)
+	index := placement.Preferred(packet.Flow.Hash(), candidates)
 	if c.config.Strategy == Modulo {
 		index = moduloIndex(packet.Flow.Hash(), candidates)
 	}
--- a/internal/balancer/deadlines.go
+++ b/internal/balancer/deadlines.go
@@ -18,7 +18,7 @@
 type deadlineQueue struct {
 	sync.Mutex
 	lists map[time.Duration][]deadline
-	spare [][]deadline
+	free  [][]deadline
 	// next is the first tick whose list was not taken yet.
 	next time.Duration
 }
@@ -33,24 +33,24 @@
 	}
 	tick = max(tick, q.next)
 	list, known := q.lists[tick]
-	if !known && len(q.spare) > 0 {
-		list = q.spare[len(q.spare)-1]
-		q.spare = q.spare[:len(q.spare)-1]
+	if !known && len(q.free) > 0 {
+		list = q.free[len(q.free)-1]
+		q.free = q.free[:len(q.free)-1]
 	}
 	q.lists[tick] = append(list, deadline{key, messageID})
 }
 
 // take removes the lists of all ticks up to now and calls settle for each deadline.
-func (q *deadlineQueue) take(now time.Duration, settle func(deadline)) {
+func (q *deadlineQueue) popDue(now time.Duration, handle func(deadline)) {
 	for {
-		list, any := q.pop(now)
-		if !any {
+		list, found := q.pop(now)
+		if !found {
 			return
 		}
 		for _, due := range list {
-			settle(due)
+			handle(due)
 		}
-		q.reuse(list)
+		q.recycle(list)
 	}
 }
 
@@ -72,12 +72,12 @@
 }
 
 // maxSpare bounds the lists kept for reuse.
-const maxSpare = 64
+const maxFreeLists = 64
 
-func (q *deadlineQueue) reuse(list []deadline) {
+func (q *deadlineQueue) recycle(list []deadline) {
 	q.Lock()
 	defer q.Unlock()
-	if len(q.spare) < maxSpare {
-		q.spare = append(q.spare, list[:0])
+	if len(q.free) < maxFreeLists {
+		q.free = append(q.free, list[:0])
 	}
 }
--- a/internal/balancer/leave.go
+++ b/internal/balancer/leave.go
@@ -7,14 +7,14 @@
 
 const (
 	// leaveCopyLimit is how long a leaving node waits for its flows to be copied.
-	leaveCopyLimit = 60 * time.Second
+	leaveCopyTimeout = 60 * time.Second
 	// leaveSettle is how long a node stays after its announcement, so that every
 	// view and the fabric have changed.
-	leaveSettle = 3 * time.Second
+	leaveMinStay = 3 * time.Second
 	// leaveQuiet is how long the fabric must have sent nothing before the end.
-	leaveQuiet = time.Second
+	leaveQuietTime = time.Second
 	// leaveLimit is how long a node stays after its announcement at most.
-	leaveLimit = 30 * time.Second
+	leaveMaxStay = 30 * time.Second
 )
 
 // leaveState is the progress of a planned stop.
@@ -28,7 +28,7 @@
 }
 
 // traffic notes that the fabric still sends datagrams here.
-func (l *leaveState) traffic(now time.Duration) {
+func (l *leaveState) recordTraffic(now time.Duration) {
 	l.lastTraffic.Store(int64(now))
 }
 
@@ -54,14 +54,14 @@
 	l := &c.leave
 	switch {
 	case !l.started || l.finished.Load():
-	case !l.announced && (c.copied(now) || now-l.startedAt > leaveCopyLimit):
+	case !l.announced && (c.copyComplete(now) || now-l.startedAt > leaveCopyTimeout):
 		l.announced = true
 		l.announcedAt = now
 		c.detector.Withdraw()
 		c.refreshView(now, effects)
 		c.sendHeartbeats(now, effects)
 		effects.add(Effect{Kind: StateChanged, Subject: "self", State: "leaving: announced, passing datagrams on"})
-	case l.announced && now-l.announcedAt >= leaveSettle && c.quiet(now):
+	case l.announced && now-l.announcedAt >= leaveMinStay && c.fabricQuiet(now):
 		l.finished.Store(true)
 		effects.add(Effect{Kind: StateChanged, Subject: "self", State: "left"})
 	}
@@ -69,14 +69,14 @@
 
 // copied tells whether every flow that this node holds is held by another, and
 // no earlier change is still being made good.
-func (c *Core) copied(now time.Duration) bool {
-	return len(c.view.Members) < 2 || c.copier.settled(copiedBeforeRest) && c.othersSettled(now)
+func (c *Core) copyComplete(now time.Duration) bool {
+	return len(c.view.Members) < 2 || c.copier.isSettled(minLeaveWalks) && c.peersSettled(now)
 }
 
 // quiet tells whether the fabric has stopped to send datagrams here.
-func (c *Core) quiet(now time.Duration) bool {
-	silent := now-time.Duration(c.leave.lastTraffic.Load()) >= leaveQuiet
-	return silent || now-c.leave.announcedAt >= leaveLimit
+func (c *Core) fabricQuiet(now time.Duration) bool {
+	silent := now-time.Duration(c.leave.lastTraffic.Load()) >= leaveQuietTime
+	return silent || now-c.leave.announcedAt >= leaveMaxStay
 }
 
 // Finished tells whether a planned stop is over and the process may end.
--- a/internal/balancer/propose.go
+++ b/internal/balancer/propose.go
@@ -11,48 +11,48 @@
 // last word: it returns the pin it holds, or records the proposal and sends the
 // datagram on itself. So no new flow takes effect on one node's word alone.
 func (c *Core) propose(x *exchangeContext, f *flow.Flow) {
-	if c.undecided(x) {
+	if c.pairUnsettled(x) {
 		c.drop(errkind.Undecided)
 		return
 	}
-	if c.powerless() {
-		c.standBack(x, f)
+	if c.lacksQuorum() {
+		c.deferToMajority(x, f)
 		return
 	}
-	if exchange := f.Find(x.packet.MessageID); exchange != nil && exchange.State == flow.GivenUp {
+	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil && exchange.State == flow.OutcomeUnknown {
 		c.answer(x.packet, errkind.OutcomeUnknown, x.service.RefusalRetry, x.effects)
 		return
 	}
-	kind := c.proposal(x, f)
+	kind := c.prepareProposal(x, f)
 	// What this node knows of a flow from an answer alone may lack refusals.
-	covers := f.Complete && c.covers(x)
+	complete := f.Complete && c.hasCompleteHistory(x)
 	if x.pair.Successor == 0 || c.config.Strategy != Replicated {
-		c.decideAlone(x, f, kind, covers)
+		c.decideWithoutSuccessor(x, f, kind, complete)
 		return
 	}
 	relay := Relay{
 		Kind:       RelayPropose,
 		Hops:       x.hops,
-		HeadCovers: covers,
+		HeadCovers: complete,
 		Error:      kind,
-		Backend:    c.addressOf(f),
+		Backend:    c.backendAddress(f),
 		Refusals:   refusalsOf(f, x.now),
 		Packet:     x.packet,
 	}
-	if replaced := c.registry.get(f.Replaced); replaced != nil {
+	if replaced := c.registry.get(f.PreviousBackend); replaced != nil {
 		relay.Replaces = replaced.address
 	}
-	if f.Find(x.packet.MessageID) == nil {
-		c.note(x, f, kind)
-		f.Find(x.packet.MessageID).Proposed = true
+	if f.FindExchange(x.packet.MessageID) == nil {
+		c.recordProposed(x, f, kind)
+		f.FindExchange(x.packet.MessageID).Proposed = true
 	}
-	c.noteAsked(x, f)
+	c.recordRefusalReplica(x, f)
 	c.relay(x.pair.Successor, relay, x.effects)
 }
 
 // undecided tells whether the pair is so new that its members may not agree on
 // it yet. A request that may not run twice then waits for its next copy.
-func (c *Core) undecided(x *exchangeContext) bool {
+func (c *Core) pairUnsettled(x *exchangeContext) bool {
 	settled := c.continuity.Settled(membership.PartitionOf(x.hash), x.now)
 	return !settled && !x.service.Repeatable && !c.config.Mechanisms.NoContinuity && c.config.Strategy == Replicated
 }
@@ -60,15 +60,15 @@
 // powerless tells whether this node hears no majority, so that it must not
 // decide where a new flow goes: others may have placed it already, and a back
 // end may be leaving without this node's knowledge.
-func (c *Core) powerless() bool {
+func (c *Core) lacksQuorum() bool {
 	return !c.quorum && !c.config.Mechanisms.NoQuorum && c.config.Strategy == Replicated
 }
 
 // standBack leaves the first copy of a request to the balancers that hear a
 // majority: the fabric may take the next copy to one of them. A copy that comes
 // back here all the same is answered at once.
-func (c *Core) standBack(x *exchangeContext, f *flow.Flow) {
-	if f.Find(x.packet.MessageID) != nil {
+func (c *Core) deferToMajority(x *exchangeContext, f *flow.Flow) {
+	if f.FindExchange(x.packet.MessageID) != nil {
 		c.answer(x.packet, errkind.OutcomeUnknown, x.service.RefusalRetry, x.effects)
 		return
 	}
@@ -76,15 +76,15 @@
 	f.Exchanges = append(f.Exchanges, flow.Exchange{
 		MessageID: x.packet.MessageID,
 		Token:     x.packet.Token,
-		State:     flow.GivenUp,
+		State:     flow.OutcomeUnknown,
 		Until:     x.now + x.service.RequestLifetime,
 	})
 }
 
 // proposal returns the refusal that an earlier copy of the request met, or
 // makes sure that the flow has a pin.
-func (c *Core) proposal(x *exchangeContext, f *flow.Flow) errkind.Kind {
-	exchange := f.Find(x.packet.MessageID)
+func (c *Core) prepareProposal(x *exchangeContext, f *flow.Flow) errkind.Kind {
+	exchange := f.FindExchange(x.packet.MessageID)
 	switch {
 	case exchange != nil && exchange.State == flow.Refused:
 		return exchange.Kind
@@ -95,11 +95,11 @@
 }
 
 // severalReplicas marks a refusal that was proposed to more than one successor.
-const severalReplicas = ^membership.ID(0)
+const multipleReplicas = ^membership.ID(0)
 
 // noteAsked keeps in mind which successor may have told the caller of a refusal.
-func (c *Core) noteAsked(x *exchangeContext, f *flow.Flow) {
-	exchange := f.Find(x.packet.MessageID)
+func (c *Core) recordRefusalReplica(x *exchangeContext, f *flow.Flow) {
+	exchange := f.FindExchange(x.packet.MessageID)
 	if exchange.State != flow.Refused || exchange.Replica == x.pair.Successor {
 		return
 	}
@@ -107,16 +107,16 @@
 		exchange.Replica = x.pair.Successor
 		return
 	}
-	exchange.Replica = severalReplicas
+	exchange.Replica = multipleReplicas
 }
 
 // note records a request as refused, or as in flight through the successor.
-func (c *Core) note(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
+func (c *Core) recordProposed(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	if kind != errkind.None {
 		c.recordRefusal(x, f, kind)
 		return
 	}
-	c.begin(x, f, true)
+	c.recordInFlight(x, f, true)
 }
 
 // place picks the back end of a new flow and pins it, or says why none is free.
@@ -126,14 +126,14 @@
 	switch result {
 	case placement.NoneOpen:
 		return errkind.NoBackend
-	case placement.FlowsFull:
+	case placement.FlowLimitReached:
 		return errkind.ConnectionsFull
-	case placement.InFlightFull:
+	case placement.InFlightLimitReached:
 		return errkind.SlotsFull
-	case placement.Deviates:
+	case placement.Diverted:
 		c.Counters.Deviating.Add(1)
 	}
-	if !c.config.Mechanisms.NoDeadlineAdmission && !c.config.Mechanisms.NoAdmission && c.tooLate(x.service, backends[index]) {
+	if !c.config.Mechanisms.NoDeadlineAdmission && !c.config.Mechanisms.NoAdmission && c.wouldMissDeadline(x.service, backends[index]) {
 		return errkind.DeadlineTooShort
 	}
 	c.Counters.NewFlows.Add(1)
@@ -143,7 +143,7 @@
 
 // covers tells whether this node has a record of every request that may still
 // be repeated in the flow's partition.
-func (c *Core) covers(x *exchangeContext) bool {
+func (c *Core) hasCompleteHistory(x *exchangeContext) bool {
 	if c.config.Mechanisms.NoContinuity {
 		return true
 	}
@@ -152,8 +152,8 @@
 }
 
 // decideAlone settles a proposal where there is no successor to ask.
-func (c *Core) decideAlone(x *exchangeContext, f *flow.Flow, kind errkind.Kind, covers bool) {
-	if !covers && !x.service.Repeatable && c.config.Strategy == Replicated {
+func (c *Core) decideWithoutSuccessor(x *exchangeContext, f *flow.Flow, kind errkind.Kind, complete bool) {
+	if !complete && !x.service.Repeatable && c.config.Strategy == Replicated {
 		c.markAmbiguous(x, f)
 		return
 	}
@@ -163,8 +163,8 @@
 		c.answer(x.packet, kind, x.service.RefusalRetry, x.effects)
 		return
 	}
-	if f.Find(x.packet.MessageID) == nil {
-		c.begin(x, f, false)
+	if f.FindExchange(x.packet.MessageID) == nil {
+		c.recordInFlight(x, f, false)
 	}
 	c.forwardPinned(x, f, false)
 }
--- a/internal/balancer/refuse.go
+++ b/internal/balancer/refuse.go
@@ -11,7 +11,7 @@
 // successor, so that the record outlives this node.
 func (c *Core) refuse(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	c.recordRefusal(x, f, kind)
-	f.Find(x.packet.MessageID).Proposed = true
+	f.FindExchange(x.packet.MessageID).Proposed = true
 	if f.Replica != x.pair.Successor {
 		// The copy that an earlier successor holds lacks this refusal.
 		f.Replica = 0
@@ -20,7 +20,7 @@
 }
 
 func (c *Core) recordRefusal(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
-	if f.Find(x.packet.MessageID) != nil {
+	if f.FindExchange(x.packet.MessageID) != nil {
 		return
 	}
 	f.Exchanges = append(f.Exchanges, flow.Exchange{
@@ -34,7 +34,7 @@
 
 func (c *Core) sendRefusal(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	if c.config.Mechanisms.NoRefusalRecord {
-		f.Remove(x.packet.MessageID)
+		f.RemoveExchange(x.packet.MessageID)
 	}
 	if x.pair.Successor == 0 || c.config.Strategy != Replicated || c.config.Mechanisms.NoRefusalRecord {
 		c.answer(x.packet, kind, x.service.RefusalRetry, x.effects)
@@ -44,11 +44,11 @@
 		Kind:     RelayRefuse,
 		Hops:     x.hops,
 		Error:    kind,
-		Backend:  c.addressOf(f),
+		Backend:  c.backendAddress(f),
 		Refusals: refusalsOf(f, x.now),
 		Packet:   x.packet,
 	}
-	c.noteAsked(x, f)
+	c.recordRefusalReplica(x, f)
 	c.relay(x.pair.Successor, relay, x.effects)
 }
 
@@ -67,7 +67,7 @@
 // mergeRefusals adds a peer's refusals to a flow.
 func mergeRefusals(f *flow.Flow, refusals []Refusal, now time.Duration) {
 	for _, refusal := range refusals {
-		f.Merge(flow.Exchange{
+		f.MergeRefusal(flow.Exchange{
 			MessageID: refusal.MessageID,
 			State:     flow.Refused,
 			Kind:      refusal.Kind,
--- a/internal/balancer/registry.go
+++ b/internal/balancer/registry.go
@@ -33,28 +33,28 @@
 	// quarantineTime is how long a back end stays without new flows.
 	quarantineTime = 5 * time.Second
 	// latencyShare is the weight of a new sample in the smoothed service time.
-	latencyShare = 0.1
+	latencySmoothing = 0.1
 	// reportBias is the largest cut of a back end's share for a load report,
 	// small because reports lag and lie.
-	reportBias = 0.1
+	maxReportBias = 0.1
 	// deadAfter is the silence after which a back end that missed twice the
 	// deadlines of a quarantine counts as dead.
-	deadAfter = 5 * time.Second
+	downAfter = 5 * time.Second
 	// retryReserve is how many retransmissions are allowed before the budget counts.
-	retryReserve = 10
+	minRetries = 10
 )
 
 // backend is what this node knows of one back end. Its counters are atomic.
 type backend struct {
-	id       settings.BackendID
-	address  netip.AddrPort
-	inFlight atomic.Int64
-	missed   atomic.Int32
-	health   atomic.Int32
+	id              settings.BackendID
+	address         netip.AddrPort
+	inFlight        atomic.Int64
+	missedDeadlines atomic.Int32
+	health          atomic.Int32
 	// heard is when the last answer came.
-	heard atomic.Int64
+	lastResponse atomic.Int64
 	// until is when a quarantine ends.
-	until atomic.Int64
+	quarantinedUntil atomic.Int64
 	// serviceTime is the smoothed time from forward to answer, in nanoseconds.
 	serviceTime atomic.Int64
 	// utilization is the last load report times 1000.
@@ -75,45 +75,45 @@
 }
 
 // alive records that a datagram came from the back end.
-func (b *backend) alive(now time.Duration) {
-	b.heard.Store(int64(now))
-	b.missed.Store(0)
+func (b *backend) recordActivity(now time.Duration) {
+	b.lastResponse.Store(int64(now))
+	b.missedDeadlines.Store(0)
 	b.health.Store(int32(Active))
 }
 
 // dead tells whether the back end has been silent for so long, with requests
 // unanswered, that its flows may be placed anew.
-func (b *backend) dead(now time.Duration) bool {
-	return b.missed.Load() >= 2*quarantineAfter && now-time.Duration(b.heard.Load()) > deadAfter
+func (b *backend) down(now time.Duration) bool {
+	return b.missedDeadlines.Load() >= 2*quarantineAfter && now-time.Duration(b.lastResponse.Load()) > downAfter
 }
 
 // sample adds one time from forward to answer to the smoothed service time.
-func (b *backend) sample(elapsed time.Duration) {
+func (b *backend) recordServiceTime(elapsed time.Duration) {
 	old := b.serviceTime.Load()
 	if old == 0 {
 		b.serviceTime.Store(int64(elapsed))
 		return
 	}
-	b.serviceTime.Store(old + int64(latencyShare*float64(int64(elapsed)-old)))
+	b.serviceTime.Store(old + int64(latencySmoothing*float64(int64(elapsed)-old)))
 }
 
 // missedDeadline records an unanswered request and tells whether the back end
 // has just been quarantined.
-func (b *backend) missedDeadline(now time.Duration) bool {
-	if b.missed.Add(1) < quarantineAfter {
+func (b *backend) recordMissedDeadline(now time.Duration) bool {
+	if b.missedDeadlines.Add(1) < quarantineAfter {
 		return false
 	}
-	b.until.Store(int64(now + quarantineTime))
+	b.quarantinedUntil.Store(int64(now + quarantineTime))
 	return b.health.Swap(int32(Quarantined)) != int32(Quarantined)
 }
 
 func (b *backend) quarantined(now time.Duration) bool {
-	return Health(b.health.Load()) == Quarantined && int64(now) < b.until.Load()
+	return Health(b.health.Load()) == Quarantined && int64(now) < b.quarantinedUntil.Load()
 }
 
 // mayRetry spends one retransmission of the back end's retry budget.
-func (b *backend) mayRetry(budget float64) bool {
-	allowed := retryReserve + budget*float64(b.requests.Load())
+func (b *backend) takeRetry(budget float64) bool {
+	allowed := minRetries + budget*float64(b.requests.Load())
 	if float64(b.retries.Load()) >= allowed {
 		return false
 	}
@@ -137,7 +137,7 @@
 }
 
 // at returns the back end at the address, adding it when it is new.
-func (r *registry) at(address netip.AddrPort) *backend {
+func (r *registry) getOrAdd(address netip.AddrPort) *backend {
 	if !address.IsValid() {
 		return nil
 	}
@@ -162,8 +162,8 @@
 	return added
 }
 
-func (r *registry) report(address netip.AddrPort, utilization float64) {
-	if known := r.at(address); known != nil {
+func (r *registry) recordUtilization(address netip.AddrPort, utilization float64) {
+	if known := r.getOrAdd(address); known != nil {
 		known.utilization.Store(int64(utilization * 1000))
 	}
 }
@@ -185,14 +185,14 @@
 	effects.backends = effects.backends[:0]
 	nodes := max(len(c.view.Members), 1)
 	for _, configured := range c.backendsOf(service) {
-		known := c.registry.at(configured.Address)
+		known := c.registry.getOrAdd(configured.Address)
 		candidate := placement.Candidate{
 			ID:            configured.ID,
 			Weight:        configured.Weight,
 			Ramp:          c.ramp(now, configured, known),
 			Flows:         int(known.flowCount(service.Address).Load()),
 			InFlight:      int(known.inFlight.Load()),
-			FlowLimit:     shareOf(configured.Connections, nodes),
+			FlowLimit:     nodeShare(configured.Connections, nodes),
 			InFlightLimit: inFlightLimit(configured, nodes),
 			Closed:        configured.Draining && !c.config.Mechanisms.NoDrain || known.quarantined(now),
 		}
@@ -227,23 +227,23 @@
 }
 
 // shareOf is this node's part of a limit that all nodes share.
-func shareOf(limit, nodes int) int {
+func nodeShare(limit, nodes int) int {
 	return (limit + nodes - 1) / nodes
 }
 
 func inFlightLimit(configured *settings.Backend, nodes int) int {
-	return shareOf(int(float64(configured.Slots)*configured.QueueFactor), nodes)
+	return nodeShare(int(float64(configured.Slots)*configured.QueueFactor), nodes)
 }
 
 // minimumRamp is the share that a cold back end starts with.
-const minimumRamp = 0.1
+const minRamp = 0.1
 
 // ramp returns the part of its share that a back end fills now.
 func (c *Core) ramp(now time.Duration, configured *settings.Backend, known *backend) float64 {
 	ramp := 1.0
-	if since, cold := c.ramps[configured.ID]; cold && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
-		ramp = min(1, max(minimumRamp, float64(now-since)/float64(configured.SlowStart)))
+	if since, cold := c.rampStarts[configured.ID]; cold && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
+		ramp = min(1, max(minRamp, float64(now-since)/float64(configured.SlowStart)))
 	}
 	overload := float64(known.utilization.Load())/1000 - 1
-	return ramp * (1 - reportBias*min(1, max(0, overload/configured.QueueFactor)))
+	return ramp * (1 - maxReportBias*min(1, max(0, overload/configured.QueueFactor)))
 }
--- a/internal/balancer/status.go
+++ b/internal/balancer/status.go
@@ -48,7 +48,7 @@
 		Revision: c.snapshot.Revision,
 		Settled:  c.settled.Load(),
 		Flows:    c.flows.Len(),
-		Waiting:  c.waiting(now),
+		Waiting:  c.waitingFor(now),
 	}
 	for _, member := range c.view.Members {
 		status.Members = append(status.Members, member.Address.String())
@@ -69,7 +69,7 @@
 }
 
 func (c *Core) backendStatus(now time.Duration, configured *settings.Backend) BackendStatus {
-	known := c.registry.at(configured.Address)
+	known := c.registry.getOrAdd(configured.Address)
 	row := BackendStatus{
 		Path:     configured.Path,
 		Address:  configured.Address.String(),
@@ -112,13 +112,13 @@
 }
 
 // waiting says what a planned stop waits for.
-func (c *Core) waiting(now time.Duration) string {
+func (c *Core) waitingFor(now time.Duration) string {
 	switch {
 	case !c.leave.started || c.leave.finished.Load():
 		return ""
 	case !c.leave.announced:
 		return "flows to be copied to their successors"
-	case now-c.leave.announcedAt < leaveSettle:
+	case now-c.leave.announcedAt < leaveMinStay:
 		return "peers and fabric to take over"
 	}
 	return "the fabric to send no more datagrams"
--- a/internal/balancer/successor.go
+++ b/internal/balancer/successor.go
@@ -20,55 +20,55 @@
 	pair := c.view.PairOf(hash)
 	x := &exchangeContext{now: now, packet: packet, service: service, hash: hash, pair: pair, hops: relay.Hops, effects: effects}
 	if pair.Owner == from && pair.Successor == c.self && relay.Kind != RelayToOwner {
-		c.succeed(x, relay)
+		c.handleAsSuccessor(x, relay)
 		return
 	}
-	if pair.Owner == c.self && pair.Successor == from && relay.Kind >= RelayAdopt && relay.Kind != RelayTeach {
-		c.adopt(x, relay)
+	if pair.Owner == c.self && pair.Successor == from && relay.Kind >= RelayAdopt && relay.Kind != RelayCopyAnswer {
+		c.adoptRecord(x, relay)
 		return
 	}
 	if relay.Kind == RelayCopy && pair.Owner == c.self {
-		c.inherit(x, relay)
+		c.recordEarlierPin(x, relay)
 	}
 	c.route(now, packet, relay.Hops, effects)
 }
 
 // inherit keeps the pin that an earlier owner vouched for, where this owner has
 // none; the successor is still asked before it counts.
-func (c *Core) inherit(x *exchangeContext, relay *Relay) {
+func (c *Core) recordEarlierPin(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
 	defer shard.Unlock()
-	target := c.registry.at(relay.Backend)
+	target := c.registry.getOrAdd(relay.Backend)
 	if shard.Flows[x.packet.Flow] != nil || target == nil {
 		return
 	}
-	f := c.insert(x, shard)
+	f := c.insertFlow(x, shard)
 	f.Complete = false
 	c.pin(f, target)
 	mergeRefusals(f, relay.Refusals, x.now)
 }
 
 // succeed handles a datagram as the successor of the owner that sent it.
-func (c *Core) succeed(x *exchangeContext, relay *Relay) {
+func (c *Core) handleAsSuccessor(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
 	defer shard.Unlock()
 	f := shard.Flows[x.packet.Flow]
-	target := c.registry.at(relay.Backend)
+	target := c.registry.getOrAdd(relay.Backend)
 	if target == nil && relay.Error == errkind.None {
 		c.drop(errkind.Malformed)
 		return
 	}
 	if relay.Kind == RelayPropose && x.packet.Kind >= Answer {
-		c.verify(x, f, relay)
+		c.verifyAnswer(x, f, relay)
 		return
 	}
-	if relay.Kind == RelayPropose && !c.agree(x, f, relay) {
+	if relay.Kind == RelayPropose && !c.acceptProposal(x, f, relay) {
 		return
 	}
-	if f != nil && relay.Error != errkind.None && f.Forwarded(x.packet.MessageID) {
-		c.returnHeld(x, f)
+	if f != nil && relay.Error != errkind.None && f.WasForwarded(x.packet.MessageID) {
+		c.returnRecord(x, f)
 		return
 	}
 	if f == nil {
@@ -85,7 +85,7 @@
 	f.LastSeen = x.now
 	mergeRefusals(f, relay.Refusals, x.now)
 	switch {
-	case relay.Kind == RelayTeach:
+	case relay.Kind == RelayCopyAnswer:
 		c.deliver(x.packet, x.effects)
 	case relay.Error != errkind.None:
 		c.recordRefusal(x, f, relay.Error)
@@ -97,64 +97,64 @@
 
 // agree tells whether the successor takes a proposal as it is. Otherwise it has
 // sent the owner what it holds.
-func (c *Core) agree(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
+func (c *Core) acceptProposal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
 	if f != nil && f.AmbiguousUntil > x.now {
 		c.relay(x.pair.Owner, Relay{Kind: RelayAmbiguous, Hops: x.hops, Packet: x.packet}, x.effects)
 		return false
 	}
 	if f == nil || !f.Verified {
-		return c.agreeUnknown(x, f, relay)
+		return c.acceptUnverified(x, f, relay)
 	}
-	held := c.addressOf(f)
+	held := c.backendAddress(f)
 	samePin := f.Backend == 0 || held == relay.Backend || held == relay.Replaces
-	if samePin && knowsAll(relay.Refusals, f) && (relay.Error == errkind.None || c.mayRefuse(x, f, relay)) {
+	if samePin && listsAllRefusals(relay.Refusals, f) && (relay.Error == errkind.None || c.mayAcceptRefusal(x, f, relay)) {
 		return true
 	}
-	c.returnHeld(x, f)
+	c.returnRecord(x, f)
 	return false
 }
 
 // agreeUnknown is agree for a flow of which this node has no record that it can
 // vouch for. A pin from before it stopped to vouch is better than a new one.
-func (c *Core) agreeUnknown(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
-	if c.undecided(x) {
+func (c *Core) acceptUnverified(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
+	if c.pairUnsettled(x) {
 		c.drop(errkind.Undecided)
 		return false
 	}
-	covers := c.covers(x)
-	if !relay.HeadCovers && !x.service.Repeatable && !covers {
-		c.noteAmbiguous(x, f)
+	complete := c.hasCompleteHistory(x)
+	if !relay.HeadCovers && !x.service.Repeatable && !complete {
+		c.recordAmbiguous(x, f)
 		c.relay(x.pair.Owner, Relay{Kind: RelayAmbiguous, Hops: x.hops, Packet: x.packet}, x.effects)
 		return false
 	}
 	switch {
-	case f == nil || relay.HeadCovers && !covers:
+	case f == nil || relay.HeadCovers && !complete:
 		return true
-	case covers && !knowsAll(relay.Refusals, f):
+	case complete && !listsAllRefusals(relay.Refusals, f):
 		// Nobody decided without this node, so what it refused stays refused.
-		c.returnHeld(x, f)
+		c.returnRecord(x, f)
 		return false
-	case f.Backend == 0 || c.addressOf(f) == relay.Backend || c.addressOf(f) == relay.Replaces:
+	case f.Backend == 0 || c.backendAddress(f) == relay.Backend || c.backendAddress(f) == relay.Replaces:
 		return true
 	}
-	c.returnHeld(x, f)
+	c.returnRecord(x, f)
 	return false
 }
 
 // mayRefuse tells whether a proposed refusal is true: the request cannot have
 // reached a back end. This node sees only some requests of a pinned flow.
-func (c *Core) mayRefuse(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
-	known := f.Find(x.packet.MessageID)
+func (c *Core) mayAcceptRefusal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
+	known := f.FindExchange(x.packet.MessageID)
 	return f.Backend == 0 || relay.HeadCovers || known != nil && known.State == flow.Refused
 }
 
 // returnHeld sends a datagram back to the owner with what this node holds of
 // the flow. Should it be lost, the owner's next datagram asks again.
-func (c *Core) returnHeld(x *exchangeContext, f *flow.Flow) {
+func (c *Core) returnRecord(x *exchangeContext, f *flow.Flow) {
 	relay := Relay{
 		Kind:     RelayAdopt,
 		Hops:     x.hops,
-		Backend:  c.addressOf(f),
+		Backend:  c.backendAddress(f),
 		Refusals: refusalsOf(f, x.now),
 		Packet:   x.packet,
 	}
@@ -165,8 +165,8 @@
 // verify handles, as the successor, an answer whose flow the owner knows from
 // that answer alone. Where this node knows the flow, or knows that nobody can
 // know more, the owner gets the answer back with that knowledge.
-func (c *Core) verify(x *exchangeContext, f *flow.Flow, relay *Relay) {
-	if f == nil && !c.covers(x) || f != nil && (f.AmbiguousUntil > x.now || !f.Verified) {
+func (c *Core) verifyAnswer(x *exchangeContext, f *flow.Flow, relay *Relay) {
+	if f == nil && !c.hasCompleteHistory(x) || f != nil && (f.AmbiguousUntil > x.now || !f.Verified) {
 		c.deliver(x.packet, x.effects)
 		return
 	}
@@ -174,17 +174,17 @@
 		f = &flow.Flow{Key: x.packet.Flow, Hash: x.hash}
 		c.flows.ShardOf(x.hash).Add(f)
 	}
-	if target := c.registry.at(relay.Backend); target != nil && f.Backend == 0 {
+	if target := c.registry.getOrAdd(relay.Backend); target != nil && f.Backend == 0 {
 		f.Backend = target.id
 	}
 	f.Verified = true
 	f.LastSeen = x.now
-	c.returnHeld(x, f)
+	c.returnRecord(x, f)
 }
 
 // noteAmbiguous remembers, as the successor, that nobody can say whether the
 // flow's requests ran. The shard is locked.
-func (c *Core) noteAmbiguous(x *exchangeContext, f *flow.Flow) {
+func (c *Core) recordAmbiguous(x *exchangeContext, f *flow.Flow) {
 	if f == nil {
 		f = &flow.Flow{Key: x.packet.Flow, Hash: x.hash, LastSeen: x.now}
 		c.flows.ShardOf(x.hash).Add(f)
@@ -193,7 +193,7 @@
 }
 
 // knowsAll tells whether the list names every refusal of the flow.
-func knowsAll(list []Refusal, f *flow.Flow) bool {
+func listsAllRefusals(list []Refusal, f *flow.Flow) bool {
 	for _, refusal := range f.Refusals() {
 		known := false
 		for _, entry := range list {
@@ -207,27 +207,27 @@
 }
 
 // adopt takes over what the successor holds of a flow and goes on with the datagram.
-func (c *Core) adopt(x *exchangeContext, relay *Relay) {
+func (c *Core) adoptRecord(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
 	defer shard.Unlock()
 	f := shard.Flows[x.packet.Flow]
 	if f == nil {
-		f = c.insert(x, shard)
+		f = c.insertFlow(x, shard)
 	}
 	if relay.Kind == RelayAmbiguous {
 		c.markAmbiguous(x, f)
 		return
 	}
-	if exchange := f.Find(x.packet.MessageID); exchange != nil && exchange.Proposed {
+	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil && exchange.Proposed {
 		if exchange.State == flow.Refused && exchange.Replica != x.pair.Successor {
 			// An earlier successor may have told the caller; this one cannot know.
-			exchange.State = flow.GivenUp
+			exchange.State = flow.OutcomeUnknown
 		} else {
-			c.forget(f, x.packet.MessageID)
+			c.removeRequest(f, x.packet.MessageID)
 		}
 	}
-	if target := c.registry.at(relay.Backend); target != nil {
+	if target := c.registry.getOrAdd(relay.Backend); target != nil {
 		c.pin(f, target)
 	}
 	f.Complete = false
@@ -248,9 +248,9 @@
 		c.drop(errkind.Malformed)
 		return
 	}
-	if f.Backend == 0 && f.Find(x.packet.MessageID) == nil {
+	if f.Backend == 0 && f.FindExchange(x.packet.MessageID) == nil {
 		c.propose(x, f)
 		return
 	}
-	c.ownRequest(x, f)
+	c.handleRequest(x, f)
 }
--- a/internal/balancer/tick.go
+++ b/internal/balancer/tick.go
@@ -14,12 +14,12 @@
 	settingsRequestInterval = 500 * time.Millisecond
 	// viewStable is how long the view must stand before a node that joins or
 	// leaves as planned changes it again.
-	viewStable = 2 * time.Second
+	viewStableTime = 2 * time.Second
 	// quorumSettle is how long a majority must be heard before this node decides.
-	quorumSettle = 1 * time.Second
+	quorumStableTime = 1 * time.Second
 	// joinPatience is how long a node waits to join while its peers still copy
 	// flows after an earlier change.
-	joinPatience = 30 * time.Second
+	maxJoinWait = 30 * time.Second
 	// settledWalkShards is how many shards of the flow table one tick looks
 	// through while everything is held twice; a full walk takes ShardCount
 	// divided by it ticks.
@@ -29,7 +29,7 @@
 	// leavingWalkShards is the same while this node leaves.
 	leavingWalkShards = 16
 	// copiedBeforeRest is how many walks a leaving node makes at least.
-	copiedBeforeRest = 2
+	minLeaveWalks = 2
 )
 
 // tick does what time alone causes.
@@ -50,13 +50,13 @@
 
 	c.control.RLock()
 	defer c.control.RUnlock()
-	c.deadlines.take(now, func(due deadline) { c.giveUp(now, due, effects) })
+	c.deadlines.popDue(now, func(due deadline) { c.timeOutRequest(now, due, effects) })
 	if now/retryDecayInterval != (now-TickInterval)/retryDecayInterval {
 		c.registry.decayRetries()
 	}
-	c.walk(now, effects)
+	c.walkFlows(now, effects)
 	c.sendCopy(now, effects)
-	c.settled.Store(c.copier.settled(1))
+	c.settled.Store(c.copier.isSettled(1))
 }
 
 // startListening sets, at the first tick, when this node may join.
@@ -76,8 +76,8 @@
 		return
 	}
 	// At the first start of a fleet there is nothing to endanger.
-	patient := now >= c.config.BootstrapUntil && now < c.joinAt+joinPatience
-	if patient && !c.othersSettled(now) {
+	waitForPeers := now >= c.config.BootstrapUntil && now < c.joinAt+maxJoinWait
+	if waitForPeers && !c.peersSettled(now) {
 		return
 	}
 	c.detector.Join()
@@ -87,18 +87,18 @@
 
 // walk looks through a part of the flow table: forgets what is over and
 // collects flows that the successor lacks.
-func (c *Core) walk(now time.Duration, effects *Effects) {
+func (c *Core) walkFlows(now time.Duration, effects *Effects) {
 	shards := unsettledWalkShards
 	switch {
 	case c.leave.started:
 		shards = leavingWalkShards
-	case c.copier.settled(1):
+	case c.copier.isSettled(1):
 		shards = settledWalkShards
 	}
 	for range shards {
 		shard := &c.flows.Shards[c.copier.cursor]
 		shard.Lock()
-		shard.Walk(func(f *flow.Flow) bool { return c.visit(now, f) })
+		shard.Walk(func(f *flow.Flow) bool { return c.visitFlow(now, f) })
 		shard.Unlock()
 		c.copier.cursor = (c.copier.cursor + 1) % flow.ShardCount
 		if c.copier.cursor == 0 {
@@ -108,7 +108,7 @@
 }
 
 // visit looks at one flow and tells whether to keep it.
-func (c *Core) visit(now time.Duration, f *flow.Flow) bool {
+func (c *Core) visitFlow(now time.Duration, f *flow.Flow) bool {
 	f.Expire(now)
 	service := c.snapshot.ServiceAt(f.Key.Service)
 	idle := now - f.LastSeen
@@ -118,15 +118,15 @@
 		return false
 	}
 	partner := c.view.PairOf(f.Hash).Partner(c.self)
-	if c.vouches(now, f) && !f.ProposedTo(partner) && partner != 0 && f.Replica != partner && c.config.Strategy == Replicated {
-		c.copier.want(partner, f)
+	if c.isAuthoritative(now, f) && !f.ProposedTo(partner) && partner != 0 && f.Replica != partner && c.config.Strategy == Replicated {
+		c.copier.enqueue(partner, f)
 	}
 	return true
 }
 
 // vouches tells whether this node's record of a flow is right: a peer confirmed
 // it, or nobody can have decided without this node.
-func (c *Core) vouches(now time.Duration, f *flow.Flow) bool {
+func (c *Core) isAuthoritative(now time.Duration, f *flow.Flow) bool {
 	partition := membership.PartitionOf(f.Hash)
 	return f.Verified || c.quorum && c.continuity.Covers(partition, now, c.longestLifetime())
 }
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -234,7 +234,7 @@
 	RelayAdopt
 	// RelayTeach asks the successor to record the pin that an answer proved and
 	// to deliver the answer.
-	RelayTeach
+	RelayCopyAnswer
 	// RelayAmbiguous tells the owner that nobody knows whether the flow's
 	// requests ran.
 	RelayAmbiguous
@@ -280,8 +280,8 @@
 	// GoneOn tells the receiver that the sender decided without it, so that the
 	// receiver must stop to vouch for its records; Breaks counts how often the
 	// sender has done so.
-	GoneOn bool
-	Breaks uint32
+	DecidedWithout bool
+	Invalidations  uint32
 	// Introduction is left out where the receiver knows the sender.
 	Introduction *Introduction
 	// Sequence numbers the heartbeats of one run of a process, because datagrams
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -10,15 +10,15 @@
 
 // othersSettled tells whether the view has stood for so long that every peer has
 // said since then whether it is settled, and all are.
-func (c *Core) othersSettled(now time.Duration) bool {
-	return now-c.viewChanged >= viewStable && c.detector.AllSettled(now)
+func (c *Core) peersSettled(now time.Duration) bool {
+	return now-c.viewChanged >= viewStableTime && c.detector.AllSettled(now)
 }
 
 // notePause notices that this node stood still for so long that its peers have
 // gone on without it. Nothing that it holds may be vouched for then, and it
 // joins anew. It runs before every event, because queued datagrams may be
 // handled before the first tick.
-func (c *Core) notePause(now time.Duration, effects *Effects) {
+func (c *Core) detectPause(now time.Duration, effects *Effects) {
 	if now-time.Duration(c.lastTick.Load()) <= membership.DeadAfter || c.config.Mechanisms.NoContinuity {
 		return
 	}
@@ -32,24 +32,24 @@
 	c.detector.Resume(last, now)
 	c.detector.Withdraw()
 	c.joinAt = now + membership.DeadAfter
-	c.stopVouching(now)
+	c.invalidateRecords(now)
 	effects.add(Effect{Kind: StateChanged, Subject: "self", State: "resumed after a pause"})
 	c.refreshView(now, effects)
 }
 
 // stopVouching forgets since when this node holds every record, because others
 // may have decided without it.
-func (c *Core) stopVouching(now time.Duration) {
-	c.breaks++
-	c.lastBreak = now
+func (c *Core) invalidateRecords(now time.Duration) {
+	c.invalidations++
+	c.lastInvalidation = now
 	c.continuity.Break(now, c.view)
-	c.distrust()
+	c.markUnverified()
 }
 
 // recopy forgets what a peer was known to hold, for one that no longer vouches
 // for it.
-func (c *Core) recopy(peer membership.ID) {
-	c.copier.forget(peer)
+func (c *Core) resetReplicas(peer membership.ID) {
+	c.copier.resetPeer(peer)
 	c.eachFlow(func(f *flow.Flow) {
 		if f.Replica == peer {
 			f.Replica = 0
@@ -58,7 +58,7 @@
 }
 
 // distrust marks every flow as not vouched for.
-func (c *Core) distrust() {
+func (c *Core) markUnverified() {
 	c.eachFlow(func(f *flow.Flow) {
 		f.Verified = false
 		f.Complete = false
@@ -88,7 +88,7 @@
 	if c.quorumSince == 0 {
 		c.quorumSince = now
 	}
-	return now-c.quorumSince >= quorumSettle
+	return now-c.quorumSince >= quorumStableTime
 }
 
 // refreshView computes the live members and, when they changed, the new pairs.
@@ -124,11 +124,11 @@
 	c.viewChanged = now
 	c.continuity.Change(now, c.view)
 	c.copier.viewChanged(previous, c.view)
-	c.eachFlow(c.recountFlow)
+	c.eachFlow(c.updateOwnership)
 }
 
 // recountFlow brings a flow's ownership in line with a new view.
-func (c *Core) recountFlow(f *flow.Flow) {
+func (c *Core) updateOwnership(f *flow.Flow) {
 	pair := c.view.PairOf(f.Hash)
 	if pair.Owner != c.self {
 		c.release(f)
@@ -150,13 +150,13 @@
 	c.heartbeats++
 	for _, target := range c.detector.Targets(c.heartbeats) {
 		heartbeat := &Heartbeat{
-			Revision: c.snapshot.Revision,
-			Absent:   !c.detector.Joined(),
-			Leaving:  c.leave.announced,
-			Settled:  c.copier.settled(1),
-			GoneOn:   target.GoneOn,
-			Breaks:   c.breaks,
-			Sequence: c.heartbeats,
+			Revision:       c.snapshot.Revision,
+			Absent:         !c.detector.Joined(),
+			Leaving:        c.leave.announced,
+			Settled:        c.copier.isSettled(1),
+			DecidedWithout: target.GoneOn,
+			Invalidations:  c.invalidations,
+			Sequence:       c.heartbeats,
 		}
 		if target.Introduce {
 			heartbeat.Introduction = &Introduction{Address: c.config.Self.Address, Zone: c.config.Self.Zone}
@@ -183,23 +183,23 @@
 		Absent:   heartbeat.Absent,
 		Leaving:  heartbeat.Leaving,
 		Settled:  heartbeat.Settled,
-		Breaks:   heartbeat.Breaks,
+		Breaks:   heartbeat.Invalidations,
 	}
 	fresh, broke := c.detector.Heard(now, member, report)
 	if !fresh {
 		return
 	}
 	if broke {
-		c.recopy(from)
+		c.resetReplicas(from)
 	}
-	if heartbeat.GoneOn && !c.config.Mechanisms.NoContinuity && now-c.lastBreak > membership.HeartbeatInterval {
-		c.stopVouching(now)
+	if heartbeat.DecidedWithout && !c.config.Mechanisms.NoContinuity && now-c.lastInvalidation > membership.HeartbeatInterval {
+		c.invalidateRecords(now)
 		effects.add(Effect{Kind: StateChanged, Subject: member.Address.String(), State: "went on without this node"})
 	}
 	c.refreshView(now, effects)
 	behind := heartbeat.Revision > c.snapshot.Revision && !c.config.Mechanisms.NoSettingsGossip
-	if behind && now-c.lastRequest >= settingsRequestInterval {
-		c.lastRequest = now
+	if behind && now-c.lastSettingsRequest >= settingsRequestInterval {
+		c.lastSettingsRequest = now
 		request := &SettingsRequest{Have: c.snapshot.Revision}
 		c.sendControl(now, member.Address, &Message{From: c.self, SettingsRequest: request}, essential, effects)
 	}
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,5 +1,5 @@
-// Package flow holds the flow table: which back end each flow is pinned to,
-// which of its requests are in flight, and which were refused.
+// Package flow implements the flow table. It records the back end that each flow
+// is pinned to and the state of the flow's requests.
 package flow
 
 import (
@@ -20,16 +20,16 @@
 	Service netip.AddrPort
 }
 
-// Hash returns the flow's hash, the same on every node.
+// Hash returns the flow's hash, which is the same on every node.
 func (k Key) Hash() uint64 {
-	var text [36]byte
+	var encoded [36]byte
 	caller := k.Caller.Addr().As16()
 	service := k.Service.Addr().As16()
-	copy(text[0:16], caller[:])
-	copy(text[16:32], service[:])
-	text[32], text[33] = byte(k.Caller.Port()>>8), byte(k.Caller.Port())
-	text[34], text[35] = byte(k.Service.Port()>>8), byte(k.Service.Port())
-	return xxh3.Hash(text[:])
+	copy(encoded[0:16], caller[:])
+	copy(encoded[16:32], service[:])
+	encoded[32], encoded[33] = byte(k.Caller.Port()>>8), byte(k.Caller.Port())
+	encoded[34], encoded[35] = byte(k.Service.Port()>>8), byte(k.Service.Port())
+	return xxh3.Hash(encoded[:])
 }
 
 // Token is a CoAP token of at most 8 bytes.
@@ -38,79 +38,81 @@
 	Length uint8
 }
 
-// ExchangeState says what became of one request.
+// ExchangeState is the state of a request.
 type ExchangeState uint8
 
 // The states of a request.
 const (
-	// InFlight means that the request was forwarded and no final answer was seen.
+	// InFlight means that the request was forwarded and no final answer has arrived.
 	InFlight ExchangeState = iota
 	// Refused means that the caller was told that the request did not run.
 	Refused
-	// Answered means that the request went to the back end and is settled here;
-	// copies go there too, and are answered from its memory.
+	// Answered means that the request went to the back end and is settled here.
+	// Retransmissions go there too, and it answers them from its memory.
 	Answered
-	// GivenUp means that nobody here can say whether the request ran: its deadline
-	// passed, or it was left to other balancers. Copies are told so.
-	GivenUp
+	// OutcomeUnknown means that this node cannot tell whether the request ran: its
+	// deadline passed, or it was left to other balancers. Retransmissions are
+	// answered so.
+	OutcomeUnknown
 )
 
-// Exchange is one request of a flow, kept while copies of it may still arrive.
+// Exchange is a request of a flow, retained while retransmissions may arrive.
 type Exchange struct {
 	MessageID uint16
 	Token     Token
 	State     ExchangeState
-	// Replica is the successor that the request went through, 0 for none. An
-	// answer proves that this successor holds the flow.
+	// Replica is the successor that the request or its refusal was sent through, 0
+	// for none. An answer proves that this successor holds the flow.
 	Replica uint32
-	// Confirmable is set while the caller repeats the request until it is
+	// Confirmable is set while the caller retransmits the request until it is
 	// acknowledged.
 	Confirmable bool
-	// Continues is set on a later block, which is never refused and so need not
-	// be remembered once it is answered.
+	// Continues is set on a later block of an upload, which is never refused and
+	// need not be retained once answered.
 	Continues bool
-	// Proposed is set until the successor is known to agree with the state.
+	// Proposed is set until the successor has confirmed the state.
 	Proposed bool
-	// Kind is why a refused request was refused.
+	// Kind is the reason of a refusal.
 	Kind errkind.Kind
 	// Started is when the first copy arrived.
 	Started time.Duration
-	// Until is the deadline of a request in flight, or when a refusal is forgotten.
+	// Until is the deadline of a request in flight, or when a settled one expires.
 	Until time.Duration
 }
 
-// Flow is one flow. Its fields are guarded by the lock of its shard.
+// Flow is the record of a flow. The lock of its shard guards its fields.
 type Flow struct {
 	Key  Key
 	Hash uint64
 	// Backend is the pinned back end; 0 when every request so far was refused.
 	Backend settings.BackendID
-	// Replaced is the pin that the flow was released from, for as long as the
-	// successor may still hold it.
-	Replaced settings.BackendID
-	// Owner is set while this node counts the flow as its own.
+	// PreviousBackend is the back end that the flow was released from, 0 once the
+	// successor is known not to hold that pin.
+	PreviousBackend settings.BackendID
+	// Owner is set while this node counts the flow among its own.
 	Owner bool
-	// Verified is set once the pair's other node has confirmed the record or sent
-	// it. Until then refusals may exist that this node has not learned.
+	// Verified is set once the pair's other node has confirmed or sent the record.
+	// Until then refusals may exist that this node has not received.
 	Verified bool
-	// Observing is set once a notification of a feed was seen.
+	// Observing is set once a feed notification was seen.
 	Observing bool
-	// Replica is the node known to hold a copy, 0 for none.
+	// Replica is the node known to hold a copy of the record, 0 for none.
 	Replica uint32
-	// ReplicatedAt is when Replica last got a copy.
+	// ReplicatedAt is when Replica last received a copy.
 	ReplicatedAt time.Duration
 	// Complete is set when this node has seen every request of the flow.
 	Complete bool
-	// AmbiguousUntil is until when nobody can say whether the flow's requests ran.
+	// AmbiguousUntil ends the time in which no node can tell whether the flow's
+	// requests ran.
 	AmbiguousUntil time.Duration
-	// LastSeen is when the last datagram passed.
+	// LastSeen is when the flow's last datagram was handled.
 	LastSeen time.Duration
-	// Exchanges are the requests whose copies may still arrive.
+	// Exchanges are the requests whose retransmissions may still arrive.
 	Exchanges []Exchange
 }
 
-// Find returns the request with the message identifier, or nil.
-func (f *Flow) Find(messageID uint16) *Exchange {
+// FindExchange returns the request with the message identifier, or nil.
+func (f *Flow) FindExchange(messageID uint16) *Exchange {
 	for i := range f.Exchanges {
 		if f.Exchanges[i].MessageID == messageID {
 			return &f.Exchanges[i]
@@ -119,8 +121,8 @@
 	return nil
 }
 
-// FindAnswered returns the request in flight that an answer belongs to, by
-// token, or by message identifier where the answer has no token.
+// FindAnswered returns the request in flight that an answer matches, or nil. It
+// matches by token, or by message identifier when the answer has no token.
 func (f *Flow) FindAnswered(messageID uint16, token Token) *Exchange {
 	for i := range f.Exchanges {
 		exchange := &f.Exchanges[i]
@@ -134,15 +136,16 @@
 	return nil
 }
 
-// maxRemembered bounds the answered requests that a flow remembers.
-const maxRemembered = 32
+// maxExchanges is the number of requests above which a flow drops answered ones.
+const maxExchanges = 32
 
-// Answer marks a request as answered and remembers it until the time. A flow
-// with too many of them forgets the oldest, and is then no longer complete.
-func (f *Flow) Answer(exchange *Exchange, until time.Duration) {
+// MarkAnswered marks a request as answered and retains it until the given time. A
+// flow with more than maxExchanges requests drops its oldest answered one and is
+// then no longer complete.
+func (f *Flow) MarkAnswered(exchange *Exchange, until time.Duration) {
 	exchange.State = Answered
 	exchange.Until = until
-	if len(f.Exchanges) <= maxRemembered {
+	if len(f.Exchanges) <= maxExchanges {
 		return
 	}
 	oldest := -1
@@ -152,11 +155,11 @@
 		}
 	}
 	f.Complete = false
-	f.Remove(f.Exchanges[oldest].MessageID)
+	f.RemoveExchange(f.Exchanges[oldest].MessageID)
 }
 
-// Remove deletes the request with the message identifier.
-func (f *Flow) Remove(messageID uint16) {
+// RemoveExchange deletes the request with the message identifier, if any.
+func (f *Flow) RemoveExchange(messageID uint16) {
 	for i := range f.Exchanges {
 		if f.Exchanges[i].MessageID == messageID {
 			last := len(f.Exchanges) - 1
@@ -178,7 +181,7 @@
 	return count
 }
 
-// Refusals returns the refused requests that are still remembered.
+// Refusals returns the refused requests.
 func (f *Flow) Refusals() []Exchange {
 	var refusals []Exchange
 	for _, exchange := range f.Exchanges {
@@ -189,21 +192,22 @@
 	return refusals
 }
 
-// Merge adds a refusal that a peer knows of. It takes the place of a request
-// given up, which says less.
-func (f *Flow) Merge(refusal Exchange) {
-	known := f.Find(refusal.MessageID)
+// MergeRefusal adds a refusal received from a peer. It replaces a request of
+// unknown outcome, but no other state.
+func (f *Flow) MergeRefusal(refusal Exchange) {
+	known := f.FindExchange(refusal.MessageID)
 	switch {
 	case known == nil:
 		f.Exchanges = append(f.Exchanges, refusal)
-	case known.State == GivenUp:
+	case known.State == OutcomeUnknown:
 		*known = refusal
 	}
 }
 
-// HandOver keeps the requests in flight in mind as forwarded, until the time,
-// for a node that no longer owns the flow: no later word may deny that they ran.
-func (f *Flow) HandOver(until time.Duration) {
+// SettleInFlight marks the requests in flight as answered until the given time. A
+// node that no longer owns the flow uses it so that it never reports these
+// requests as not run.
+func (f *Flow) SettleInFlight(until time.Duration) {
 	for i := range f.Exchanges {
 		if f.Exchanges[i].State == InFlight {
 			f.Exchanges[i].State = Answered
@@ -212,14 +216,14 @@
 	}
 }
 
-// Forwarded tells whether this node has sent the request to a back end.
-func (f *Flow) Forwarded(messageID uint16) bool {
-	known := f.Find(messageID)
+// WasForwarded reports whether this node has sent the request to a back end.
+func (f *Flow) WasForwarded(messageID uint16) bool {
+	known := f.FindExchange(messageID)
 	return known != nil && (known.State == InFlight || known.State == Answered)
 }
 
-// ProposedTo tells whether everything known of the flow was proposed to the
-// node, which then has it, or nothing came of it.
+// ProposedTo reports whether the flow is unverified and has only requests that
+// were proposed to the node. Such a flow needs no separate copy.
 func (f *Flow) ProposedTo(node uint32) bool {
 	for i := range f.Exchanges {
 		if !f.Exchanges[i].Proposed || f.Exchanges[i].Replica != node {
@@ -229,7 +233,7 @@
 	return !f.Verified && len(f.Exchanges) > 0
 }
 
-// Expire forgets settled requests whose time is over.
+// Expire removes settled requests whose retention time has passed.
 func (f *Flow) Expire(now time.Duration) {
 	if len(f.Exchanges) == 0 {
 		return
@@ -237,18 +241,18 @@
 	f.Exchanges = slices.DeleteFunc(f.Exchanges, func(e Exchange) bool { return e.State != InFlight && e.Until <= now })
 }
 
-// ShardCount is the number of independently locked parts of a table.
+// ShardCount is the number of independently locked shards of a table.
 const ShardCount = 64
 
-// Shard is one part of a table. Lock it before touching its flows.
+// Shard is a part of a table. Its lock guards its flows and their fields.
 type Shard struct {
 	sync.Mutex
 	Flows map[Key]*Flow
-	// order keeps insertion order, so that walks are the same on every run.
+	// order lists the flows in insertion order, so that walks are deterministic.
 	order []*Flow
 }
 
-// Table is the set of flows that a node knows.
+// Table is the set of flows that a node has a record of.
 type Table struct {
 	Shards [ShardCount]Shard
 }
@@ -262,33 +266,33 @@
 	return table
 }
 
-// ShardOf returns the shard that holds flows of the hash.
+// ShardOf returns the shard of flows with the hash.
 func (t *Table) ShardOf(hash uint64) *Shard {
 	return &t.Shards[hash%ShardCount]
 }
 
-// Add puts a new flow into the shard; the shard must be locked.
+// Add inserts a new flow. The shard must be locked.
 func (s *Shard) Add(f *Flow) {
 	s.Flows[f.Key] = f
 	s.order = append(s.order, f)
 }
 
-// Walk calls visit for each flow in insertion order and deletes those for which
-// it returns false; the shard must be locked.
+// Walk calls visit for each flow in insertion order and deletes the flows for
+// which visit returns false. The shard must be locked.
 func (s *Shard) Walk(visit func(f *Flow) bool) {
-	kept := s.order[:0]
+	retained := s.order[:0]
 	for _, f := range s.order {
 		if visit(f) {
-			kept = append(kept, f)
+			retained = append(retained, f)
 			continue
 		}
 		delete(s.Flows, f.Key)
 	}
-	clear(s.order[len(kept):])
-	s.order = kept
+	clear(s.order[len(retained):])
+	s.order = retained
 }
 
-// Len returns the number of flows in the table.
+// Len returns the number of flows in the table. It locks each shard in turn.
 func (t *Table) Len() int {
 	total := 0
 	for i := range t.Shards {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,45 +16,45 @@
 
 func TestChoose(t *testing.T) {
 	const hash = 42
-	preferred := Default(hash, candidates(5))
+	preferred := Preferred(hash, candidates(5))
 	cases := []struct {
-		guards string
+		name   string
 		change func([]Candidate)
 		result Result
 		index  int
 	}{
-		{"an empty fleet gives the default", func([]Candidate) {}, AtDefault, preferred},
-		{"a loaded default is left", func(c []Candidate) { c[preferred].Flows = 10 }, Deviates, -2},
-		{"a closed default counts for nothing", func(c []Candidate) { c[preferred].Closed = true }, AtDefault, -2},
-		{"a default without room for requests is left", func(c []Candidate) { c[preferred].InFlightLimit = 0 }, Deviates, -2},
-		{"nothing open", func(c []Candidate) {
+		{"no load chooses the preferred back end", func([]Candidate) {}, AtPreferred, preferred},
+		{"a loaded preferred back end diverts the flow", func(c []Candidate) { c[preferred].Flows = 10 }, Diverted, -2},
+		{"a closed back end is not preferred", func(c []Candidate) { c[preferred].Closed = true }, AtPreferred, -2},
+		{"a preferred back end at its request limit diverts the flow", func(c []Candidate) { c[preferred].InFlightLimit = 0 }, Diverted, -2},
+		{"every back end closed", func(c []Candidate) {
 			for i := range c {
 				c[i].Closed = true
 			}
 		}, NoneOpen, -1},
-		{"every back end full of flows", func(c []Candidate) {
+		{"every back end at its flow limit", func(c []Candidate) {
 			for i := range c {
 				c[i].FlowLimit = 0
 			}
-		}, FlowsFull, -1},
-		{"every back end full of requests", func(c []Candidate) {
+		}, FlowLimitReached, -1},
+		{"every back end at its request limit", func(c []Candidate) {
 			for i := range c {
 				c[i].InFlightLimit = 0
 			}
-		}, InFlightFull, -1},
+		}, InFlightLimitReached, -1},
 	}
 	for _, c := range cases {
 		list := candidates(5)
 		c.change(list)
 		index, result := Choose(hash, list, 1.05)
 		if result != c.result || c.index == -2 && index == preferred || c.index != -2 && index != c.index {
-			t.Errorf("%s: index %d, result %v", c.guards, index, result)
+			t.Errorf("%s: index %d, result %v", c.name, index, result)
 		}
 	}
 }
 
-// TestBoundedLoads guards the dial: no back end rises above its bound.
-func TestBoundedLoads(t *testing.T) {
+// TestChooseBoundsLoad checks that no back end exceeds loadFactor times its share.
+func TestChooseBoundsLoad(t *testing.T) {
 	for _, factor := range []float64{1, 1.05, 1.25} {
 		list := candidates(14)
 		for flow := range 5000 {
@@ -69,21 +69,21 @@
 	}
 }
 
-// TestDefaultMovesLittle guards flows against a change of the back-end set:
-// a new back end takes only its own share.
-func TestDefaultMovesLittle(t *testing.T) {
+// TestAddedBackendTakesOnlyItsShare checks that an added back end moves flows only
+// to itself, about its share of them.
+func TestAddedBackendTakesOnlyItsShare(t *testing.T) {
 	before, after := candidates(14), candidates(15)
 	moved := 0
 	for flow := range 10000 {
 		hash := Mix(uint64(flow), 3)
-		if a, b := Default(hash, before), Default(hash, after); a != b {
+		if a, b := Preferred(hash, before), Preferred(hash, after); a != b {
 			moved++
 			if b != 14 {
-				t.Fatalf("a flow moved between back ends that stayed")
+				t.Fatalf("a flow moved between existing back ends")
 			}
 		}
 	}
 	if moved < 500 || moved > 850 {
-		t.Errorf("%d of 10000 moved; a fifteenth is 667", moved)
+		t.Errorf("%d of 10000 flows moved, want about 667", moved)
 	}
 }
