--- a/internal/balancer/answer.go
+++ b/internal/balancer/answer.go
@@ -7,7 +7,7 @@
 	"gaugeyard/internal/flow"
 )
 
-// ownAnswer handles a back end's datagram as the owner. The shard is locked.
+// handleAnswer handles a back end's datagram as the owner. The shard is locked.
 func (c *Core) handleAnswer(x *exchangeContext, shard *flow.Shard) {
 	sender := c.registry.getOrAdd(x.packet.Backend)
 	if sender == nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// learnPin adopts the sender of an answer as the flow's back end where this
-// owner cannot vouch for what it has: an answer proves where the flow is.
+// learnPin pins an unverified flow without a back end to the sender of an answer,
+// because an answer proves which back end serves the flow.
 func (c *Core) learnPin(x *exchangeContext, f *flow.Flow, sender *backend) {
 	if f.Verified || f.Backend != 0 || f.AmbiguousUntil > x.now || c.config.Mechanisms.NoAnswerAdoption {
 		return
@@ -57,7 +57,7 @@
 	c.pin(f, sender)
 }
 
-// complete settles the request that the datagram answers.
+// completeRequest settles the request that the datagram answers or acknowledges.
 func (c *Core) completeRequest(x *exchangeContext, f *flow.Flow, sender *backend) {
 	if x.packet.Kind == Acknowledge {
 		if exchange := f.FindExchange(x.packet.MessageID); exchange != nil {
@@ -80,8 +80,8 @@
 	f.MarkAnswered(exchange, x.now+x.service.RequestLifetime)
 }
 
-// confirm notes that the successor holds the flow: the request that was
-// answered reached the back end through it.
+// confirmReplica records that the successor holds the flow, because the answered
+// request reached the back end through it.
 func (c *Core) confirmReplica(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
 	if exchange.Replica == 0 || exchange.Replica != x.pair.Successor {
 		return
@@ -93,8 +93,8 @@
 	f.ReplicatedAt = x.now
 }
 
-// teach delivers an answer through the successor, which records the flow, or
-// returns the answer with what it holds of a flow that is only proposed.
+// sendThroughSuccessor sends an answer to the successor, which records the flow
+// and delivers the answer, or returns it with the record of a proposed flow.
 func (c *Core) sendThroughSuccessor(x *exchangeContext, f *flow.Flow, kind RelayKind) {
 	relay := Relay{
 		Kind:     kind,
@@ -106,7 +106,7 @@
 	c.relay(x.pair.Successor, relay, x.effects)
 }
 
-// forget removes a request from the flow and from the counts.
+// removeRequest removes a request from the flow and from the back end's count.
 func (c *Core) removeRequest(f *flow.Flow, messageID uint16) {
 	exchange := f.FindExchange(messageID)
 	if exchange == nil {
@@ -118,8 +118,8 @@
 	f.RemoveExchange(messageID)
 }
 
-// giveUp settles a request whose deadline has passed: the caller is told at
-// once that its outcome is unknown.
+// timeOutRequest settles a request whose deadline has passed and tells the caller
+// that its outcome is unknown.
 func (c *Core) timeOutRequest(now time.Duration, due deadline, effects *Effects) {
 	shard := c.flows.ShardOf(due.key.Hash())
 	shard.Lock()
@@ -133,8 +133,8 @@
 		return
 	}
 	if exchange.Proposed && !c.view.Has(exchange.Replica) {
-		// The request went through a successor that died, and may never have
-		// left it. The caller's next copy goes to the same back end.
+		// The request was sent through a successor that left the view, which may not
+		// have forwarded it. A retransmission goes to the same back end.
 		if target := c.registry.get(f.Backend); target != nil {
 			target.inFlight.Add(-1)
 		}
--- a/internal/balancer/budget.go
+++ b/internal/balancer/budget.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// budgetClass says which control messages go first.
+// budgetClass is the priority of a control message.
 type budgetClass int
 
 const (
 	// essential messages may use the whole budget.
 	essential budgetClass = iota
-	// bulk messages leave a reserve for essential ones.
+	// bulk messages may use only bulkFraction of it.
 	bulk
 )
 
@@ -21,8 +21,8 @@
 	essentialFraction = 1.0
 )
 
-// byteBudget bounds the control bytes of any window of one second: it never
-// sends more than perSecond in the last ten tenths.
+// byteBudget limits the control bytes in any window of one second to perSecond. It
+// counts bytes in slots of budgetSlot and checks the sum over the last 11 slots.
 type byteBudget struct {
 	perSecond int
 	unlimited bool
@@ -30,7 +30,7 @@
 	slot      time.Duration
 }
 
-// spend takes size bytes at now, or returns false.
+// spend takes size bytes from the budget and reports whether they were available.
 func (b *byteBudget) spend(now time.Duration, size int, class budgetClass) bool {
 	current := now / budgetSlot
 	for ; b.slot < current; b.slot++ {
@@ -54,8 +54,8 @@
 	return true
 }
 
-// sendControl sends a control message within the byte budget and tells whether
-// it was sent.
+// sendControl sends a control message if the byte budget allows it, and reports
+// whether it was sent.
 func (c *Core) sendControl(now time.Duration, to netip.AddrPort, message *Message, class budgetClass, effects *Effects) bool {
 	size := c.config.Measure(message) + DatagramOverhead
 	if !c.budget.spend(now, size, class) {
--- a/internal/balancer/caller.go
+++ b/internal/balancer/caller.go
@@ -9,7 +9,8 @@
 	"gaugeyard/internal/settings"
 )
 
-// ownCaller handles a caller's datagram as the owner. The shard is locked.
+// handleCallerDatagram handles a caller's datagram as the owner. The shard is
+// locked.
 func (c *Core) handleCallerDatagram(x *exchangeContext, shard *flow.Shard) {
 	f := shard.Flows[x.packet.Flow]
 	if x.packet.Kind == Control {
@@ -31,9 +32,9 @@
 	}
 }
 
-// ownControl passes an acknowledgement or reset to the flow's back end. One
-// that belongs to no known flow opens nothing: the back end repeats what it
-// wants acknowledged, and that names the pin.
+// handleControl forwards an acknowledgement or reset to the flow's back end. One
+// of an unknown flow is dropped: the back end retransmits the unacknowledged
+// message, which also identifies the flow's back end.
 func (c *Core) handleControl(x *exchangeContext, f *flow.Flow) {
 	if f == nil || f.Backend == 0 {
 		c.drop(errkind.NoOwner)
@@ -43,19 +44,19 @@
 	c.forwardPinned(x, f, false)
 }
 
-// unpinWhereAllowed releases a flow from its back end where its next request
-// may be placed anew without harm.
+// unpinIfSafe releases a flow whose back end is down, or draining or removed while
+// the flow is idle, so that its next request is placed anew.
 func (c *Core) unpinIfSafe(x *exchangeContext, f *flow.Flow) {
 	if f.Backend == 0 || !f.Verified {
 		return
 	}
-	// Without a majority the back end may only be out of this node's reach.
+	// Without a quorum the back end may be unreachable from this node alone.
 	down := c.quorum && c.registry.get(f.Backend).down(x.now)
 	if !down && !c.idleOnDraining(x, f) {
 		return
 	}
 	if down && !x.service.Repeatable && x.now-f.LastSeen <= x.service.RequestLifetime {
-		// Copies of requests that ran at the dead back end may still arrive.
+		// Retransmissions of requests that ran at the old back end may still arrive.
 		f.AmbiguousUntil = x.now + x.service.RequestLifetime
 	}
 	c.release(f)
@@ -65,8 +66,8 @@
 	f.Observing = false
 }
 
-// rested tells whether a flow has been at rest for so long, at a back end that
-// is leaving, that no copy of an earlier request can still arrive.
+// idleOnDraining reports whether the flow's back end is draining or removed and
+// the flow has been idle for longer than retransmissions may arrive.
 func (c *Core) idleOnDraining(x *exchangeContext, f *flow.Flow) bool {
 	if f.Observing || x.now-f.LastSeen <= x.service.RequestLifetime {
 		return false
@@ -75,14 +76,14 @@
 	return configured == nil || configured.Draining
 }
 
-// ownRequest handles a request of a flow whose record this owner vouches for.
+// handleRequest handles a request of a verified flow as its owner.
 func (c *Core) handleRequest(x *exchangeContext, f *flow.Flow) {
 	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil {
 		c.handleRetransmission(x, f, exchange)
 		return
 	}
 	if c.lacksQuorum() && !x.service.Repeatable && !x.packet.Continues {
-		// The side with the majority may refuse this request.
+		// The balancers with a quorum may refuse this request.
 		c.deferToMajority(x, f)
 		return
 	}
@@ -95,12 +96,12 @@
 	c.forwardPinned(x, f, viaSuccessor)
 }
 
-// repeatRequest handles another copy of a request.
+// handleRetransmission handles a retransmission of a known request.
 func (c *Core) handleRetransmission(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
 	switch exchange.State {
 	case flow.Refused:
 		if exchange.Proposed && !f.Complete {
-			// The successor has not agreed, and may know better by now.
+			// The successor has not confirmed the refusal and may hold a newer record.
 			c.propose(x, f)
 			return
 		}
@@ -138,18 +139,19 @@
 	if kind == errkind.None || f.Complete {
 		return kind
 	}
-	// This node may not have seen every request of the flow, so it cannot say
-	// that this one did not run. The back end drops copies; let it decide.
+	// This node may not have seen every request of the flow, so it cannot claim
+	// that this one did not run. The back end detects duplicates.
 	return errkind.None
 }
 
-// tooLate tells whether a request sent now would be answered after its
-// deadline, from the smoothed time that the back end takes at present.
+// wouldMissDeadline reports whether a request sent now would probably be answered
+// after its deadline, judging by the back end's smoothed service time.
 func (c *Core) wouldMissDeadline(service *settings.Service, target *backend) bool {
 	return target.inFlight.Load() > 0 && time.Duration(target.serviceTime.Load()) > service.RequestDeadline
 }
 
-// begin records a request in flight.
+// recordInFlight records a request in flight, sent through the successor if
+// viaSuccessor is set, and schedules its deadline.
 func (c *Core) recordInFlight(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	until := x.now + x.service.RequestDeadline
 	exchange := flow.Exchange{
@@ -171,7 +173,8 @@
 	c.deadlines.add(until, f.Key, x.packet.MessageID)
 }
 
-// needsReplica tells whether the successor lacks the flow's record.
+// needsReplica reports whether the successor lacks a recent copy of the flow's
+// record.
 func (c *Core) needsReplica(x *exchangeContext, f *flow.Flow) bool {
 	if c.config.Strategy != Replicated || x.pair.Successor == 0 {
 		return false
@@ -179,8 +182,8 @@
 	return f.Replica != x.pair.Successor || x.now-f.ReplicatedAt > x.service.FlowIdle/2
 }
 
-// forwardPinned sends a datagram to the flow's back end, through the successor
-// when that must record the flow.
+// forwardPinned sends a datagram to the flow's back end, through the successor if
+// viaSuccessor is set, so that the successor records the flow.
 func (c *Core) forwardPinned(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	target := c.registry.get(f.Backend)
 	if target == nil {
@@ -196,8 +199,8 @@
 	c.forward(x.packet, target, x.effects)
 }
 
-// insert adds an empty flow. Where this owner has a record of every request
-// that may be repeated, the flow is new, and all its requests pass here.
+// insertFlow adds an empty flow. The flow is complete if this owner has a complete
+// history, because then no earlier request of it can exist.
 func (c *Core) insertFlow(x *exchangeContext, shard *flow.Shard) *flow.Flow {
 	f := &flow.Flow{Key: x.packet.Flow, Hash: x.hash, LastSeen: x.now}
 	f.Complete = c.hasCompleteHistory(x)
@@ -205,7 +208,7 @@
 	return f
 }
 
-// pin sets the flow's back end and counts the flow.
+// pin sets the flow's back end, marks this node as owner and counts the flow.
 func (c *Core) pin(f *flow.Flow, target *backend) {
 	if f.Backend == target.id && f.Owner {
 		return
@@ -220,7 +223,7 @@
 	target.flowCount(f.Key.Service).Add(1)
 }
 
-// release takes the flow and its requests in flight out of this node's counts.
+// release removes an owned flow and its requests in flight from this node's counts.
 func (c *Core) release(f *flow.Flow) {
 	if !f.Owner {
 		return
@@ -235,7 +238,7 @@
 	f.SettleInFlight(f.LastSeen + c.longestLifetime())
 }
 
-// addressOf returns the address of a flow's back end, or the zero value.
+// backendAddress returns the address of the flow's back end, or the zero value.
 func (c *Core) backendAddress(f *flow.Flow) netip.AddrPort {
 	if target := c.registry.get(f.Backend); target != nil {
 		return target.address
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// historyLength is how many earlier revisions a node keeps to send changes from.
+	// maxHistory is the number of earlier revisions held to compute changes from.
 	maxHistory = 16
-	// partChanges is how many changes one datagram of settings carries.
+	// changesPerPart is the number of changes in one settings datagram.
 	changesPerPart = 12
 )
 
-// assembly collects the parts of a revision on its way from a peer.
+// assembly collects the parts of a revision received from a peer.
 type assembly struct {
 	base, revision uint64
 	parts          [][]settings.Change
 	missing        int
 }
 
-// applySettings puts a revision into force unless one at least as high is.
+// applySettings puts a revision into force unless it is older than or the same as
+// the current one.
 func (c *Core) applySettings(now time.Duration, next *settings.Snapshot, effects *Effects) {
 	if next.Revision <= c.snapshot.Revision && !c.config.Mechanisms.NoRevisionFence {
 		if next.Revision < c.snapshot.Revision {
@@ -50,7 +51,8 @@
 	effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "revision in force"})
 }
 
-// noteBackend starts the slow start of a back end that is new or was draining.
+// startRamp begins the slow start of a back end that is new or was draining. The
+// back ends of the first revision have none.
 func (c *Core) startRamp(now time.Duration, backend *settings.Backend, first bool) {
 	old := c.snapshot.Backends[backend.ID]
 	if first || backend.Draining || old != nil && !old.Draining {
@@ -59,10 +61,10 @@
 	c.rampStarts[backend.ID] = now
 }
 
-// sendSettings sends a peer the changes since the revision it has, in parts.
-// A peer that misses a part asks again.
+// sendSettings sends a peer the changes since the revision that it has, in parts.
+// A peer that misses a part requests the changes again.
 func (c *Core) sendSettings(now time.Duration, to membership.ID, have uint64, effects *Effects) {
-	// A node that has not joined yet, or resumes after a pause, asks too.
+	// Peers outside the view are served too: they may be joining or resuming.
 	member, known := c.detector.Known(to)
 	if !known || have >= c.snapshot.Revision {
 		return
@@ -89,13 +91,14 @@
 	c.drainSettings(now, effects)
 }
 
-// queuedPart is one part of a revision that waits for the byte budget.
+// queuedPart is a settings part that waits for the byte budget.
 type queuedPart struct {
 	to   netip.AddrPort
 	part *SettingsPart
 }
 
-// drainSettings sends queued parts as far as the byte budget allows.
+// drainSettings sends queued parts within the byte budget and discards those of
+// outdated revisions.
 func (c *Core) drainSettings(now time.Duration, effects *Effects) {
 	for len(c.settingsQueue) > 0 {
 		next := c.settingsQueue[0]
@@ -108,7 +111,7 @@
 	}
 }
 
-// receiveSettings takes one part and applies the revision once it is whole.
+// receiveSettings stores one part and applies the revision once all have arrived.
 func (c *Core) receiveSettings(now time.Duration, part *SettingsPart, effects *Effects) {
 	if part.Revision <= c.snapshot.Revision || part.Count < 1 || part.Index < 0 || part.Index >= part.Count || part.Count > maxParts {
 		return
@@ -121,7 +124,7 @@
 		a.parts[part.Index] = slices.Clip(append([]settings.Change{}, part.Changes...))
 		a.missing--
 	}
-	// A part arrived: what is still under way need not be asked for again.
+	// The other parts may be in transit, so delay the next request.
 	c.lastSettingsRequest = now
 	if a.missing > 0 {
 		return
@@ -129,16 +132,16 @@
 	tree, errs := c.assembledTree()
 	c.assembly = assembly{}
 	if len(errs) > 0 {
-		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "refused a revision from a peer: " + errs[0].Error()})
+		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "rejected a revision from a peer: " + errs[0].Error()})
 		return
 	}
 	c.applySettings(now, settings.Resolve(tree, part.Revision), effects)
 }
 
-// maxParts bounds the parts of one revision.
+// maxParts is the maximum number of parts of a revision.
 const maxParts = 4096
 
-// assembled applies the collected changes to their base.
+// assembledTree applies the collected changes to their base revision.
 func (c *Core) assembledTree() (settings.Tree, []error) {
 	tree := settings.Tree{"": settings.Values{}}
 	if c.assembly.base != 0 {
--- a/internal/balancer/copy.go
+++ b/internal/balancer/copy.go
@@ -10,46 +10,48 @@
 )
 
 const (
-	// copyBatch is how many flows one Copy carries.
+	// copyBatchSize is the maximum number of flows in one Copy.
 	copyBatchSize = 48
-	// copyWait is how long an acknowledgement is waited for.
+	// copyAckTimeout is how long to wait for the acknowledgement of a Copy.
 	copyAckTimeout = 500 * time.Millisecond
-	// copyQueue bounds the flows remembered for copying; a walk finds the rest again.
+	// maxCopyQueue is the maximum number of flows queued for copying. A later walk
+	// finds the rest.
 	maxCopyQueue = 4096
 )
 
-// copyTarget is one flow and the node that lacks it.
+// copyTarget is a flow and the node that lacks its record.
 type copyTarget struct {
 	key  flow.Key
 	hash uint64
 	to   membership.ID
 }
 
-// copier takes flows to the other node of their pair that no datagram has taken
-// there: the flows at rest. It sends one batch at a time and waits for its
-// acknowledgement.
+// copier replicates idle flows, which no datagram replicates, to the other node of
+// their pair. It sends one batch at a time and waits for its acknowledgement.
 type copier struct {
 	cursor   int
 	queue    []copyTarget
 	sent     []copyTarget
 	sequence uint32
 	sentAt   time.Duration
-	// missing marks partitions in which the present walk found a flow to copy.
+	// missing marks partitions in which the current walk found a flow to copy.
 	missing [membership.PartitionCount]bool
-	// granted names the partner that holds everything of a partition.
+	// granted is the partner that holds every record of a partition, 0 for none.
 	granted [membership.PartitionCount]membership.ID
-	// draining is set while a walk began with flows still queued; it queues none,
-	// so that no flow is queued twice.
+	// draining is set during a walk that began with a non-empty queue. Such a walk
+	// queues no flow, so that none is queued twice.
 	draining bool
-	// interrupted is set when the view changed during the present walk.
+	// interrupted is set if the view changed or a peer lost its records during the
+	// current walk.
 	interrupted bool
-	// walks counts uninterrupted walks since the last change of view.
+	// walks counts uninterrupted walks since the last interruption.
 	walks int
-	// ungranted is set when the last walk left a partition that could not be granted.
+	// ungranted is set if the last walk left a partition that should have been
+	// granted but was not.
 	ungranted bool
 }
 
-// want notes that a node lacks the flow.
+// enqueue records that a node lacks the flow and queues the flow if there is room.
 func (p *copier) enqueue(to membership.ID, f *flow.Flow) {
 	p.missing[membership.PartitionOf(f.Hash)] = true
 	if !p.draining && len(p.queue) < maxCopyQueue {
@@ -57,7 +59,7 @@
 	}
 }
 
-// viewChanged forgets what was planned and granted for pairs that changed.
+// viewChanged clears the queue and the grants of pairs that changed.
 func (p *copier) viewChanged(previous, next *membership.View) {
 	p.queue = p.queue[:0]
 	p.draining = false
@@ -71,7 +73,7 @@
 	}
 }
 
-// forget drops what was granted to a peer.
+// resetPeer clears the grants to a peer.
 func (p *copier) resetPeer(peer membership.ID) {
 	p.interrupted = true
 	p.walks = 0
@@ -82,13 +84,13 @@
 	}
 }
 
-// sendCopy sends the next batch when the last one is settled.
+// sendCopy sends the next batch once the last one is acknowledged or timed out.
 func (c *Core) sendCopy(now time.Duration, effects *Effects) {
 	p := &c.copier
 	if len(p.sent) > 0 && now-p.sentAt < copyAckTimeout || c.config.Mechanisms.NoBackgroundCopy {
 		return
 	}
-	// What was not acknowledged is found again by the next walk.
+	// The next walk finds unacknowledged flows again.
 	p.sent = nil
 	if len(p.queue) == 0 {
 		return
@@ -121,7 +123,8 @@
 	p.sentAt = now
 }
 
-// addRecord adds a flow to the records, unless the other node has it by now.
+// addRecord adds a flow to the records and reports whether it did. It skips flows
+// that were removed, are not authoritative or have been replicated since.
 func (c *Core) addRecord(now time.Duration, target copyTarget, records *[]Record) bool {
 	shard := c.flows.ShardOf(target.hash)
 	shard.Lock()
@@ -147,7 +150,7 @@
 	return true
 }
 
-// copyDone notes that the other node holds the last batch.
+// handleCopyDone records that the other node holds the last batch.
 func (c *Core) handleCopyDone(now time.Duration, sequence uint32) {
 	p := &c.copier
 	if sequence != p.sequence {
@@ -165,7 +168,7 @@
 	p.sent = nil
 }
 
-// receiveCopy stores flows of the pair's other node.
+// receiveCopy stores and acknowledges flows sent by a pair's other node.
 func (c *Core) receiveCopy(now time.Duration, from membership.ID, message *Copy, effects *Effects) {
 	for _, record := range message.Records {
 		refusals := make([][]Refusal, len(record.Callers))
@@ -203,7 +206,7 @@
 	target := c.registry.getOrAdd(backend)
 	switch {
 	case pair.Owner == from && target != nil:
-		// The owner's word counts over what this node holds.
+		// The owner's record takes precedence.
 		f.Backend = target.id
 	case f.Verified:
 		return
@@ -215,8 +218,8 @@
 	f.ReplicatedAt = now
 }
 
-// finishWalk ends one walk through the table. A partition in which nothing was
-// missing, while this node can vouch for it, is granted to the pair's other node.
+// finishWalk ends one walk over the table. It grants each partition in which no
+// record was missing, and whose history is complete here, to the pair's other node.
 func (c *Core) finishWalk(now time.Duration, effects *Effects) {
 	p := &c.copier
 	if !p.interrupted {
@@ -268,7 +271,7 @@
 	}
 }
 
-// receiveGrant notes that this node holds everything of the partitions.
+// receiveGrant records that this node holds every record of the granted partitions.
 func (c *Core) receiveGrant(from membership.ID, grant *Grant) {
 	if len(grant.Partitions) != membership.PartitionCount/8 {
 		return
@@ -277,14 +280,14 @@
 		granted := grant.Partitions[partition/8]&(1<<(partition%8)) != 0
 		if granted && c.view.PairAt(partition).Partner(c.self) == from {
 			c.continuity.Grant(partition, c.view)
-			// Who grants holds everything itself.
+			// The sender of a grant holds every record itself.
 			c.copier.granted[partition] = from
 		}
 	}
 }
 
-// settled tells whether the last whole walk found nothing that the other nodes
-// of this node's pairs lack.
+// isSettled reports whether at least minWalks walks have completed, no flow waits
+// to be copied or acknowledged, and no grant is outstanding.
 func (p *copier) isSettled(minWalks int) bool {
 	return p.walks >= minWalks && len(p.queue) == 0 && len(p.sent) == 0 && !p.ungranted
 }
--- a/internal/balancer/core.go
+++ b/internal/balancer/core.go
@@ -12,23 +12,24 @@
 	"gaugeyard/internal/settings"
 )
 
-// Core is one balancer's state and decisions.
+// Core holds the state of a balancer and makes its decisions.
 type Core struct {
 	config Config
 	self   membership.ID
 
-	// control guards membership and settings. Workers hold it for reading.
+	// control guards membership, settings and the shutdown state. Datagram workers
+	// hold it for reading.
 	control    sync.RWMutex
 	detector   *membership.Detector
 	view       *membership.View
 	continuity *membership.Continuity
 	quorum     bool
-	// quorumSince is when a majority was first heard, 0 while there is none.
+	// quorumSince is when a majority became reachable, 0 while there is none.
 	quorumSince time.Duration
 	snapshot    *settings.Snapshot
 	history     []*settings.Snapshot
 	assembly    assembly
-	// settingsQueue holds parts of settings that wait for the byte budget.
+	// settingsQueue holds settings parts that wait for the byte budget.
 	settingsQueue []queuedPart
 	rampStarts    map[settings.BackendID]time.Duration
 	leave         leaveState
@@ -37,30 +38,30 @@
 	registry  registry
 	deadlines deadlineQueue
 	copier    copier
-	// settled is what the last tick found of the copier, for other goroutines.
+	// settled is the copier's state at the last tick, for other goroutines.
 	settled atomic.Bool
 	budget  byteBudget
 
 	lastTick      atomic.Int64
 	lastHeartbeat time.Duration
-	// heartbeats counts the heartbeats sent to all peers.
+	// heartbeats counts the rounds of heartbeats sent.
 	heartbeats          uint64
 	lastSettingsRequest time.Duration
-	// viewChanged is when the view last became another one.
+	// viewChanged is when the view last changed.
 	viewChanged time.Duration
-	// breaks counts how often this node has stopped to vouch for its records.
+	// invalidations counts how often this node has invalidated its records.
 	invalidations    uint32
 	lastInvalidation time.Duration
-	// joinAt is when this node has listened long enough to join the view.
+	// joinAt is the earliest time at which this node may join the view.
 	joinAt time.Duration
 	// ticked is set once the first tick has passed.
 	ticked bool
 
-	// Counters count what happened; see Counters.
+	// Counters are exposed to operators and drivers.
 	Counters Counters
 }
 
-// Counters are the numbers that a balancer exposes. All only grow.
+// Counters are the monotonic counters that a balancer exposes.
 type Counters struct {
 	Datagrams, Forwarded, Delivered, Relayed, Detoured     atomic.Uint64
 	NewFlows, Deviating, Adopted, ExpiredFlows, LateAnswer atomic.Uint64
@@ -69,7 +70,7 @@
 	Answered                                               [32]atomic.Uint64
 }
 
-// New returns a core that knows no settings and no peers.
+// New returns a core without settings and peers.
 func New(config Config) *Core {
 	if config.ControlBytesPerSecond == 0 {
 		config.ControlBytesPerSecond = DefaultControlBytesPerSecond
@@ -89,14 +90,15 @@
 	return core
 }
 
-// Effects collects what Step decided. A worker reuses one; Reset empties it.
+// Effects collects the effects of Step. A worker reuses one Effects and calls
+// Reset between steps.
 type Effects struct {
 	List       []Effect
 	candidates []placement.Candidate
 	backends   []*backend
 }
 
-// Reset empties the collection and keeps its memory.
+// Reset empties the list and retains its memory.
 func (e *Effects) Reset() {
 	clear(e.List)
 	e.List = e.List[:0]
@@ -106,9 +108,9 @@
 	e.List = append(e.List, effect)
 }
 
-// Step handles one event at now, a time that never goes back, and appends what
-// must be done to effects. Packets and messages in effects are valid until the
-// driver reuses the event's memory.
+// Step handles one event and appends the resulting effects. now must not
+// decrease. Packets and messages in effects are valid until the driver reuses the
+// event's memory.
 func (c *Core) Step(now time.Duration, event Event, effects *Effects) {
 	c.detectPause(now, effects)
 	switch e := event.(type) {
@@ -143,7 +145,8 @@
 	c.route(now, packet, 0, effects)
 }
 
-// route hands a datagram to its owner, which may be this node.
+// route handles a datagram if this node owns its flow, and relays it to the owner
+// otherwise.
 func (c *Core) route(now time.Duration, packet *Packet, hops uint8, effects *Effects) {
 	service := c.snapshot.ServiceAt(packet.Flow.Service)
 	if service == nil {
@@ -166,14 +169,14 @@
 	}
 	answer := packet.Kind >= Answer
 	if answer && (pair.Owner == 0 || c.detector.Overdue(pair.Owner, now)) {
-		// The owner may be dead: an answer needs no state to reach its caller.
+		// The owner may be down. Delivering an answer needs no flow state.
 		c.deliver(packet, effects)
 		return
 	}
 	c.relay(pair.Owner, Relay{Kind: RelayToOwner, Hops: hops, Packet: packet}, effects)
 }
 
-// own handles a datagram as the flow's owner.
+// handleAsOwner handles a datagram as the flow's owner.
 func (c *Core) handleAsOwner(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
 	context := exchangeContext{now: now, packet: packet, service: service, hash: hash, pair: pair, hops: hops, effects: effects}
 	shard := c.flows.ShardOf(hash)
@@ -186,7 +189,7 @@
 	c.handleCallerDatagram(&context, shard)
 }
 
-// exchangeContext is what the handling of one datagram needs throughout.
+// exchangeContext is the context of handling one datagram.
 type exchangeContext struct {
 	now     time.Duration
 	packet  *Packet
@@ -197,7 +200,7 @@
 	effects *Effects
 }
 
-// routeStateless is the baseline without flow state.
+// routeStateless routes a datagram under Consistent or Modulo, without flow state.
 func (c *Core) routeStateless(packet *Packet, service *settings.Service, effects *Effects) {
 	if packet.Kind >= Answer {
 		c.deliver(packet, effects)
@@ -248,7 +251,8 @@
 	effects.add(Effect{Kind: DeliverToCaller, To: packet.Flow.Caller, Packet: packet})
 }
 
-// answer tells the caller how its request failed.
+// answer answers a request with a failure. Datagrams of other kinds are only
+// counted.
 func (c *Core) answer(packet *Packet, kind errkind.Kind, retry time.Duration, effects *Effects) {
 	c.Counters.Answered[kind].Add(1)
 	if packet.Kind != Request {
@@ -261,7 +265,8 @@
 	c.Counters.Dropped[kind].Add(1)
 }
 
-// relay sends a datagram to another balancer, unless it has travelled too far.
+// relay sends a datagram to another balancer. It drops the datagram if that
+// balancer is not live or the hop limit is reached.
 func (c *Core) relay(to membership.ID, relay Relay, effects *Effects) {
 	member, live := c.view.Member(to)
 	if !live || relay.Hops >= HopLimit {
--- a/internal/balancer/deadlines.go
+++ b/internal/balancer/deadlines.go
@@ -7,23 +7,23 @@
 	"gaugeyard/internal/flow"
 )
 
-// deadline is when a request in flight is given up.
+// deadline identifies a request in flight whose time-out is queued.
 type deadline struct {
 	key       flow.Key
 	messageID uint16
 }
 
-// deadlineQueue is a timing wheel without a rim: one list of deadlines for each
-// tick. Lists are reused, so that a steady load allocates nothing.
+// deadlineQueue is a timing wheel of unlimited range, with one list of deadlines
+// for each tick. Lists are reused, so that a steady load allocates nothing.
 type deadlineQueue struct {
 	sync.Mutex
 	lists map[time.Duration][]deadline
 	free  [][]deadline
-	// next is the first tick whose list was not taken yet.
+	// next is the first tick whose list has not been popped.
 	next time.Duration
 }
 
-// add queues a deadline; it is due at the first tick not before at.
+// add queues a deadline, which is due at the first tick not before at.
 func (q *deadlineQueue) add(at time.Duration, key flow.Key, messageID uint16) {
 	q.Lock()
 	defer q.Unlock()
@@ -40,7 +40,8 @@
 	q.lists[tick] = append(list, deadline{key, messageID})
 }
 
-// take removes the lists of all ticks up to now and calls settle for each deadline.
+// popDue removes the lists of all ticks up to now and calls handle for each
+// deadline, without holding the lock.
 func (q *deadlineQueue) popDue(now time.Duration, handle func(deadline)) {
 	for {
 		list, found := q.pop(now)
@@ -71,7 +72,7 @@
 	return nil, false
 }
 
-// maxSpare bounds the lists kept for reuse.
+// maxFreeLists is the maximum number of lists held for reuse.
 const maxFreeLists = 64
 
 func (q *deadlineQueue) recycle(list []deadline) {
--- a/internal/balancer/leave.go
+++ b/internal/balancer/leave.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// leaveCopyLimit is how long a leaving node waits for its flows to be copied.
+	// leaveCopyTimeout is the maximum time to wait for flows to be copied.
 	leaveCopyTimeout = 60 * time.Second
-	// leaveSettle is how long a node stays after its announcement, so that every
-	// view and the fabric have changed.
+	// leaveMinStay is the minimum time that a node stays after its announcement, so
+	// that peers and the fabric stop using it.
 	leaveMinStay = 3 * time.Second
-	// leaveQuiet is how long the fabric must have sent nothing before the end.
+	// leaveQuietTime is how long the fabric must have sent no datagram.
 	leaveQuietTime = time.Second
-	// leaveLimit is how long a node stays after its announcement at most.
+	// leaveMaxStay is the time after the announcement from which a node no longer
+	// waits for the fabric to be quiet.
 	leaveMaxStay = 30 * time.Second
 )
 
-// leaveState is the progress of a planned stop.
+// leaveState is the progress of a graceful shutdown.
 type leaveState struct {
 	started     bool
 	startedAt   time.Duration
@@ -27,7 +28,7 @@
 	lastTraffic atomic.Int64
 }
 
-// traffic notes that the fabric still sends datagrams here.
+// recordTraffic records that the fabric sent a datagram to this node.
 func (l *leaveState) recordTraffic(now time.Duration) {
 	l.lastTraffic.Store(int64(now))
 }
@@ -40,7 +41,7 @@
 	c.leave.startedAt = now
 	c.copier.walks = 0
 	c.copier.interrupted = true
-	// Grants are sent once more, in case one was lost.
+	// Send all grants again, in case one was lost.
 	clear(c.copier.granted[:])
 	effects.add(Effect{Kind: StateChanged, Subject: "self", State: "leaving: copying flows to successors"})
 	if c.config.Mechanisms.NoPlannedLeave {
@@ -48,8 +49,8 @@
 	}
 }
 
-// advanceLeave takes a planned stop forward: first every flow gets to its
-// successor, then peers are told, then the last relayed datagrams pass.
+// advanceLeave advances a graceful shutdown: it waits until all flows are copied,
+// announces the departure to peers, and relays datagrams until the fabric is quiet.
 func (c *Core) advanceLeave(now time.Duration, effects *Effects) {
 	l := &c.leave
 	switch {
@@ -60,26 +61,28 @@
 		c.detector.Withdraw()
 		c.refreshView(now, effects)
 		c.sendHeartbeats(now, effects)
-		effects.add(Effect{Kind: StateChanged, Subject: "self", State: "leaving: announced, passing datagrams on"})
+		effects.add(Effect{Kind: StateChanged, Subject: "self", State: "leaving: announced, relaying datagrams"})
 	case l.announced && now-l.announcedAt >= leaveMinStay && c.fabricQuiet(now):
 		l.finished.Store(true)
 		effects.add(Effect{Kind: StateChanged, Subject: "self", State: "left"})
 	}
 }
 
-// copied tells whether every flow that this node holds is held by another, and
-// no earlier change is still being made good.
+// copyComplete reports whether another node holds every flow of this node and all
+// peers are settled after the last change of view.
 func (c *Core) copyComplete(now time.Duration) bool {
 	return len(c.view.Members) < 2 || c.copier.isSettled(minLeaveWalks) && c.peersSettled(now)
 }
 
-// quiet tells whether the fabric has stopped to send datagrams here.
+// fabricQuiet reports whether the fabric has stopped sending datagrams to this
+// node, or leaveMaxStay has passed.
 func (c *Core) fabricQuiet(now time.Duration) bool {
 	silent := now-time.Duration(c.leave.lastTraffic.Load()) >= leaveQuietTime
 	return silent || now-c.leave.announcedAt >= leaveMaxStay
 }
 
-// Finished tells whether a planned stop is over and the process may end.
+// Finished reports whether a graceful shutdown is complete and the process may
+// exit.
 func (c *Core) Finished() bool {
 	return c.leave.finished.Load()
 }
--- a/internal/balancer/propose.go
+++ b/internal/balancer/propose.go
@@ -7,9 +7,9 @@
 	"gaugeyard/internal/placement"
 )
 
-// propose places a flow that this owner cannot vouch for. The successor has the
-// last word: it returns the pin it holds, or records the proposal and sends the
-// datagram on itself. So no new flow takes effect on one node's word alone.
+// propose places a flow that is new or not verified. The successor decides: it
+// returns the record that it holds, or records the proposal and forwards the
+// datagram. No node places a flow alone while it has a successor.
 func (c *Core) propose(x *exchangeContext, f *flow.Flow) {
 	if c.pairUnsettled(x) {
 		c.drop(errkind.Undecided)
@@ -24,7 +24,7 @@
 		return
 	}
 	kind := c.prepareProposal(x, f)
-	// What this node knows of a flow from an answer alone may lack refusals.
+	// A flow learned from an answer alone may lack refusals.
 	complete := f.Complete && c.hasCompleteHistory(x)
 	if x.pair.Successor == 0 || c.config.Strategy != Replicated {
 		c.decideWithoutSuccessor(x, f, kind, complete)
@@ -50,23 +50,23 @@
 	c.relay(x.pair.Successor, relay, x.effects)
 }
 
-// undecided tells whether the pair is so new that its members may not agree on
-// it yet. A request that may not run twice then waits for its next copy.
+// pairUnsettled reports whether the pair is so new that its nodes may not agree on
+// it. Requests of a service that is not repeatable then wait for a retransmission.
 func (c *Core) pairUnsettled(x *exchangeContext) bool {
 	settled := c.continuity.Settled(membership.PartitionOf(x.hash), x.now)
 	return !settled && !x.service.Repeatable && !c.config.Mechanisms.NoContinuity && c.config.Strategy == Replicated
 }
 
-// powerless tells whether this node hears no majority, so that it must not
-// decide where a new flow goes: others may have placed it already, and a back
-// end may be leaving without this node's knowledge.
+// lacksQuorum reports whether this node reaches no majority and must not place new
+// flows: others may have placed them already, and a back end may be draining
+// without this node's knowledge.
 func (c *Core) lacksQuorum() bool {
 	return !c.quorum && !c.config.Mechanisms.NoQuorum && c.config.Strategy == Replicated
 }
 
-// standBack leaves the first copy of a request to the balancers that hear a
-// majority: the fabric may take the next copy to one of them. A copy that comes
-// back here all the same is answered at once.
+// deferToMajority drops the first copy of a request, because the fabric may deliver
+// a retransmission to a balancer with a quorum. A retransmission that arrives here
+// is answered with an unknown outcome.
 func (c *Core) deferToMajority(x *exchangeContext, f *flow.Flow) {
 	if f.FindExchange(x.packet.MessageID) != nil {
 		c.answer(x.packet, errkind.OutcomeUnknown, x.service.RefusalRetry, x.effects)
@@ -81,8 +81,8 @@
 	})
 }
 
-// proposal returns the refusal that an earlier copy of the request met, or
-// makes sure that the flow has a pin.
+// prepareProposal returns the earlier refusal of a retransmitted request, or pins
+// the flow. It returns the reason if no back end is available.
 func (c *Core) prepareProposal(x *exchangeContext, f *flow.Flow) errkind.Kind {
 	exchange := f.FindExchange(x.packet.MessageID)
 	switch {
@@ -94,10 +94,10 @@
 	return c.place(x, f)
 }
 
-// severalReplicas marks a refusal that was proposed to more than one successor.
+// multipleReplicas marks a refusal that was sent to more than one successor.
 const multipleReplicas = ^membership.ID(0)
 
-// noteAsked keeps in mind which successor may have told the caller of a refusal.
+// recordRefusalReplica records which successor may have sent the caller a refusal.
 func (c *Core) recordRefusalReplica(x *exchangeContext, f *flow.Flow) {
 	exchange := f.FindExchange(x.packet.MessageID)
 	if exchange.State != flow.Refused || exchange.Replica == x.pair.Successor {
@@ -110,7 +110,8 @@
 	exchange.Replica = multipleReplicas
 }
 
-// note records a request as refused, or as in flight through the successor.
+// recordProposed records a request as refused, or as in flight through the
+// successor.
 func (c *Core) recordProposed(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	if kind != errkind.None {
 		c.recordRefusal(x, f, kind)
@@ -119,7 +120,8 @@
 	c.recordInFlight(x, f, true)
 }
 
-// place picks the back end of a new flow and pins it, or says why none is free.
+// place selects the back end of a new flow and pins the flow to it, or returns the
+// reason why none is available.
 func (c *Core) place(x *exchangeContext, f *flow.Flow) errkind.Kind {
 	candidates, backends := c.candidates(x.now, x.service, x.effects)
 	index, result := placement.Choose(x.hash, candidates, x.service.LoadFactor)
@@ -141,8 +143,8 @@
 	return errkind.None
 }
 
-// covers tells whether this node has a record of every request that may still
-// be repeated in the flow's partition.
+// hasCompleteHistory reports whether this node has a record of every request in the
+// flow's partition that may still be retransmitted.
 func (c *Core) hasCompleteHistory(x *exchangeContext) bool {
 	if c.config.Mechanisms.NoContinuity {
 		return true
@@ -151,7 +153,7 @@
 	return c.continuity.Covers(partition, x.now, x.service.RequestLifetime) && (c.quorum || c.config.Mechanisms.NoQuorum)
 }
 
-// decideAlone settles a proposal where there is no successor to ask.
+// decideWithoutSuccessor settles a proposal when the flow has no successor.
 func (c *Core) decideWithoutSuccessor(x *exchangeContext, f *flow.Flow, kind errkind.Kind, complete bool) {
 	if !complete && !x.service.Repeatable && c.config.Strategy == Replicated {
 		c.markAmbiguous(x, f)
@@ -169,8 +171,8 @@
 	c.forwardPinned(x, f, false)
 }
 
-// markAmbiguous answers that nobody knows whether the request ran, and keeps
-// answering so while copies of older requests may arrive.
+// markAmbiguous answers that the outcome of the request is unknown. Later requests
+// get the same answer while retransmissions of older ones may arrive.
 func (c *Core) markAmbiguous(x *exchangeContext, f *flow.Flow) {
 	c.release(f)
 	f.Backend = 0
--- a/internal/balancer/refuse.go
+++ b/internal/balancer/refuse.go
@@ -7,13 +7,13 @@
 	"gaugeyard/internal/flow"
 )
 
-// refuse records that a request does not run and tells the caller through the
-// successor, so that the record outlives this node.
+// refuse records that a request does not run and answers the caller through the
+// successor, so that the refusal survives the failure of this node.
 func (c *Core) refuse(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	c.recordRefusal(x, f, kind)
 	f.FindExchange(x.packet.MessageID).Proposed = true
 	if f.Replica != x.pair.Successor {
-		// The copy that an earlier successor holds lacks this refusal.
+		// An earlier successor's copy lacks this refusal.
 		f.Replica = 0
 	}
 	c.sendRefusal(x, f, kind)
@@ -52,7 +52,7 @@
 	c.relay(x.pair.Successor, relay, x.effects)
 }
 
-// refusalsOf lists a flow's refusals for a peer.
+// refusalsOf returns a flow's unexpired refusals for a peer.
 func refusalsOf(f *flow.Flow, now time.Duration) []Refusal {
 	var refusals []Refusal
 	for _, exchange := range f.Refusals() {
@@ -64,7 +64,7 @@
 	return refusals
 }
 
-// mergeRefusals adds a peer's refusals to a flow.
+// mergeRefusals adds refusals received from a peer to a flow.
 func mergeRefusals(f *flow.Flow, refusals []Refusal, now time.Duration) {
 	for _, refusal := range refusals {
 		f.MergeRefusal(flow.Exchange{
--- a/internal/balancer/registry.go
+++ b/internal/balancer/registry.go
@@ -10,15 +10,15 @@
 	"gaugeyard/internal/settings"
 )
 
-// Health is what this node makes of a back end from its own observations.
+// Health is the state of a back end as this node observes it.
 type Health int32
 
 // The states of a back end.
 const (
 	// Active back ends take new flows.
 	Active Health = iota
-	// Quarantined back ends missed several deadlines in a row and take no new
-	// flow until a probation time has passed.
+	// Quarantined back ends missed several deadlines in a row. They take no new
+	// flows until they respond or quarantineTime has passed.
 	Quarantined
 )
 
@@ -28,44 +28,47 @@
 }
 
 const (
-	// quarantineAfter is how many deadlines in a row a back end may miss.
+	// quarantineAfter is the number of consecutive missed deadlines that
+	// quarantines a back end.
 	quarantineAfter = 3
-	// quarantineTime is how long a back end stays without new flows.
+	// quarantineTime is how long a quarantined back end takes no new flows.
 	quarantineTime = 5 * time.Second
-	// latencyShare is the weight of a new sample in the smoothed service time.
+	// latencySmoothing is the weight of a new sample in the smoothed service time.
 	latencySmoothing = 0.1
-	// reportBias is the largest cut of a back end's share for a load report,
-	// small because reports lag and lie.
+	// maxReportBias is the largest fraction by which a load report reduces a back
+	// end's share. It is small because reports may be stale or wrong.
 	maxReportBias = 0.1
-	// deadAfter is the silence after which a back end that missed twice the
-	// deadlines of a quarantine counts as dead.
+	// downAfter is the time without a response after which a back end that missed
+	// 2*quarantineAfter deadlines in a row is considered down.
 	downAfter = 5 * time.Second
-	// retryReserve is how many retransmissions are allowed before the budget counts.
+	// minRetries is the number of retransmissions allowed regardless of the budget.
 	minRetries = 10
 )
 
-// backend is what this node knows of one back end. Its counters are atomic.
+// backend is the state of a back end on this node. It is safe for concurrent use.
 type backend struct {
 	id              settings.BackendID
 	address         netip.AddrPort
 	inFlight        atomic.Int64
 	missedDeadlines atomic.Int32
 	health          atomic.Int32
-	// heard is when the last answer came.
+	// lastResponse is when the last datagram arrived from the back end.
 	lastResponse atomic.Int64
-	// until is when a quarantine ends.
+	// quarantinedUntil is when the quarantine ends.
 	quarantinedUntil atomic.Int64
-	// serviceTime is the smoothed time from forward to answer, in nanoseconds.
+	// serviceTime is the smoothed time from forwarding a request to its answer, in
+	// nanoseconds.
 	serviceTime atomic.Int64
-	// utilization is the last load report times 1000.
+	// utilization is the last reported utilization, times 1000.
 	utilization atomic.Int64
-	// requests and retries of the current window of the retry budget.
+	// requests and retries are counts in the retry budget's window, which
+	// decayRetries halves periodically.
 	requests, retries atomic.Int64
-	// flows counts own flows by service.
+	// flows counts this node's own flows, as *atomic.Int64 by service address.
 	flows sync.Map
 }
 
-// flowCount returns the counter of own flows of one service.
+// flowCount returns the counter of this node's own flows of a service.
 func (b *backend) flowCount(service netip.AddrPort) *atomic.Int64 {
 	if counter, known := b.flows.Load(service); known {
 		return counter.(*atomic.Int64)
@@ -74,20 +77,20 @@
 	return counter.(*atomic.Int64)
 }
 
-// alive records that a datagram came from the back end.
+// recordActivity records a datagram from the back end and ends any quarantine.
 func (b *backend) recordActivity(now time.Duration) {
 	b.lastResponse.Store(int64(now))
 	b.missedDeadlines.Store(0)
 	b.health.Store(int32(Active))
 }
 
-// dead tells whether the back end has been silent for so long, with requests
-// unanswered, that its flows may be placed anew.
+// down reports whether the back end has left so many requests unanswered, and not
+// responded for so long, that its flows may be placed anew.
 func (b *backend) down(now time.Duration) bool {
 	return b.missedDeadlines.Load() >= 2*quarantineAfter && now-time.Duration(b.lastResponse.Load()) > downAfter
 }
 
-// sample adds one time from forward to answer to the smoothed service time.
+// recordServiceTime adds a sample to the smoothed service time.
 func (b *backend) recordServiceTime(elapsed time.Duration) {
 	old := b.serviceTime.Load()
 	if old == 0 {
@@ -97,8 +100,8 @@
 	b.serviceTime.Store(old + int64(latencySmoothing*float64(int64(elapsed)-old)))
 }
 
-// missedDeadline records an unanswered request and tells whether the back end
-// has just been quarantined.
+// recordMissedDeadline records an unanswered request and reports whether it moved
+// the back end from active to quarantined.
 func (b *backend) recordMissedDeadline(now time.Duration) bool {
 	if b.missedDeadlines.Add(1) < quarantineAfter {
 		return false
@@ -111,7 +114,9 @@
 	return Health(b.health.Load()) == Quarantined && int64(now) < b.quarantinedUntil.Load()
 }
 
-// mayRetry spends one retransmission of the back end's retry budget.
+// takeRetry takes one retransmission from the back end's retry budget and reports
+// whether one was available. budget is the allowed ratio of retransmissions to
+// requests.
 func (b *backend) takeRetry(budget float64) bool {
 	allowed := minRetries + budget*float64(b.requests.Load())
 	if float64(b.retries.Load()) >= allowed {
@@ -121,8 +126,8 @@
 	return true
 }
 
-// registry holds every back end that settings, flows or answers have named,
-// also those that left the settings while flows still use them.
+// registry holds every back end that appeared in settings, flows or answers,
+// including those since removed from the settings.
 type registry struct {
 	sync.RWMutex
 	byID      map[settings.BackendID]*backend
@@ -136,7 +141,8 @@
 	return r.byID[id]
 }
 
-// at returns the back end at the address, adding it when it is new.
+// getOrAdd returns the back end at the address and adds it if it is new. It returns
+// nil if the address is not valid.
 func (r *registry) getOrAdd(address netip.AddrPort) *backend {
 	if !address.IsValid() {
 		return nil
@@ -168,7 +174,7 @@
 	}
 }
 
-// decayRetries halves the windows of all retry budgets.
+// decayRetries halves the counts of all retry budgets.
 func (r *registry) decayRetries() {
 	r.RLock()
 	defer r.RUnlock()
@@ -178,8 +184,8 @@
 	}
 }
 
-// candidates lists the service's back ends as placement sees them. The slices
-// belong to effects and are overwritten by the next call.
+// candidates returns the service's back ends for placement, in two slices of the
+// same order. The slices belong to effects and are overwritten by the next call.
 func (c *Core) candidates(now time.Duration, service *settings.Service, effects *Effects) ([]placement.Candidate, []*backend) {
 	effects.candidates = effects.candidates[:0]
 	effects.backends = effects.backends[:0]
@@ -203,7 +209,7 @@
 	return effects.candidates, effects.backends
 }
 
-// backendsOf lists the back ends that may serve a service.
+// backendsOf returns the back ends that may serve a service.
 func (c *Core) backendsOf(service *settings.Service) []*settings.Backend {
 	if !c.config.Mechanisms.NoServiceCheck {
 		return service.Backends
@@ -220,13 +226,13 @@
 		candidate.FlowLimit, candidate.InFlightLimit = 1<<30, 1<<30
 	}
 	if c.config.Mechanisms.NoOwnCounts {
-		// Trusts the report alone, as a balancer without own counts would.
+		// Use the load report instead of this node's own counts.
 		candidate.Flows = 0
 		candidate.InFlight = int(known.utilization.Load())
 	}
 }
 
-// shareOf is this node's part of a limit that all nodes share.
+// nodeShare returns one node's share of a limit that all nodes share, rounded up.
 func nodeShare(limit, nodes int) int {
 	return (limit + nodes - 1) / nodes
 }
@@ -235,10 +241,10 @@
 	return nodeShare(int(float64(configured.Slots)*configured.QueueFactor), nodes)
 }
 
-// minimumRamp is the share that a cold back end starts with.
+// minRamp is the fraction of its share with which a back end begins slow start.
 const minRamp = 0.1
 
-// ramp returns the part of its share that a back end fills now.
+// ramp returns the fraction of its share that a back end may fill now, in (0, 1].
 func (c *Core) ramp(now time.Duration, configured *settings.Backend, known *backend) float64 {
 	ramp := 1.0
 	if since, cold := c.rampStarts[configured.ID]; cold && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
--- a/internal/balancer/status.go
+++ b/internal/balancer/status.go
@@ -8,7 +8,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// BackendStatus is one back end as a balancer sees it.
+// BackendStatus is the status of a back end as a balancer sees it.
 type BackendStatus struct {
 	Path     settings.Path `json:"path"`
 	Address  string        `json:"address"`
@@ -19,7 +19,7 @@
 	Weight   float64       `json:"weight"`
 }
 
-// Status is what a balancer tells operators.
+// Status is the status that a balancer reports to operators.
 type Status struct {
 	Address  string   `json:"address"`
 	Zone     string   `json:"zone"`
@@ -27,8 +27,8 @@
 	Quorum   bool     `json:"quorum"`
 	Revision uint64   `json:"revision"`
 	Members  []string `json:"members"`
-	// Settled is set when everything this node holds is held twice, so that the
-	// next change endangers nothing.
+	// Settled is set if another node holds every record of this node, so that the
+	// next join or leave loses none.
 	Settled  bool            `json:"settled"`
 	Flows    int             `json:"flows"`
 	Owned    int64           `json:"owned"`
@@ -36,7 +36,7 @@
 	Backends []BackendStatus `json:"backends"`
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (c *Core) Status(now time.Duration) Status {
 	c.control.RLock()
 	defer c.control.RUnlock()
@@ -96,7 +96,7 @@
 	return Active.String()
 }
 
-// phase names where the node is between start and stop.
+// phase returns the node's lifecycle phase.
 func (c *Core) phase() string {
 	switch {
 	case c.leave.finished.Load():
@@ -111,7 +111,8 @@
 	return "listening"
 }
 
-// waiting says what a planned stop waits for.
+// waitingFor describes what a graceful shutdown is waiting for. It is empty if none
+// is in progress.
 func (c *Core) waitingFor(now time.Duration) string {
 	switch {
 	case !c.leave.started || c.leave.finished.Load():
@@ -131,22 +132,22 @@
 	return c.snapshot
 }
 
-// Ready tells whether the fabric should send datagrams to this node.
+// Ready reports whether the fabric should send datagrams to this node.
 func (c *Core) Ready() bool {
 	c.control.RLock()
 	defer c.control.RUnlock()
 	return c.detector.Joined()
 }
 
-// Counter is one named number of Counters.
+// Counter is a named counter of Counters.
 type Counter struct {
-	// Name is the name in the usual exposition format, with labels.
+	// Name is the metric name in the Prometheus exposition format, with labels.
 	Name string
-	// Load returns the present value.
+	// Load returns the current value.
 	Load func() uint64
 }
 
-// List names every counter.
+// List returns every counter with its metric name.
 func (n *Counters) List() []Counter {
 	list := []Counter{
 		{"gaugeyard_datagrams_total", n.Datagrams.Load},
@@ -172,17 +173,18 @@
 	return list
 }
 
-// Drop counts a datagram that a driver could not hand to the core.
+// Drop counts a datagram that a driver dropped before it reached the core.
 func (n *Counters) Drop(kind errkind.Kind) {
 	n.Dropped[kind].Add(1)
 }
 
-// FlowCount returns the number of flows in the table, copies included.
+// FlowCount returns the number of flows in the table, including replicas.
 func (c *Core) FlowCount() int {
 	return c.flows.Len()
 }
 
-// Lookup returns the back end that a flow is pinned to, for tests and experiments.
+// Lookup returns the back end that a flow is pinned to, 0 for none, and whether the
+// flow is known. It is for tests and experiments.
 func (c *Core) Lookup(key flow.Key) (settings.BackendID, bool) {
 	shard := c.flows.ShardOf(key.Hash())
 	shard.Lock()
--- a/internal/balancer/successor.go
+++ b/internal/balancer/successor.go
@@ -8,7 +8,7 @@
 	"gaugeyard/internal/membership"
 )
 
-// handleRelay handles a datagram that another balancer passed on.
+// handleRelay handles a datagram relayed by another balancer.
 func (c *Core) handleRelay(now time.Duration, from membership.ID, relay *Relay, effects *Effects) {
 	packet := relay.Packet
 	service := c.snapshot.ServiceAt(packet.Flow.Service)
@@ -33,8 +33,8 @@
 	c.route(now, packet, relay.Hops, effects)
 }
 
-// inherit keeps the pin that an earlier owner vouched for, where this owner has
-// none; the successor is still asked before it counts.
+// recordEarlierPin records the pin sent by an earlier owner if this owner has no
+// record of the flow. The flow stays unverified until the successor confirms it.
 func (c *Core) recordEarlierPin(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
@@ -49,7 +49,7 @@
 	mergeRefusals(f, relay.Refusals, x.now)
 }
 
-// succeed handles a datagram as the successor of the owner that sent it.
+// handleAsSuccessor handles a datagram as the successor of the owner that sent it.
 func (c *Core) handleAsSuccessor(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
@@ -77,7 +77,7 @@
 	}
 	c.release(f)
 	if target != nil {
-		// A datagram without a pin never clears one: it may have been overtaken.
+		// A datagram without a pin never clears one: it may have been reordered.
 		f.Backend = target.id
 	}
 	f.Verified = true
@@ -95,8 +95,8 @@
 	}
 }
 
-// agree tells whether the successor takes a proposal as it is. Otherwise it has
-// sent the owner what it holds.
+// acceptProposal reports whether the successor accepts a proposal unchanged.
+// Otherwise it has sent its record to the owner or dropped the datagram.
 func (c *Core) acceptProposal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
 	if f != nil && f.AmbiguousUntil > x.now {
 		c.relay(x.pair.Owner, Relay{Kind: RelayAmbiguous, Hops: x.hops, Packet: x.packet}, x.effects)
@@ -114,8 +114,8 @@
 	return false
 }
 
-// agreeUnknown is agree for a flow of which this node has no record that it can
-// vouch for. A pin from before it stopped to vouch is better than a new one.
+// acceptUnverified is acceptProposal for a flow without a verified record here. An
+// unverified pin takes precedence over a newly proposed one.
 func (c *Core) acceptUnverified(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
 	if c.pairUnsettled(x) {
 		c.drop(errkind.Undecided)
@@ -131,7 +131,7 @@
 	case f == nil || relay.HeadCovers && !complete:
 		return true
 	case complete && !listsAllRefusals(relay.Refusals, f):
-		// Nobody decided without this node, so what it refused stays refused.
+		// No node decided without this one, so its refusals remain valid.
 		c.returnRecord(x, f)
 		return false
 	case f.Backend == 0 || c.backendAddress(f) == relay.Backend || c.backendAddress(f) == relay.Replaces:
@@ -141,15 +141,16 @@
 	return false
 }
 
-// mayRefuse tells whether a proposed refusal is true: the request cannot have
-// reached a back end. This node sees only some requests of a pinned flow.
+// mayAcceptRefusal reports whether the request of a proposed refusal cannot have
+// reached a back end. This node sees only some requests of a pinned flow, so its
+// own record does not suffice.
 func (c *Core) mayAcceptRefusal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
 	known := f.FindExchange(x.packet.MessageID)
 	return f.Backend == 0 || relay.HeadCovers || known != nil && known.State == flow.Refused
 }
 
-// returnHeld sends a datagram back to the owner with what this node holds of
-// the flow. Should it be lost, the owner's next datagram asks again.
+// returnRecord sends a datagram back to the owner with this node's record of the
+// flow. If it is lost, the owner's next proposal triggers it again.
 func (c *Core) returnRecord(x *exchangeContext, f *flow.Flow) {
 	relay := Relay{
 		Kind:     RelayAdopt,
@@ -162,9 +163,9 @@
 	c.relay(x.pair.Owner, relay, x.effects)
 }
 
-// verify handles, as the successor, an answer whose flow the owner knows from
-// that answer alone. Where this node knows the flow, or knows that nobody can
-// know more, the owner gets the answer back with that knowledge.
+// verifyAnswer handles, as the successor, an answer to a flow that the owner has not
+// verified. If this node has a verified record or a complete history, it returns the
+// answer to the owner with its record. Otherwise it delivers the answer.
 func (c *Core) verifyAnswer(x *exchangeContext, f *flow.Flow, relay *Relay) {
 	if f == nil && !c.hasCompleteHistory(x) || f != nil && (f.AmbiguousUntil > x.now || !f.Verified) {
 		c.deliver(x.packet, x.effects)
@@ -182,7 +183,7 @@
 	c.returnRecord(x, f)
 }
 
-// noteAmbiguous remembers, as the successor, that nobody can say whether the
+// recordAmbiguous records, as the successor, that no node can tell whether the
 // flow's requests ran. The shard is locked.
 func (c *Core) recordAmbiguous(x *exchangeContext, f *flow.Flow) {
 	if f == nil {
@@ -192,7 +193,7 @@
 	f.AmbiguousUntil = x.now + x.service.RequestLifetime
 }
 
-// knowsAll tells whether the list names every refusal of the flow.
+// listsAllRefusals reports whether the list contains every refusal of the flow.
 func listsAllRefusals(list []Refusal, f *flow.Flow) bool {
 	for _, refusal := range f.Refusals() {
 		known := false
@@ -206,7 +207,8 @@
 	return true
 }
 
-// adopt takes over what the successor holds of a flow and goes on with the datagram.
+// adoptRecord adopts the successor's record of a flow and continues handling the
+// datagram.
 func (c *Core) adoptRecord(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
@@ -221,7 +223,8 @@
 	}
 	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil && exchange.Proposed {
 		if exchange.State == flow.Refused && exchange.Replica != x.pair.Successor {
-			// An earlier successor may have told the caller; this one cannot know.
+			// An earlier successor may have answered the caller without this one's
+			// knowledge.
 			exchange.State = flow.OutcomeUnknown
 		} else {
 			c.removeRequest(f, x.packet.MessageID)
--- a/internal/balancer/tick.go
+++ b/internal/balancer/tick.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// retryDecayInterval is the window of the retry budget.
+	// retryDecayInterval is the interval at which retry counts are halved.
 	retryDecayInterval = time.Second
-	// settingsRequestInterval bounds how often a peer is asked for settings.
+	// settingsRequestInterval is the minimum time between settings requests.
 	settingsRequestInterval = 500 * time.Millisecond
-	// viewStable is how long the view must stand before a node that joins or
-	// leaves as planned changes it again.
+	// viewStableTime is how long the view must be unchanged before a join or a
+	// graceful shutdown changes it again.
 	viewStableTime = 2 * time.Second
-	// quorumSettle is how long a majority must be heard before this node decides.
+	// quorumStableTime is how long a majority must be reachable before this node
+	// has a quorum.
 	quorumStableTime = 1 * time.Second
-	// joinPatience is how long a node waits to join while its peers still copy
-	// flows after an earlier change.
+	// maxJoinWait is how long a join is delayed at most while peers copy flows after
+	// an earlier change.
 	maxJoinWait = 30 * time.Second
-	// settledWalkShards is how many shards of the flow table one tick looks
-	// through while everything is held twice; a full walk takes ShardCount
-	// divided by it ticks.
+	// settledWalkShards is the number of flow table shards walked per tick while
+	// the copier is settled. A full walk takes ShardCount/settledWalkShards ticks.
 	settledWalkShards = 1
-	// unsettledWalkShards is the same while flows must be copied.
+	// unsettledWalkShards is the number while flows must be copied.
 	unsettledWalkShards = 4
-	// leavingWalkShards is the same while this node leaves.
+	// leavingWalkShards is the number during a graceful shutdown.
 	leavingWalkShards = 16
-	// copiedBeforeRest is how many walks a leaving node makes at least.
+	// minLeaveWalks is the minimum number of full walks of a leaving node.
 	minLeaveWalks = 2
 )
 
-// tick does what time alone causes.
+// tick runs the timers and the periodic work.
 func (c *Core) tick(now time.Duration, effects *Effects) {
 	c.control.Lock()
 	c.startListening(now)
@@ -59,7 +59,7 @@
 	c.settled.Store(c.copier.isSettled(1))
 }
 
-// startListening sets, at the first tick, when this node may join.
+// startListening sets the earliest join time at the first tick.
 func (c *Core) startListening(now time.Duration) {
 	if c.ticked {
 		return
@@ -69,13 +69,13 @@
 	c.lastHeartbeat = now - membership.HeartbeatInterval
 }
 
-// join puts this node into the view once it has listened for its peers and has
-// settings. Until then peers do not count it, and it passes datagrams on.
+// join adds this node to the view once it has listened for its peers and has
+// settings. Until then it only relays datagrams.
 func (c *Core) join(now time.Duration, effects *Effects) {
 	if c.detector.Joined() || c.leave.announced || now < c.joinAt || c.snapshot.Revision == 0 {
 		return
 	}
-	// At the first start of a fleet there is nothing to endanger.
+	// While the fleet bootstraps there are no flows to lose.
 	waitForPeers := now >= c.config.BootstrapUntil && now < c.joinAt+maxJoinWait
 	if waitForPeers && !c.peersSettled(now) {
 		return
@@ -85,8 +85,8 @@
 	c.sendHeartbeats(now, effects)
 }
 
-// walk looks through a part of the flow table: forgets what is over and
-// collects flows that the successor lacks.
+// walkFlows walks the next shards of the flow table. It removes expired flows and
+// requests, and queues flows that the pair's other node lacks.
 func (c *Core) walkFlows(now time.Duration, effects *Effects) {
 	shards := unsettledWalkShards
 	switch {
@@ -107,7 +107,7 @@
 	}
 }
 
-// visit looks at one flow and tells whether to keep it.
+// visitFlow handles one flow of a walk and reports whether to retain it.
 func (c *Core) visitFlow(now time.Duration, f *flow.Flow) bool {
 	f.Expire(now)
 	service := c.snapshot.ServiceAt(f.Key.Service)
@@ -124,8 +124,8 @@
 	return true
 }
 
-// vouches tells whether this node's record of a flow is right: a peer confirmed
-// it, or nobody can have decided without this node.
+// isAuthoritative reports whether this node's record of a flow is authoritative: a
+// peer confirmed it, or no node can have decided without this one.
 func (c *Core) isAuthoritative(now time.Duration, f *flow.Flow) bool {
 	partition := membership.PartitionOf(f.Hash)
 	return f.Verified || c.quorum && c.continuity.Covers(partition, now, c.longestLifetime())
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -1,10 +1,10 @@
-// Package balancer is the decision core of one balancer. Step takes one event
-// at a given time and appends the effects that follow from it. It has no clock,
-// no socket and no goroutine of its own, and its decisions depend on no map
-// order, so that the process and the simulator drive the same code.
+// Package balancer implements the decision core of a balancer. Step handles one
+// event at a given time and appends the resulting effects. The core has no clock,
+// socket or goroutine, and its decisions do not depend on map order, so that the
+// process and the simulator run the same code.
 //
-// Step is safe for use by many workers. Lock order: control, then one flow
-// shard, then registry, then deadlines; no lock is taken before one to its left.
+// Step is safe for concurrent use. Lock order: control, one flow shard, registry,
+// deadlines.
 package balancer
 
 import (
@@ -17,7 +17,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// PacketKind says what a datagram of a flow is.
+// PacketKind is the kind of a flow's datagram.
 type PacketKind uint8
 
 // The kinds of datagrams.
@@ -37,50 +37,52 @@
 	return [...]string{"request", "control", "answer", "acknowledge"}[k]
 }
 
-// Packet is one datagram of a flow. Decisions read its fields, never its bytes.
+// Packet is a decoded datagram of a flow. Decisions use its fields; of Data they
+// use only the length.
 type Packet struct {
 	Kind PacketKind
 	Flow flow.Key
-	// Backend is who sent an Answer or Acknowledge.
+	// Backend is the sender of an Answer or Acknowledge.
 	Backend   netip.AddrPort
 	MessageID uint16
 	Token     flow.Token
-	// Confirmable is set when the sender waits for an acknowledgement.
+	// Confirmable is set if the sender expects an acknowledgement.
 	Confirmable bool
-	// Continues is set on a later block of an upload that is under way.
+	// Continues is set on a later block of an upload in progress.
 	Continues bool
 	// Observe is set on a request that opens a feed and on its notifications.
 	Observe bool
-	// Data is the datagram with its PROXY header; opaque to the core.
+	// Data is the datagram with its PROXY header. It is opaque to the core.
 	Data []byte
 }
 
-// Event is what a driver hands to Step: one of the types below.
+// Event is an input of Step: one of the types below.
 type Event interface{ event() }
 
-// Datagram is a packet that the fabric delivered to this balancer.
+// Datagram is a packet delivered by the fabric.
 type Datagram struct{ Packet *Packet }
 
 // PeerMessage is a message from another balancer.
 type PeerMessage struct{ Message *Message }
 
-// SettingsRevision is a tree read from the store or handed in by an operator.
+// SettingsRevision is a settings tree read from the store or supplied by an
+// operator.
 type SettingsRevision struct{ Snapshot *settings.Snapshot }
 
-// MachineList is the platform's list of balancers, which lags.
+// MachineList is the platform's list of balancers, which may be stale.
 type MachineList struct{ Addresses []netip.AddrPort }
 
-// LoadReport is a back end's own statement of its load, which may lag or lie.
+// LoadReport is the load that a back end reports. It may be stale or wrong.
 type LoadReport struct {
 	Backend netip.AddrPort
-	// Utilization is requests running and waiting, divided by slots.
+	// Utilization is the number of running and queued requests divided by slots.
 	Utilization float64
 }
 
-// Tick lets time pass; a driver sends one every TickInterval.
+// Tick triggers timers. A driver sends one every TickInterval.
 type Tick struct{}
 
-// Leave starts a planned stop.
+// Leave starts a graceful shutdown.
 type Leave struct{}
 
 func (*Datagram) event()         {}
@@ -91,10 +93,10 @@
 func (*Tick) event()             {}
 func (*Leave) event()            {}
 
-// TickInterval is the time between two Tick events.
+// TickInterval is the interval of Tick events.
 const TickInterval = 100 * time.Millisecond
 
-// EffectKind says what a driver must do.
+// EffectKind is the kind of action that an effect requires.
 type EffectKind uint8
 
 // The kinds of effects.
@@ -103,15 +105,15 @@
 	ForwardToBackend EffectKind = iota
 	// DeliverToCaller sends Packet to the flow's caller.
 	DeliverToCaller
-	// AnswerCaller answers the request in Packet as the table row of Error says.
+	// AnswerCaller answers the request in Packet with the response for Error.
 	AnswerCaller
 	// SendPeer sends Message to the balancer at To.
 	SendPeer
-	// StateChanged reports a change of state for the log.
+	// StateChanged logs a state change.
 	StateChanged
 )
 
-// Effect is one thing that a driver must do.
+// Effect is an action for the driver to carry out.
 type Effect struct {
 	Kind       EffectKind
 	To         netip.AddrPort
@@ -123,31 +125,31 @@
 	State, Subject string
 }
 
-// Strategy selects how flows find their back ends.
+// Strategy selects how flows are assigned to back ends.
 type Strategy int
 
-// The strategies; all but Replicated are baselines to compare with.
+// The strategies. All but Replicated are baselines for comparison.
 const (
-	// Replicated gives each flow an owner and a successor; records travel with
-	// the flow's own datagrams.
+	// Replicated gives each flow an owner and a successor. The flow's own
+	// datagrams carry its record to the successor.
 	Replicated Strategy = iota
 	// OwnerOnly gives each flow an owner and no successor.
 	OwnerOnly
-	// Consistent places each datagram by rendezvous hashing, without state.
+	// Consistent routes each datagram by rendezvous hashing, without flow state.
 	Consistent
-	// Modulo places each datagram by hash modulo the number of back ends.
+	// Modulo routes each datagram by its hash modulo the number of back ends.
 	Modulo
 )
 
-// strategyNames are the names used on command lines.
+// strategyNames are the command-line names of the strategies.
 var strategyNames = [...]string{"replicated", "owner", "consistent", "modulo"}
 
-// String returns the strategy's name on command lines.
+// String returns the strategy's command-line name.
 func (s Strategy) String() string {
 	return strategyNames[s]
 }
 
-// ParseStrategy returns the strategy with the name.
+// ParseStrategy returns the strategy with the command-line name.
 func ParseStrategy(name string) (Strategy, error) {
 	for i, known := range strategyNames {
 		if known == name {
@@ -157,8 +159,8 @@
 	return 0, errkind.New(errkind.Malformed, "strategy %q: allowed are %v", name, strategyNames)
 }
 
-// Mechanisms are the parts of the design that an experiment can turn off. The
-// zero value has everything on.
+// Mechanisms disables parts of the design for experiments. The zero value enables
+// everything.
 type Mechanisms struct {
 	NoZoneAwareSuccessor bool
 	NoRefusalRecord      bool
@@ -180,31 +182,33 @@
 	NoAnswerMemory       bool
 }
 
-// Config is what a core is made with.
+// Config configures a Core.
 type Config struct {
 	Self membership.Member
 	// BootstrapUntil ends the time in which this node may assume that no balancer
-	// ran before, so that no request can have run that it does not know of. Zero
-	// means that others may have run.
+	// ran before it, so that no request ran without its knowledge. Zero means that
+	// others may have run.
 	BootstrapUntil time.Duration
 	Strategy       Strategy
 	Mechanisms     Mechanisms
-	// ControlBytesPerSecond bounds control messages to peers, headers included.
+	// ControlBytesPerSecond limits control messages to peers, in bytes with
+	// headers. 0 selects DefaultControlBytesPerSecond.
 	ControlBytesPerSecond int
 	// Measure returns the size of an encoded message in bytes.
 	Measure func(*Message) int
 }
 
-// DefaultControlBytesPerSecond keeps every window of one second below 4 KB.
+// DefaultControlBytesPerSecond is the default budget of control messages, below
+// 4 KB in any window of one second.
 const DefaultControlBytesPerSecond = 3800
 
-// DatagramOverhead is the IPv4 and UDP header of one datagram, in bytes.
+// DatagramOverhead is the size of the IPv4 and UDP headers, in bytes.
 const DatagramOverhead = 28
 
-// HopLimit is how often a datagram may pass from balancer to balancer.
+// HopLimit is the maximum number of relays of a datagram between balancers.
 const HopLimit = 4
 
-// Message is what balancers send each other. Exactly one pointer is set.
+// Message is a message between balancers. Exactly one pointer is set.
 type Message struct {
 	From            membership.ID
 	Relay           *Relay
@@ -216,91 +220,93 @@
 	Grant           *Grant
 }
 
-// RelayKind says what a relayed datagram asks of its receiver.
+// RelayKind is the action that a relayed datagram requests from its receiver.
 type RelayKind uint8
 
 // The kinds of relays.
 const (
-	// RelayToOwner asks the owner to handle the datagram.
+	// RelayToOwner requests that the owner handle the datagram.
 	RelayToOwner RelayKind = iota
-	// RelayPropose asks the successor to record a new flow's pin, or to return
-	// the one that it holds, and to forward the datagram.
+	// RelayPropose requests that the successor record a new flow's pin and forward
+	// the datagram, or return the record that it holds.
 	RelayPropose
-	// RelayCopy asks the successor to record a known pin and to forward the datagram.
+	// RelayCopy requests that the successor record a known pin and forward the
+	// datagram.
 	RelayCopy
-	// RelayRefuse asks the successor to record a refusal and to answer the caller.
+	// RelayRefuse requests that the successor record a refusal and answer the
+	// caller.
 	RelayRefuse
-	// RelayAdopt tells the owner the pin that the successor holds.
+	// RelayAdopt sends the owner the record that the successor holds.
 	RelayAdopt
-	// RelayTeach asks the successor to record the pin that an answer proved and
-	// to deliver the answer.
+	// RelayCopyAnswer requests that the successor record the flow's pin and deliver
+	// the answer.
 	RelayCopyAnswer
-	// RelayAmbiguous tells the owner that nobody knows whether the flow's
+	// RelayAmbiguous reports to the owner that no node can tell whether the flow's
 	// requests ran.
 	RelayAmbiguous
 )
 
-// Relay is a flow's datagram on its way between balancers, with the flow's
-// record riding along.
+// Relay is a flow's datagram sent between balancers, with the flow's record.
 type Relay struct {
 	Kind RelayKind
 	Hops uint8
-	// HeadCovers is set when the proposing owner has been one of the pair for
-	// the whole request lifetime, so that a flow it does not know is new.
+	// OwnerHistoryComplete is set if the proposing owner has a complete history of
+	// the partition and has seen every request of the flow.
 	HeadCovers bool
-	// Backend is the flow's pin; the zero value is none.
+	// Backend is the back end that the flow is pinned to, or the zero value.
 	Backend netip.AddrPort
-	// Replaces is the pin that a proposal gives up on purpose.
+	// Replaces is the earlier pin that a proposal replaces, or the zero value.
 	Replaces netip.AddrPort
 	Refusals []Refusal
 	Error    errkind.Kind
-	// Data is the datagram as received, and Packet what was decoded from it.
+	// Data is the datagram as received, and Packet its decoded form.
 	Data   []byte
 	Packet *Packet `msgpack:"-"`
 }
 
-// Refusal is one request that its caller was told did not run.
+// Refusal is a request whose caller was told that it did not run.
 type Refusal struct {
 	MessageID uint16
 	Kind      errkind.Kind
-	// LeftMilliseconds is how long the refusal must still be remembered.
+	// RemainingMilliseconds is how long the refusal must still be retained.
 	LeftMilliseconds uint32
 }
 
-// Heartbeat tells peers that the sender is alive, and which revision it has.
+// Heartbeat reports to peers that the sender is live, and its settings revision.
 type Heartbeat struct {
 	Revision uint64
-	// Absent is set while the sender listens before it joins, or leaves; Leaving
-	// once it has left for good.
+	// Absent is set while the sender is not in the view: before it joins and after
+	// it withdraws. Leaving is set once it has announced its shutdown.
 	Absent  bool
 	Leaving bool
-	// Settled is set when the sender's pairs hold everything twice, so that a
-	// join or leave endangers nothing.
+	// Settled is set if both nodes of each of the sender's pairs hold every record,
+	// so that a join or leave loses none.
 	Settled bool
-	// GoneOn tells the receiver that the sender decided without it, so that the
-	// receiver must stop to vouch for its records; Breaks counts how often the
-	// sender has done so.
+	// DecidedWithout reports that the sender made decisions without the receiver,
+	// which must then invalidate its records. Invalidations counts how often the
+	// sender has invalidated its own.
 	DecidedWithout bool
 	Invalidations  uint32
-	// Introduction is left out where the receiver knows the sender.
+	// Introduction is nil if the receiver knows the sender.
 	Introduction *Introduction
-	// Sequence numbers the heartbeats of one run of a process, because datagrams
-	// overtake each other.
+	// Sequence numbers the heartbeats of one process, because datagrams may be
+	// reordered.
 	Sequence uint64
 }
 
-// Introduction says who the sender of a heartbeat is.
+// Introduction identifies the sender of a heartbeat.
 type Introduction struct {
 	Address netip.AddrPort
 	Zone    string
 }
 
-// SettingsRequest asks a peer for the changes since a revision.
+// SettingsRequest requests the changes since revision Have from a peer.
 type SettingsRequest struct {
 	Have uint64
 }
 
-// SettingsPart is one of Count datagrams that lead from revision Base to Revision.
+// SettingsPart is one of Count datagrams with the changes from revision Base to
+// Revision.
 type SettingsPart struct {
 	Base     uint64
 	Revision uint64
@@ -309,24 +315,24 @@
 	Changes  []settings.Change
 }
 
-// Record is a group of flows of one service at one back end, on their way to
-// the other node of their pair. Grouping takes 8 bytes a flow in place of 26.
+// Record is a group of flows of one service pinned to one back end, sent to the
+// other node of their pair. Grouping reduces the encoded size per flow.
 type Record struct {
 	Service netip.AddrPort
-	// Backend is the zero value for flows whose requests were all refused.
+	// Backend is the zero value if all requests of the flows were refused.
 	Backend netip.AddrPort
 	Callers []netip.AddrPort
 	Refused []RefusedCaller
 }
 
-// RefusedCaller has the refusals of one flow of a record.
+// RefusedCaller holds the refusals of one flow of a Record.
 type RefusedCaller struct {
-	// Index is the flow's place in Callers.
+	// Index is the flow's index in Callers.
 	Index    int
 	Refusals []Refusal
 }
 
-// Copy carries flows that no datagram has taken to the successor yet.
+// Copy carries flows that no datagram has replicated yet.
 type Copy struct {
 	Sequence uint32
 	Records  []Record
@@ -337,8 +343,8 @@
 	Sequence uint32
 }
 
-// Grant tells the successor that it now holds every record of the partitions
-// whose bits are set.
+// Grant reports to the pair's other node that it now holds every record of the
+// partitions whose bits are set.
 type Grant struct {
 	Partitions []byte
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -8,16 +8,16 @@
 	"gaugeyard/internal/membership"
 )
 
-// othersSettled tells whether the view has stood for so long that every peer has
-// said since then whether it is settled, and all are.
+// peersSettled reports whether the view has been unchanged for viewStableTime, so
+// that peers have reported since, and all peers are settled.
 func (c *Core) peersSettled(now time.Duration) bool {
 	return now-c.viewChanged >= viewStableTime && c.detector.AllSettled(now)
 }
 
-// notePause notices that this node stood still for so long that its peers have
-// gone on without it. Nothing that it holds may be vouched for then, and it
-// joins anew. It runs before every event, because queued datagrams may be
-// handled before the first tick.
+// detectPause detects that this node was suspended for so long that its peers may
+// have decided without it. The node then invalidates its records and joins again.
+// It runs before every event, because queued datagrams may precede the first tick
+// after the pause.
 func (c *Core) detectPause(now time.Duration, effects *Effects) {
 	if now-time.Duration(c.lastTick.Load()) <= membership.DeadAfter || c.config.Mechanisms.NoContinuity {
 		return
@@ -37,8 +37,8 @@
 	c.refreshView(now, effects)
 }
 
-// stopVouching forgets since when this node holds every record, because others
-// may have decided without it.
+// invalidateRecords marks this node's history as incomplete and its flows as
+// unverified, because others may have decided without it.
 func (c *Core) invalidateRecords(now time.Duration) {
 	c.invalidations++
 	c.lastInvalidation = now
@@ -46,8 +46,8 @@
 	c.markUnverified()
 }
 
-// recopy forgets what a peer was known to hold, for one that no longer vouches
-// for it.
+// resetReplicas clears the replicas and grants of a peer that has invalidated its
+// records.
 func (c *Core) resetReplicas(peer membership.ID) {
 	c.copier.resetPeer(peer)
 	c.eachFlow(func(f *flow.Flow) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// distrust marks every flow as not vouched for.
+// markUnverified marks every flow as unverified and incomplete.
 func (c *Core) markUnverified() {
 	c.eachFlow(func(f *flow.Flow) {
 		f.Verified = false
@@ -65,7 +65,7 @@
 	})
 }
 
-// eachFlow calls visit for every flow, under the lock of its shard.
+// eachFlow calls visit for every flow, with the flow's shard locked.
 func (c *Core) eachFlow(visit func(f *flow.Flow)) {
 	for i := range c.flows.Shards {
 		shard := &c.flows.Shards[i]
@@ -78,8 +78,8 @@
 	}
 }
 
-// stableQuorum tells whether this node has heard a majority for so long that it
-// has heard all who can be heard, so that none of them is taken for gone.
+// stableQuorum reports whether a majority has been reachable for quorumStableTime,
+// so that this node has received from all reachable peers and takes none for down.
 func (c *Core) stableQuorum(now time.Duration) bool {
 	if !c.detector.Quorum(now) {
 		c.quorumSince = 0
@@ -91,14 +91,15 @@
 	return now-c.quorumSince >= quorumStableTime
 }
 
-// refreshView computes the live members and, when they changed, the new pairs.
+// refreshView recomputes the quorum and the live members and, if they changed, the
+// pairs.
 func (c *Core) refreshView(now time.Duration, effects *Effects) {
 	quorum := c.stableQuorum(now)
 	if quorum != c.quorum {
 		c.quorum = quorum
-		state := "hears a majority"
+		state := "quorum reached"
 		if !quorum {
-			state = "hears no majority"
+			state = "quorum lost"
 		}
 		effects.add(Effect{Kind: StateChanged, Subject: "membership", State: state})
 	}
@@ -127,7 +128,7 @@
 	c.eachFlow(c.updateOwnership)
 }
 
-// recountFlow brings a flow's ownership in line with a new view.
+// updateOwnership updates a flow's ownership for a new view.
 func (c *Core) updateOwnership(f *flow.Flow) {
 	pair := c.view.PairOf(f.Hash)
 	if pair.Owner != c.self {
@@ -135,7 +136,7 @@
 		f.Complete = false
 	}
 	if !pair.Has(c.self) {
-		// Others may change the flow from here on.
+		// Other nodes may change the flow from now on.
 		f.Verified = false
 	}
 	if pair.Owner == c.self && !f.Owner && f.Backend != 0 {
@@ -165,7 +166,7 @@
 	}
 }
 
-// senderOf returns who sent a heartbeat, unless that is not known yet.
+// senderOf returns the sender of a heartbeat, and false if it is unknown.
 func (c *Core) senderOf(from membership.ID, heartbeat *Heartbeat) (membership.Member, bool) {
 	if introduction := heartbeat.Introduction; introduction != nil {
 		return membership.Member{ID: from, Zone: introduction.Zone, Address: introduction.Address}, true
@@ -194,7 +195,7 @@
 	}
 	if heartbeat.DecidedWithout && !c.config.Mechanisms.NoContinuity && now-c.lastInvalidation > membership.HeartbeatInterval {
 		c.invalidateRecords(now)
-		effects.add(Effect{Kind: StateChanged, Subject: member.Address.String(), State: "went on without this node"})
+		effects.add(Effect{Kind: StateChanged, Subject: member.Address.String(), State: "decided without this node"})
 	}
 	c.refreshView(now, effects)
 	behind := heartbeat.Revision > c.snapshot.Revision && !c.config.Mechanisms.NoSettingsGossip
