--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -23,8 +23,7 @@
 	missing        int
 }
 
-// applySettings puts a revision into force unless it is older than or the same as
-// the current one.
+// applySettings puts a revision into force if it is newer than the current one.
 func (c *Core) applySettings(now time.Duration, next *settings.Snapshot, effects *Effects) {
 	if next.Revision <= c.snapshot.Revision && !c.config.Mechanisms.NoRevisionFence {
 		if next.Revision < c.snapshot.Revision {
@@ -37,10 +36,10 @@
 	if next.Revision == c.snapshot.Revision {
 		return
 	}
-	first := len(c.snapshot.Services) == 0
+	firstRevision := len(c.snapshot.Services) == 0
 	for _, service := range next.Services {
 		for _, backend := range service.Backends {
-			c.startRamp(now, backend, first)
+			c.startRamp(now, backend, firstRevision)
 		}
 	}
 	c.history = append(c.history, c.snapshot)
@@ -53,34 +52,34 @@
 
 // startRamp begins the slow start of a back end that is new or was draining. The
 // back ends of the first revision have none.
-func (c *Core) startRamp(now time.Duration, backend *settings.Backend, first bool) {
+func (c *Core) startRamp(now time.Duration, backend *settings.Backend, firstRevision bool) {
 	old := c.snapshot.Backends[backend.ID]
-	if first || backend.Draining || old != nil && !old.Draining {
+	if firstRevision || backend.Draining || old != nil && !old.Draining {
 		return
 	}
 	c.rampStarts[backend.ID] = now
 }
 
-// sendSettings sends a peer the changes since the revision that it has, in parts.
+// sendSettings sends a peer the changes since the given revision, in parts.
 // A peer that misses a part requests the changes again.
-func (c *Core) sendSettings(now time.Duration, to membership.ID, have uint64, effects *Effects) {
+func (c *Core) sendSettings(now time.Duration, to membership.ID, revision uint64, effects *Effects) {
 	// Peers outside the view are served too: they may be joining or resuming.
 	member, known := c.detector.Known(to)
-	if !known || have >= c.snapshot.Revision {
+	if !known || revision >= c.snapshot.Revision {
 		return
 	}
 	base := settings.Tree{"": settings.Values{}}
-	from := uint64(0)
+	baseRevision := uint64(0)
 	for _, earlier := range c.history {
-		if earlier.Revision == have {
-			base, from = earlier.Tree, have
+		if earlier.Revision == revision {
+			base, baseRevision = earlier.Tree, revision
 		}
 	}
 	changes := settings.Diff(base, c.snapshot.Tree)
 	count := max(1, (len(changes)+changesPerPart-1)/changesPerPart)
 	for index := range count {
 		part := &SettingsPart{
-			Base:     from,
+			Base:     baseRevision,
 			Revision: c.snapshot.Revision,
 			Index:    index,
 			Count:    count,
@@ -97,8 +96,8 @@
 	part *SettingsPart
 }
 
-// drainSettings sends queued parts within the byte budget and discards those of
-// outdated revisions.
+// drainSettings sends queued parts within the byte budget. It discards parts of old
+// revisions.
 func (c *Core) drainSettings(now time.Duration, effects *Effects) {
 	for len(c.settingsQueue) > 0 {
 		next := c.settingsQueue[0]
--- a/internal/balancer/copy.go
+++ b/internal/balancer/copy.go
@@ -14,8 +14,7 @@
 	copyBatchSize = 48
 	// copyAckTimeout is how long to wait for the acknowledgement of a Copy.
 	copyAckTimeout = 500 * time.Millisecond
-	// maxCopyQueue is the maximum number of flows queued for copying. A later walk
-	// finds the rest.
+	// maxCopyQueue bounds the flows queued for copying. A later walk finds the rest.
 	maxCopyQueue = 4096
 )
 
@@ -38,16 +37,15 @@
 	missing [membership.PartitionCount]bool
 	// granted is the partner that holds every record of a partition, 0 for none.
 	granted [membership.PartitionCount]membership.ID
-	// draining is set during a walk that began with a non-empty queue. Such a walk
-	// queues no flow, so that none is queued twice.
+	// draining is set during a walk that began with a non-empty queue. It queues no
+	// flow, so that none is queued twice.
 	draining bool
 	// interrupted is set if the view changed or a peer lost its records during the
 	// current walk.
 	interrupted bool
 	// walks counts uninterrupted walks since the last interruption.
 	walks int
-	// ungranted is set if the last walk left a partition that should have been
-	// granted but was not.
+	// ungranted is set if the last walk could not grant every partition that it should.
 	ungranted bool
 }
 
@@ -73,7 +71,7 @@
 	}
 }
 
-// resetPeer clears the grants to a peer.
+// resetPeer clears the grants to a peer and restarts the count of walks.
 func (p *copier) resetPeer(peer membership.ID) {
 	p.interrupted = true
 	p.walks = 0
@@ -98,10 +96,10 @@
 	to := p.queue[0].to
 	member, live := c.view.Member(to)
 	var records []Record
-	var sent, rest []copyTarget
+	var sent, remaining []copyTarget
 	for _, target := range p.queue {
 		if target.to != to || len(sent) >= copyBatchSize {
-			rest = append(rest, target)
+			remaining = append(remaining, target)
 			continue
 		}
 		if c.addRecord(now, target, &records) {
@@ -109,16 +107,16 @@
 		}
 	}
 	if !live || len(sent) == 0 {
-		p.queue = rest
+		p.queue = remaining
 		return
 	}
 	message := &Message{From: c.self, Copy: &Copy{Sequence: p.sequence + 1, Records: records}}
 	if !c.sendControl(now, member.Address, message, bulk, effects) {
-		p.queue = append(sent, rest...)
+		p.queue = append(sent, remaining...)
 		return
 	}
 	p.sequence++
-	p.queue = rest
+	p.queue = remaining
 	p.sent = sent
 	p.sentAt = now
 }
--- a/internal/balancer/core.go
+++ b/internal/balancer/core.go
@@ -47,8 +47,7 @@
 	// heartbeats counts the rounds of heartbeats sent.
 	heartbeats          uint64
 	lastSettingsRequest time.Duration
-	// viewChanged is when the view last changed.
-	viewChanged time.Duration
+	viewChanged         time.Duration
 	// invalidations counts how often this node has invalidated its records.
 	invalidations    uint32
 	lastInvalidation time.Duration
@@ -57,7 +56,6 @@
 	// ticked is set once the first tick has passed.
 	ticked bool
 
-	// Counters are exposed to operators and drivers.
 	Counters Counters
 }
 
@@ -176,7 +174,6 @@
 	c.relay(pair.Owner, Relay{Kind: RelayToOwner, Hops: hops, Packet: packet}, effects)
 }
 
-// handleAsOwner handles a datagram as the flow's owner.
 func (c *Core) handleAsOwner(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
 	context := exchangeContext{now: now, packet: packet, service: service, hash: hash, pair: pair, hops: hops, effects: effects}
 	shard := c.flows.ShardOf(hash)
@@ -189,7 +186,7 @@
 	c.handleCallerDatagram(&context, shard)
 }
 
-// exchangeContext is the context of handling one datagram.
+// exchangeContext holds what the steps of handling one datagram share.
 type exchangeContext struct {
 	now     time.Duration
 	packet  *Packet
@@ -228,15 +225,15 @@
 	if open == 0 {
 		return -1
 	}
-	chosen := int(hash % uint64(open))
+	remaining := int(hash % uint64(open))
 	for i := range candidates {
 		if candidates[i].Closed {
 			continue
 		}
-		if chosen == 0 {
+		if remaining == 0 {
 			return i
 		}
-		chosen--
+		remaining--
 	}
 	return -1
 }
@@ -265,8 +262,8 @@
 	c.Counters.Dropped[kind].Add(1)
 }
 
-// relay sends a datagram to another balancer. It drops the datagram if that
-// balancer is not live or the hop limit is reached.
+// relay sends a datagram to another balancer. It drops the datagram if the receiver
+// is not live or the hop limit is reached.
 func (c *Core) relay(to membership.ID, relay Relay, effects *Effects) {
 	member, live := c.view.Member(to)
 	if !live || relay.Hops >= HopLimit {
--- a/internal/balancer/deadlines.go
+++ b/internal/balancer/deadlines.go
@@ -7,7 +7,7 @@
 	"gaugeyard/internal/flow"
 )
 
-// deadline identifies a request in flight whose time-out is queued.
+// deadline identifies a request in flight with a pending timeout.
 type deadline struct {
 	key       flow.Key
 	messageID uint16
@@ -40,8 +40,7 @@
 	q.lists[tick] = append(list, deadline{key, messageID})
 }
 
-// popDue removes the lists of all ticks up to now and calls handle for each
-// deadline, without holding the lock.
+// popDue removes the deadlines due by now and calls handle for each, unlocked.
 func (q *deadlineQueue) popDue(now time.Duration, handle func(deadline)) {
 	for {
 		list, found := q.pop(now)
--- a/internal/balancer/leave.go
+++ b/internal/balancer/leave.go
@@ -77,8 +77,8 @@
 // fabricQuiet reports whether the fabric has stopped sending datagrams to this
 // node, or leaveMaxStay has passed.
 func (c *Core) fabricQuiet(now time.Duration) bool {
-	silent := now-time.Duration(c.leave.lastTraffic.Load()) >= leaveQuietTime
-	return silent || now-c.leave.announcedAt >= leaveMaxStay
+	quiet := now-time.Duration(c.leave.lastTraffic.Load()) >= leaveQuietTime
+	return quiet || now-c.leave.announcedAt >= leaveMaxStay
 }
 
 // Finished reports whether a graceful shutdown is complete and the process may
--- a/internal/balancer/propose.go
+++ b/internal/balancer/propose.go
@@ -110,8 +110,7 @@
 	exchange.Replica = multipleReplicas
 }
 
-// recordProposed records a request as refused, or as in flight through the
-// successor.
+// recordProposed records a request as refused or in flight through the successor.
 func (c *Core) recordProposed(x *exchangeContext, f *flow.Flow, kind errkind.Kind) {
 	if kind != errkind.None {
 		c.recordRefusal(x, f, kind)
@@ -120,8 +119,7 @@
 	c.recordInFlight(x, f, true)
 }
 
-// place selects the back end of a new flow and pins the flow to it, or returns the
-// reason why none is available.
+// place pins a new flow to a back end or returns why none is available.
 func (c *Core) place(x *exchangeContext, f *flow.Flow) errkind.Kind {
 	candidates, backends := c.candidates(x.now, x.service, x.effects)
 	index, result := placement.Choose(x.hash, candidates, x.service.LoadFactor)
--- a/internal/balancer/refuse.go
+++ b/internal/balancer/refuse.go
@@ -57,8 +57,8 @@
 	var refusals []Refusal
 	for _, exchange := range f.Refusals() {
 		if exchange.Until > now {
-			left := uint32((exchange.Until - now) / time.Millisecond)
-			refusals = append(refusals, Refusal{MessageID: exchange.MessageID, Kind: exchange.Kind, LeftMilliseconds: left})
+			remaining := uint32((exchange.Until - now) / time.Millisecond)
+			refusals = append(refusals, Refusal{MessageID: exchange.MessageID, Kind: exchange.Kind, LeftMilliseconds: remaining})
 		}
 	}
 	return refusals
--- a/internal/balancer/registry.go
+++ b/internal/balancer/registry.go
@@ -56,13 +56,11 @@
 	lastResponse atomic.Int64
 	// quarantinedUntil is when the quarantine ends.
 	quarantinedUntil atomic.Int64
-	// serviceTime is the smoothed time from forwarding a request to its answer, in
-	// nanoseconds.
+	// serviceTime is the smoothed time from forward to answer, in nanoseconds.
 	serviceTime atomic.Int64
 	// utilization is the last reported utilization, times 1000.
 	utilization atomic.Int64
-	// requests and retries are counts in the retry budget's window, which
-	// decayRetries halves periodically.
+	// requests and retries feed the retry budget; decayRetries halves them.
 	requests, retries atomic.Int64
 	// flows counts this node's own flows, as *atomic.Int64 by service address.
 	flows sync.Map
@@ -126,8 +124,8 @@
 	return true
 }
 
-// registry holds every back end that appeared in settings, flows or answers,
-// including those since removed from the settings.
+// registry holds every back end seen in settings, flows or answers, including those
+// removed from the settings.
 type registry struct {
 	sync.RWMutex
 	byID      map[settings.BackendID]*backend
@@ -169,8 +167,8 @@
 }
 
 func (r *registry) recordUtilization(address netip.AddrPort, utilization float64) {
-	if known := r.getOrAdd(address); known != nil {
-		known.utilization.Store(int64(utilization * 1000))
+	if target := r.getOrAdd(address); target != nil {
+		target.utilization.Store(int64(utilization * 1000))
 	}
 }
 
@@ -191,20 +189,20 @@
 	effects.backends = effects.backends[:0]
 	nodes := max(len(c.view.Members), 1)
 	for _, configured := range c.backendsOf(service) {
-		known := c.registry.getOrAdd(configured.Address)
+		target := c.registry.getOrAdd(configured.Address)
 		candidate := placement.Candidate{
 			ID:            configured.ID,
 			Weight:        configured.Weight,
-			Ramp:          c.ramp(now, configured, known),
-			Flows:         int(known.flowCount(service.Address).Load()),
-			InFlight:      int(known.inFlight.Load()),
+			Ramp:          c.ramp(now, configured, target),
+			Flows:         int(target.flowCount(service.Address).Load()),
+			InFlight:      int(target.inFlight.Load()),
 			FlowLimit:     nodeShare(configured.Connections, nodes),
 			InFlightLimit: inFlightLimit(configured, nodes),
-			Closed:        configured.Draining && !c.config.Mechanisms.NoDrain || known.quarantined(now),
+			Closed:        configured.Draining && !c.config.Mechanisms.NoDrain || target.quarantined(now),
 		}
-		c.adjustForExperiment(&candidate, known)
+		c.adjustForExperiment(&candidate, target)
 		effects.candidates = append(effects.candidates, candidate)
-		effects.backends = append(effects.backends, known)
+		effects.backends = append(effects.backends, target)
 	}
 	return effects.candidates, effects.backends
 }
@@ -221,14 +219,14 @@
 	return all
 }
 
-func (c *Core) adjustForExperiment(candidate *placement.Candidate, known *backend) {
+func (c *Core) adjustForExperiment(candidate *placement.Candidate, target *backend) {
 	if c.config.Mechanisms.NoAdmission {
 		candidate.FlowLimit, candidate.InFlightLimit = 1<<30, 1<<30
 	}
 	if c.config.Mechanisms.NoOwnCounts {
 		// Use the load report instead of this node's own counts.
 		candidate.Flows = 0
-		candidate.InFlight = int(known.utilization.Load())
+		candidate.InFlight = int(target.utilization.Load())
 	}
 }
 
@@ -245,11 +243,11 @@
 const minRamp = 0.1
 
 // ramp returns the fraction of its share that a back end may fill now, in (0, 1].
-func (c *Core) ramp(now time.Duration, configured *settings.Backend, known *backend) float64 {
+func (c *Core) ramp(now time.Duration, configured *settings.Backend, target *backend) float64 {
 	ramp := 1.0
 	if since, cold := c.rampStarts[configured.ID]; cold && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
 		ramp = min(1, max(minRamp, float64(now-since)/float64(configured.SlowStart)))
 	}
-	overload := float64(known.utilization.Load())/1000 - 1
+	overload := float64(target.utilization.Load())/1000 - 1
 	return ramp * (1 - maxReportBias*min(1, max(0, overload/configured.QueueFactor)))
 }
--- a/internal/balancer/status.go
+++ b/internal/balancer/status.go
@@ -69,28 +69,28 @@
 }
 
 func (c *Core) backendStatus(now time.Duration, configured *settings.Backend) BackendStatus {
-	known := c.registry.getOrAdd(configured.Address)
+	target := c.registry.getOrAdd(configured.Address)
 	row := BackendStatus{
 		Path:     configured.Path,
 		Address:  configured.Address.String(),
 		Zone:     configured.Zone,
-		State:    c.backendState(now, configured, known),
-		InFlight: known.inFlight.Load(),
+		State:    c.backendState(now, configured, target),
+		InFlight: target.inFlight.Load(),
 		Weight:   configured.Weight,
 	}
 	for _, service := range c.snapshot.Services {
-		row.Flows += known.flowCount(service.Address).Load()
+		row.Flows += target.flowCount(service.Address).Load()
 	}
 	return row
 }
 
-func (c *Core) backendState(now time.Duration, configured *settings.Backend, known *backend) string {
+func (c *Core) backendState(now time.Duration, configured *settings.Backend, target *backend) string {
 	switch {
 	case configured.Draining:
 		return "drain"
-	case known.quarantined(now):
+	case target.quarantined(now):
 		return Quarantined.String()
-	case c.ramp(now, configured, known) < 1:
+	case c.ramp(now, configured, target) < 1:
 		return "slow start"
 	}
 	return Active.String()
--- a/internal/balancer/successor.go
+++ b/internal/balancer/successor.go
@@ -49,7 +49,7 @@
 	mergeRefusals(f, relay.Refusals, x.now)
 }
 
-// handleAsSuccessor handles a datagram as the successor of the owner that sent it.
+// handleAsSuccessor handles a datagram sent by the flow's owner.
 func (c *Core) handleAsSuccessor(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
@@ -145,8 +145,8 @@
 // reached a back end. This node sees only some requests of a pinned flow, so its
 // own record does not suffice.
 func (c *Core) mayAcceptRefusal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
-	known := f.FindExchange(x.packet.MessageID)
-	return f.Backend == 0 || relay.HeadCovers || known != nil && known.State == flow.Refused
+	exchange := f.FindExchange(x.packet.MessageID)
+	return f.Backend == 0 || relay.HeadCovers || exchange != nil && exchange.State == flow.Refused
 }
 
 // returnRecord sends a datagram back to the owner with this node's record of the
@@ -196,19 +196,18 @@
 // listsAllRefusals reports whether the list contains every refusal of the flow.
 func listsAllRefusals(list []Refusal, f *flow.Flow) bool {
 	for _, refusal := range f.Refusals() {
-		known := false
+		listed := false
 		for _, entry := range list {
-			known = known || entry.MessageID == refusal.MessageID
+			listed = listed || entry.MessageID == refusal.MessageID
 		}
-		if !known {
+		if !listed {
 			return false
 		}
 	}
 	return true
 }
 
-// adoptRecord adopts the successor's record of a flow and continues handling the
-// datagram.
+// adoptRecord adopts the successor's record and continues handling the datagram.
 func (c *Core) adoptRecord(x *exchangeContext, relay *Relay) {
 	shard := c.flows.ShardOf(x.hash)
 	shard.Lock()
@@ -223,8 +222,7 @@
 	}
 	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil && exchange.Proposed {
 		if exchange.State == flow.Refused && exchange.Replica != x.pair.Successor {
-			// An earlier successor may have answered the caller without this one's
-			// knowledge.
+			// An earlier successor may have answered the caller.
 			exchange.State = flow.OutcomeUnknown
 		} else {
 			c.removeRequest(f, x.packet.MessageID)
--- a/internal/balancer/tick.go
+++ b/internal/balancer/tick.go
@@ -70,7 +70,7 @@
 }
 
 // join adds this node to the view once it has listened for its peers and has
-// settings. Until then it only relays datagrams.
+// settings. Until then peers do not count it, and it only relays datagrams.
 func (c *Core) join(now time.Duration, effects *Effects) {
 	if c.detector.Joined() || c.leave.announced || now < c.joinAt || c.snapshot.Revision == 0 {
 		return
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -65,8 +65,7 @@
 // PeerMessage is a message from another balancer.
 type PeerMessage struct{ Message *Message }
 
-// SettingsRevision is a settings tree read from the store or supplied by an
-// operator.
+// SettingsRevision is a settings tree from the store or an operator.
 type SettingsRevision struct{ Snapshot *settings.Snapshot }
 
 // MachineList is the platform's list of balancers, which may be stale.
@@ -141,7 +140,6 @@
 	Modulo
 )
 
-// strategyNames are the command-line names of the strategies.
 var strategyNames = [...]string{"replicated", "owner", "consistent", "modulo"}
 
 // String returns the strategy's command-line name.
@@ -198,8 +196,7 @@
 	Measure func(*Message) int
 }
 
-// DefaultControlBytesPerSecond is the default budget of control messages, below
-// 4 KB in any window of one second.
+// DefaultControlBytesPerSecond keeps control messages below 4 KB in any second.
 const DefaultControlBytesPerSecond = 3800
 
 // DatagramOverhead is the size of the IPv4 and UDP headers, in bytes.
@@ -230,19 +227,15 @@
 	// RelayPropose requests that the successor record a new flow's pin and forward
 	// the datagram, or return the record that it holds.
 	RelayPropose
-	// RelayCopy requests that the successor record a known pin and forward the
-	// datagram.
+	// RelayCopy requests that the successor record the pin and forward the datagram.
 	RelayCopy
-	// RelayRefuse requests that the successor record a refusal and answer the
-	// caller.
+	// RelayRefuse requests that the successor record a refusal and answer the caller.
 	RelayRefuse
 	// RelayAdopt sends the owner the record that the successor holds.
 	RelayAdopt
-	// RelayCopyAnswer requests that the successor record the flow's pin and deliver
-	// the answer.
+	// RelayCopyAnswer requests that the successor record the pin and deliver the answer.
 	RelayCopyAnswer
-	// RelayAmbiguous reports to the owner that no node can tell whether the flow's
-	// requests ran.
+	// RelayAmbiguous reports that no node can tell whether the flow's requests ran.
 	RelayAmbiguous
 )
 
@@ -289,8 +282,7 @@
 	Invalidations  uint32
 	// Introduction is nil if the receiver knows the sender.
 	Introduction *Introduction
-	// Sequence numbers the heartbeats of one process, because datagrams may be
-	// reordered.
+	// Sequence orders the heartbeats of one process.
 	Sequence uint64
 }
 
@@ -305,8 +297,7 @@
 	Have uint64
 }
 
-// SettingsPart is one of Count datagrams with the changes from revision Base to
-// Revision.
+// SettingsPart is one of Count parts of the changes from revision Base to Revision.
 type SettingsPart struct {
 	Base     uint64
 	Revision uint64
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -24,12 +24,12 @@
 	}
 	c.control.Lock()
 	defer c.control.Unlock()
-	last := time.Duration(c.lastTick.Load())
-	if !c.ticked || now-last <= membership.DeadAfter {
+	lastTick := time.Duration(c.lastTick.Load())
+	if !c.ticked || now-lastTick <= membership.DeadAfter {
 		return
 	}
 	c.lastTick.Store(int64(now))
-	c.detector.Resume(last, now)
+	c.detector.Resume(lastTick, now)
 	c.detector.Withdraw()
 	c.joinAt = now + membership.DeadAfter
 	c.invalidateRecords(now)
@@ -110,9 +110,9 @@
 	if slices.Equal(live, c.view.Members) {
 		return
 	}
-	for _, old := range c.view.Members {
-		if !slices.Contains(live, old) {
-			effects.add(Effect{Kind: StateChanged, Subject: old.Address.String(), State: "left the view"})
+	for _, former := range c.view.Members {
+		if !slices.Contains(live, former) {
+			effects.add(Effect{Kind: StateChanged, Subject: former.Address.String(), State: "left the view"})
 		}
 	}
 	for _, member := range live {
@@ -186,11 +186,11 @@
 		Settled:  heartbeat.Settled,
 		Breaks:   heartbeat.Invalidations,
 	}
-	fresh, broke := c.detector.Heard(now, member, report)
-	if !fresh {
+	newer, invalidated := c.detector.Heard(now, member, report)
+	if !newer {
 		return
 	}
-	if broke {
+	if invalidated {
 		c.resetReplicas(from)
 	}
 	if heartbeat.DecidedWithout && !c.config.Mechanisms.NoContinuity && now-c.lastInvalidation > membership.HeartbeatInterval {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -195,12 +195,12 @@
 // MergeRefusal adds a refusal received from a peer. It replaces a request of
 // unknown outcome, but no other state.
 func (f *Flow) MergeRefusal(refusal Exchange) {
-	known := f.FindExchange(refusal.MessageID)
+	existing := f.FindExchange(refusal.MessageID)
 	switch {
-	case known == nil:
+	case existing == nil:
 		f.Exchanges = append(f.Exchanges, refusal)
-	case known.State == OutcomeUnknown:
-		*known = refusal
+	case existing.State == OutcomeUnknown:
+		*existing = refusal
 	}
 }
 
@@ -218,8 +218,8 @@
 
 // WasForwarded reports whether this node has sent the request to a back end.
 func (f *Flow) WasForwarded(messageID uint16) bool {
-	known := f.FindExchange(messageID)
-	return known != nil && (known.State == InFlight || known.State == Answered)
+	exchange := f.FindExchange(messageID)
+	return exchange != nil && (exchange.State == InFlight || exchange.State == Answered)
 }
 
 // ProposedTo reports whether the flow is unverified and has only requests that
