--- a/internal/balancer/caller.go
+++ b/internal/balancer/caller.go
@@ -9,17 +9,18 @@
 	"gaugeyard/internal/settings"
 )
 
-// ownCaller handles a caller's datagram as the owner. The shard is locked.
-func (c *Core) ownCaller(x *exchangeContext, shard *flow.Shard) {
+// handleCallerDatagram handles a caller's datagram as the owner. The shard is
+// locked.
+func (c *Core) handleCallerDatagram(x *exchangeContext, shard *flow.Shard) {
 	f := shard.Flows[x.packet.Flow]
 	if x.packet.Kind == Control {
-		c.ownControl(x, f)
+		c.handleControl(x, f)
 		return
 	}
 	if f == nil {
-		f = c.insert(x, shard)
+		f = c.insertFlow(x, shard)
 	}
-	c.unpinWhereAllowed(x, f)
+	c.unpinIfSafe(x, f)
 	f.LastSeen = x.now
 	switch {
 	case f.AmbiguousUntil > x.now:
@@ -27,14 +28,14 @@
 	case !f.Verified || f.Backend == 0:
 		c.propose(x, f)
 	default:
-		c.ownRequest(x, f)
+		c.handleRequest(x, f)
 	}
 }
 
-// ownControl passes an acknowledgement or reset to the flow's back end. One
-// that belongs to no known flow opens nothing: the back end repeats what it
-// wants acknowledged, and that names the pin.
-func (c *Core) ownControl(x *exchangeContext, f *flow.Flow) {
+// handleControl forwards an acknowledgement or reset to the flow's back end. One
+// of an unknown flow is dropped: the back end retransmits the unacknowledged
+// message, which also identifies the flow's back end.
+func (c *Core) handleControl(x *exchangeContext, f *flow.Flow) {
 	if f == nil || f.Backend == 0 {
 		c.drop(errkind.NoOwner)
 		return
@@ -43,31 +44,31 @@
 	c.forwardPinned(x, f, false)
 }
 
-// unpinWhereAllowed releases a flow from its back end where its next request
-// may be placed anew without harm.
-func (c *Core) unpinWhereAllowed(x *exchangeContext, f *flow.Flow) {
+// unpinIfSafe releases a flow whose back end is down, or draining or removed while
+// the flow is idle, so that its next request is placed anew.
+func (c *Core) unpinIfSafe(x *exchangeContext, f *flow.Flow) {
 	if f.Backend == 0 || !f.Verified {
 		return
 	}
-	// Without a majority the back end may only be out of this node's reach.
-	dead := c.quorum && c.registry.get(f.Backend).dead(x.now)
-	if !dead && !c.rested(x, f) {
+	// Without a quorum the back end may be unreachable from this node alone.
+	down := c.quorum && c.registry.get(f.Backend).down(x.now)
+	if !down && !c.idleOnDraining(x, f) {
 		return
 	}
-	if dead && !x.service.Repeatable && x.now-f.LastSeen <= x.service.RequestLifetime {
-		// Copies of requests that ran at the dead back end may still arrive.
+	if down && !x.service.Repeatable && x.now-f.LastSeen <= x.service.RequestLifetime {
+		// Retransmissions of requests that ran at the old back end may still arrive.
 		f.AmbiguousUntil = x.now + x.service.RequestLifetime
 	}
 	c.release(f)
-	f.Replaced = f.Backend
+	f.PreviousBackend = f.Backend
 	f.Backend = 0
 	f.Replica = 0
 	f.Observing = false
 }
 
-// rested tells whether a flow has been at rest for so long, at a back end that
-// is leaving, that no copy of an earlier request can still arrive.
-func (c *Core) rested(x *exchangeContext, f *flow.Flow) bool {
+// idleOnDraining reports whether the flow's back end is draining or removed and
+// the flow has been idle for longer than retransmissions may arrive.
+func (c *Core) idleOnDraining(x *exchangeContext, f *flow.Flow) bool {
 	if f.Observing || x.now-f.LastSeen <= x.service.RequestLifetime {
 		return false
 	}
@@ -75,41 +76,41 @@
 	return configured == nil || configured.Draining
 }
 
-// ownRequest handles a request of a flow whose record this owner vouches for.
-func (c *Core) ownRequest(x *exchangeContext, f *flow.Flow) {
-	if exchange := f.Find(x.packet.MessageID); exchange != nil {
-		c.repeatRequest(x, f, exchange)
+// handleRequest handles a request of a verified flow as its owner.
+func (c *Core) handleRequest(x *exchangeContext, f *flow.Flow) {
+	if exchange := f.FindExchange(x.packet.MessageID); exchange != nil {
+		c.handleRetransmission(x, f, exchange)
 		return
 	}
-	if c.powerless() && !x.service.Repeatable && !x.packet.Continues {
-		// The side with the majority may refuse this request.
-		c.standBack(x, f)
+	if c.lacksQuorum() && !x.service.Repeatable && !x.packet.Continues {
+		// The balancers with a quorum may refuse this request.
+		c.deferToMajority(x, f)
 		return
 	}
 	if kind := c.admit(x, f); kind != errkind.None {
 		c.refuse(x, f, kind)
 		return
 	}
-	detour := c.needsReplica(x, f)
-	c.begin(x, f, detour)
-	c.forwardPinned(x, f, detour)
+	viaSuccessor := c.needsReplica(x, f)
+	c.recordInFlight(x, f, viaSuccessor)
+	c.forwardPinned(x, f, viaSuccessor)
 }
 
-// repeatRequest handles another copy of a request.
-func (c *Core) repeatRequest(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
+// handleRetransmission handles a retransmission of a known request.
+func (c *Core) handleRetransmission(x *exchangeContext, f *flow.Flow, exchange *flow.Exchange) {
 	switch exchange.State {
 	case flow.Refused:
 		if exchange.Proposed && !f.Complete {
-			// The successor has not agreed, and may know better by now.
+			// The successor has not confirmed the refusal and may hold a newer record.
 			c.propose(x, f)
 			return
 		}
 		c.sendRefusal(x, f, exchange.Kind)
-	case flow.GivenUp:
+	case flow.OutcomeUnknown:
 		c.answer(x.packet, errkind.OutcomeUnknown, x.service.RefusalRetry, x.effects)
 	case flow.InFlight, flow.Answered:
 		target := c.registry.get(f.Backend)
-		if target == nil || !c.config.Mechanisms.NoRetryBudget && !target.mayRetry(x.service.RetryBudget) {
+		if target == nil || !c.config.Mechanisms.NoRetryBudget && !target.takeRetry(x.service.RetryBudget) {
 			c.drop(errkind.RetryBudgetSpent)
 			return
 		}
@@ -132,25 +133,26 @@
 	switch {
 	case int(target.inFlight.Load()) >= inFlightLimit(configured, nodes):
 		kind = errkind.SlotsFull
-	case !c.config.Mechanisms.NoDeadlineAdmission && c.tooLate(x.service, target):
+	case !c.config.Mechanisms.NoDeadlineAdmission && c.wouldMissDeadline(x.service, target):
 		kind = errkind.DeadlineTooShort
 	}
 	if kind == errkind.None || f.Complete {
 		return kind
 	}
-	// This node may not have seen every request of the flow, so it cannot say
-	// that this one did not run. The back end drops copies; let it decide.
+	// This node may not have seen every request of the flow, so it cannot claim
+	// that this one did not run. The back end detects duplicates.
 	return errkind.None
 }
 
-// tooLate tells whether a request sent now would be answered after its
-// deadline, from the smoothed time that the back end takes at present.
-func (c *Core) tooLate(service *settings.Service, target *backend) bool {
+// wouldMissDeadline reports whether a request sent now would probably be answered
+// after its deadline, judging by the back end's smoothed service time.
+func (c *Core) wouldMissDeadline(service *settings.Service, target *backend) bool {
 	return target.inFlight.Load() > 0 && time.Duration(target.serviceTime.Load()) > service.RequestDeadline
 }
 
-// begin records a request in flight.
-func (c *Core) begin(x *exchangeContext, f *flow.Flow, replicated bool) {
+// recordInFlight records a request in flight, sent through the successor if
+// viaSuccessor is set, and schedules its deadline.
+func (c *Core) recordInFlight(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	until := x.now + x.service.RequestDeadline
 	exchange := flow.Exchange{
 		MessageID:   x.packet.MessageID,
@@ -161,7 +163,7 @@
 		Started:     x.now,
 		Until:       until,
 	}
-	if replicated {
+	if viaSuccessor {
 		exchange.Replica = x.pair.Successor
 	}
 	f.Exchanges = append(f.Exchanges, exchange)
@@ -171,7 +173,8 @@
 	c.deadlines.add(until, f.Key, x.packet.MessageID)
 }
 
-// needsReplica tells whether the successor lacks the flow's record.
+// needsReplica reports whether the successor lacks a recent copy of the flow's
+// record.
 func (c *Core) needsReplica(x *exchangeContext, f *flow.Flow) bool {
 	if c.config.Strategy != Replicated || x.pair.Successor == 0 {
 		return false
@@ -179,15 +182,15 @@
 	return f.Replica != x.pair.Successor || x.now-f.ReplicatedAt > x.service.FlowIdle/2
 }
 
-// forwardPinned sends a datagram to the flow's back end, through the successor
-// when that must record the flow.
-func (c *Core) forwardPinned(x *exchangeContext, f *flow.Flow, detour bool) {
+// forwardPinned sends a datagram to the flow's back end, through the successor if
+// viaSuccessor is set, so that the successor records the flow.
+func (c *Core) forwardPinned(x *exchangeContext, f *flow.Flow, viaSuccessor bool) {
 	target := c.registry.get(f.Backend)
 	if target == nil {
 		c.drop(errkind.NoBackend)
 		return
 	}
-	if detour && x.pair.Successor != 0 {
+	if viaSuccessor && x.pair.Successor != 0 {
 		relay := Relay{Kind: RelayCopy, Hops: x.hops, Backend: target.address, Packet: x.packet}
 		relay.Refusals = refusalsOf(f, x.now)
 		c.relay(x.pair.Successor, relay, x.effects)
@@ -196,16 +199,16 @@
 	c.forward(x.packet, target, x.effects)
 }
 
-// insert adds an empty flow. Where this owner has a record of every request
-// that may be repeated, the flow is new, and all its requests pass here.
-func (c *Core) insert(x *exchangeContext, shard *flow.Shard) *flow.Flow {
+// insertFlow adds an empty flow. The flow is complete if this owner has a complete
+// history, because then no earlier request of it can exist.
+func (c *Core) insertFlow(x *exchangeContext, shard *flow.Shard) *flow.Flow {
 	f := &flow.Flow{Key: x.packet.Flow, Hash: x.hash, LastSeen: x.now}
-	f.Complete = c.covers(x)
+	f.Complete = c.hasCompleteHistory(x)
 	shard.Add(f)
 	return f
 }
 
-// pin sets the flow's back end and counts the flow.
+// pin sets the flow's back end, marks this node as owner and counts the flow.
 func (c *Core) pin(f *flow.Flow, target *backend) {
 	if f.Backend == target.id && f.Owner {
 		return
@@ -220,7 +223,7 @@
 	target.flowCount(f.Key.Service).Add(1)
 }
 
-// release takes the flow and its requests in flight out of this node's counts.
+// release removes an owned flow and its requests in flight from this node's counts.
 func (c *Core) release(f *flow.Flow) {
 	if !f.Owner {
 		return
@@ -232,11 +235,11 @@
 	}
 	target.flowCount(f.Key.Service).Add(-1)
 	target.inFlight.Add(-int64(f.InFlightCount()))
-	f.HandOver(f.LastSeen + c.longestLifetime())
+	f.SettleInFlight(f.LastSeen + c.longestLifetime())
 }
 
-// addressOf returns the address of a flow's back end, or the zero value.
-func (c *Core) addressOf(f *flow.Flow) netip.AddrPort {
+// backendAddress returns the address of the flow's back end, or the zero value.
+func (c *Core) backendAddress(f *flow.Flow) netip.AddrPort {
 	if target := c.registry.get(f.Backend); target != nil {
 		return target.address
 	}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// historyLength is how many earlier revisions a node keeps to send changes from.
-	historyLength = 16
-	// partChanges is how many changes one datagram of settings carries.
-	partChanges = 12
+	// maxHistory is the number of earlier revisions held to compute changes from.
+	maxHistory = 16
+	// changesPerPart is the number of changes in one settings datagram.
+	changesPerPart = 12
 )
 
-// assembly collects the parts of a revision on its way from a peer.
+// assembly collects the parts of a revision received from a peer.
 type assembly struct {
 	base, revision uint64
 	parts          [][]settings.Change
 	missing        int
 }
 
-// applySettings puts a revision into force unless one at least as high is.
+// applySettings puts a revision into force if it is newer than the current one.
 func (c *Core) applySettings(now time.Duration, next *settings.Snapshot, effects *Effects) {
 	if next.Revision <= c.snapshot.Revision && !c.config.Mechanisms.NoRevisionFence {
 		if next.Revision < c.snapshot.Revision {
@@ -36,66 +36,68 @@
 	if next.Revision == c.snapshot.Revision {
 		return
 	}
-	first := len(c.snapshot.Services) == 0
+	firstRevision := len(c.snapshot.Services) == 0
 	for _, service := range next.Services {
 		for _, backend := range service.Backends {
-			c.noteBackend(now, backend, first)
+			c.startRamp(now, backend, firstRevision)
 		}
 	}
 	c.history = append(c.history, c.snapshot)
-	if len(c.history) > historyLength {
+	if len(c.history) > maxHistory {
 		c.history = slices.Delete(c.history, 0, 1)
 	}
 	c.snapshot = next
 	effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "revision in force"})
 }
 
-// noteBackend starts the slow start of a back end that is new or was draining.
-func (c *Core) noteBackend(now time.Duration, backend *settings.Backend, first bool) {
+// startRamp begins the slow start of a back end that is new or was draining. The
+// back ends of the first revision have none.
+func (c *Core) startRamp(now time.Duration, backend *settings.Backend, firstRevision bool) {
 	old := c.snapshot.Backends[backend.ID]
-	if first || backend.Draining || old != nil && !old.Draining {
+	if firstRevision || backend.Draining || old != nil && !old.Draining {
 		return
 	}
-	c.ramps[backend.ID] = now
+	c.rampStarts[backend.ID] = now
 }
 
-// sendSettings sends a peer the changes since the revision it has, in parts.
-// A peer that misses a part asks again.
-func (c *Core) sendSettings(now time.Duration, to membership.ID, have uint64, effects *Effects) {
-	// A node that has not joined yet, or resumes after a pause, asks too.
+// sendSettings sends a peer the changes since the given revision, in parts.
+// A peer that misses a part requests the changes again.
+func (c *Core) sendSettings(now time.Duration, to membership.ID, revision uint64, effects *Effects) {
+	// Peers outside the view are served too: they may be joining or resuming.
 	member, known := c.detector.Known(to)
-	if !known || have >= c.snapshot.Revision {
+	if !known || revision >= c.snapshot.Revision {
 		return
 	}
 	base := settings.Tree{"": settings.Values{}}
-	from := uint64(0)
+	baseRevision := uint64(0)
 	for _, earlier := range c.history {
-		if earlier.Revision == have {
-			base, from = earlier.Tree, have
+		if earlier.Revision == revision {
+			base, baseRevision = earlier.Tree, revision
 		}
 	}
 	changes := settings.Diff(base, c.snapshot.Tree)
-	count := max(1, (len(changes)+partChanges-1)/partChanges)
+	count := max(1, (len(changes)+changesPerPart-1)/changesPerPart)
 	for index := range count {
 		part := &SettingsPart{
-			Base:     from,
+			Base:     baseRevision,
 			Revision: c.snapshot.Revision,
 			Index:    index,
 			Count:    count,
-			Changes:  changes[index*partChanges : min(len(changes), (index+1)*partChanges)],
+			Changes:  changes[index*changesPerPart : min(len(changes), (index+1)*changesPerPart)],
 		}
 		c.settingsQueue = append(c.settingsQueue, queuedPart{member.Address, part})
 	}
 	c.drainSettings(now, effects)
 }
 
-// queuedPart is one part of a revision that waits for the byte budget.
+// queuedPart is a settings part that waits for the byte budget.
 type queuedPart struct {
 	to   netip.AddrPort
 	part *SettingsPart
 }
 
-// drainSettings sends queued parts as far as the byte budget allows.
+// drainSettings sends queued parts within the byte budget. It discards parts of old
+// revisions.
 func (c *Core) drainSettings(now time.Duration, effects *Effects) {
 	for len(c.settingsQueue) > 0 {
 		next := c.settingsQueue[0]
@@ -108,7 +110,7 @@
 	}
 }
 
-// receiveSettings takes one part and applies the revision once it is whole.
+// receiveSettings stores one part and applies the revision once all have arrived.
 func (c *Core) receiveSettings(now time.Duration, part *SettingsPart, effects *Effects) {
 	if part.Revision <= c.snapshot.Revision || part.Count < 1 || part.Index < 0 || part.Index >= part.Count || part.Count > maxParts {
 		return
@@ -121,25 +123,25 @@
 		a.parts[part.Index] = slices.Clip(append([]settings.Change{}, part.Changes...))
 		a.missing--
 	}
-	// A part arrived: what is still under way need not be asked for again.
-	c.lastRequest = now
+	// The other parts may be in transit, so delay the next request.
+	c.lastSettingsRequest = now
 	if a.missing > 0 {
 		return
 	}
-	tree, faults := c.assembled()
+	tree, errs := c.assembledTree()
 	c.assembly = assembly{}
-	if len(faults) > 0 {
-		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "refused a revision from a peer: " + faults[0].Error()})
+	if len(errs) > 0 {
+		effects.add(Effect{Kind: StateChanged, Subject: "settings", State: "rejected a revision from a peer: " + errs[0].Error()})
 		return
 	}
 	c.applySettings(now, settings.Resolve(tree, part.Revision), effects)
 }
 
-// maxParts bounds the parts of one revision.
+// maxParts is the maximum number of parts of a revision.
 const maxParts = 4096
 
-// assembled applies the collected changes to their base.
-func (c *Core) assembled() (settings.Tree, []error) {
+// assembledTree applies the collected changes to their base revision.
+func (c *Core) assembledTree() (settings.Tree, []error) {
 	tree := settings.Tree{"": settings.Values{}}
 	if c.assembly.base != 0 {
 		tree = c.snapshot.Tree
--- a/internal/balancer/copy.go
+++ b/internal/balancer/copy.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// copyBatch is how many flows one Copy carries.
-	copyBatch = 48
-	// copyWait is how long an acknowledgement is waited for.
-	copyWait = 500 * time.Millisecond
-	// copyQueue bounds the flows remembered for copying; a walk finds the rest again.
-	copyQueue = 4096
+	// copyBatchSize is the maximum number of flows in one Copy.
+	copyBatchSize = 48
+	// copyAckTimeout is how long to wait for the acknowledgement of a Copy.
+	copyAckTimeout = 500 * time.Millisecond
+	// maxCopyQueue bounds the flows queued for copying. A later walk finds the rest.
+	maxCopyQueue = 4096
 )
 
-// copyTarget is one flow and the node that lacks it.
+// copyTarget is a flow and the node that lacks its record.
 type copyTarget struct {
 	key  flow.Key
 	hash uint64
 	to   membership.ID
 }
 
-// copier takes flows to the other node of their pair that no datagram has taken
-// there: the flows at rest. It sends one batch at a time and waits for its
-// acknowledgement.
+// copier replicates idle flows, which no datagram replicates, to the other node of
+// their pair. It sends one batch at a time and waits for its acknowledgement.
 type copier struct {
 	cursor   int
 	queue    []copyTarget
 	sent     []copyTarget
 	sequence uint32
 	sentAt   time.Duration
-	// missing marks partitions in which the present walk found a flow to copy.
+	// missing marks partitions in which the current walk found a flow to copy.
 	missing [membership.PartitionCount]bool
-	// granted names the partner that holds everything of a partition.
+	// granted is the partner that holds every record of a partition, 0 for none.
 	granted [membership.PartitionCount]membership.ID
-	// draining is set while a walk began with flows still queued; it queues none,
-	// so that no flow is queued twice.
+	// draining is set during a walk that began with a non-empty queue. It queues no
+	// flow, so that none is queued twice.
 	draining bool
-	// interrupted is set when the view changed during the present walk.
+	// interrupted is set if the view changed or a peer lost its records during the
+	// current walk.
 	interrupted bool
-	// walks counts uninterrupted walks since the last change of view.
+	// walks counts uninterrupted walks since the last interruption.
 	walks int
-	// ungranted is set when the last walk left a partition that could not be granted.
+	// ungranted is set if the last walk could not grant every partition that it should.
 	ungranted bool
 }
 
-// want notes that a node lacks the flow.
-func (p *copier) want(to membership.ID, f *flow.Flow) {
+// enqueue records that a node lacks the flow and queues the flow if there is room.
+func (p *copier) enqueue(to membership.ID, f *flow.Flow) {
 	p.missing[membership.PartitionOf(f.Hash)] = true
-	if !p.draining && len(p.queue) < copyQueue {
+	if !p.draining && len(p.queue) < maxCopyQueue {
 		p.queue = append(p.queue, copyTarget{f.Key, f.Hash, to})
 	}
 }
 
-// viewChanged forgets what was planned and granted for pairs that changed.
+// viewChanged clears the queue and the grants of pairs that changed.
 func (p *copier) viewChanged(previous, next *membership.View) {
 	p.queue = p.queue[:0]
 	p.draining = false
@@ -71,8 +71,8 @@
 	}
 }
 
-// forget drops what was granted to a peer.
-func (p *copier) forget(peer membership.ID) {
+// resetPeer clears the grants to a peer and restarts the count of walks.
+func (p *copier) resetPeer(peer membership.ID) {
 	p.interrupted = true
 	p.walks = 0
 	for partition := range p.granted {
@@ -82,13 +82,13 @@
 	}
 }
 
-// sendCopy sends the next batch when the last one is settled.
+// sendCopy sends the next batch once the last one is acknowledged or timed out.
 func (c *Core) sendCopy(now time.Duration, effects *Effects) {
 	p := &c.copier
-	if len(p.sent) > 0 && now-p.sentAt < copyWait || c.config.Mechanisms.NoBackgroundCopy {
+	if len(p.sent) > 0 && now-p.sentAt < copyAckTimeout || c.config.Mechanisms.NoBackgroundCopy {
 		return
 	}
-	// What was not acknowledged is found again by the next walk.
+	// The next walk finds unacknowledged flows again.
 	p.sent = nil
 	if len(p.queue) == 0 {
 		return
@@ -96,10 +96,10 @@
 	to := p.queue[0].to
 	member, live := c.view.Member(to)
 	var records []Record
-	var sent, rest []copyTarget
+	var sent, remaining []copyTarget
 	for _, target := range p.queue {
-		if target.to != to || len(sent) >= copyBatch {
-			rest = append(rest, target)
+		if target.to != to || len(sent) >= copyBatchSize {
+			remaining = append(remaining, target)
 			continue
 		}
 		if c.addRecord(now, target, &records) {
@@ -107,21 +107,22 @@
 		}
 	}
 	if !live || len(sent) == 0 {
-		p.queue = rest
+		p.queue = remaining
 		return
 	}
 	message := &Message{From: c.self, Copy: &Copy{Sequence: p.sequence + 1, Records: records}}
 	if !c.sendControl(now, member.Address, message, bulk, effects) {
-		p.queue = append(sent, rest...)
+		p.queue = append(sent, remaining...)
 		return
 	}
 	p.sequence++
-	p.queue = rest
+	p.queue = remaining
 	p.sent = sent
 	p.sentAt = now
 }
 
-// addRecord adds a flow to the records, unless the other node has it by now.
+// addRecord adds a flow to the records and reports whether it did. It skips flows
+// that were removed, are not authoritative or have been replicated since.
 func (c *Core) addRecord(now time.Duration, target copyTarget, records *[]Record) bool {
 	shard := c.flows.ShardOf(target.hash)
 	shard.Lock()
@@ -130,16 +131,16 @@
 	if f == nil {
 		return false
 	}
-	if !c.vouches(now, f) || f.Replica == target.to {
+	if !c.isAuthoritative(now, f) || f.Replica == target.to {
 		return false
 	}
-	backend := c.addressOf(f)
-	at := slices.IndexFunc(*records, func(r Record) bool { return r.Service == f.Key.Service && r.Backend == backend })
-	if at < 0 {
-		at = len(*records)
+	backend := c.backendAddress(f)
+	index := slices.IndexFunc(*records, func(r Record) bool { return r.Service == f.Key.Service && r.Backend == backend })
+	if index < 0 {
+		index = len(*records)
 		*records = append(*records, Record{Service: f.Key.Service, Backend: backend})
 	}
-	record := &(*records)[at]
+	record := &(*records)[index]
 	if refusals := refusalsOf(f, now); len(refusals) > 0 {
 		record.Refused = append(record.Refused, RefusedCaller{Index: len(record.Callers), Refusals: refusals})
 	}
@@ -147,8 +148,8 @@
 	return true
 }
 
-// copyDone notes that the other node holds the last batch.
-func (c *Core) copyDone(now time.Duration, sequence uint32) {
+// handleCopyDone records that the other node holds the last batch.
+func (c *Core) handleCopyDone(now time.Duration, sequence uint32) {
 	p := &c.copier
 	if sequence != p.sequence {
 		return
@@ -165,7 +166,7 @@
 	p.sent = nil
 }
 
-// receiveCopy stores flows of the pair's other node.
+// receiveCopy stores and acknowledges flows sent by a pair's other node.
 func (c *Core) receiveCopy(now time.Duration, from membership.ID, message *Copy, effects *Effects) {
 	for _, record := range message.Records {
 		refusals := make([][]Refusal, len(record.Callers))
@@ -200,10 +201,10 @@
 		shard.Add(f)
 	}
 	mergeRefusals(f, refusals, now)
-	target := c.registry.at(backend)
+	target := c.registry.getOrAdd(backend)
 	switch {
 	case pair.Owner == from && target != nil:
-		// The owner's word counts over what this node holds.
+		// The owner's record takes precedence.
 		f.Backend = target.id
 	case f.Verified:
 		return
@@ -215,8 +216,8 @@
 	f.ReplicatedAt = now
 }
 
-// finishWalk ends one walk through the table. A partition in which nothing was
-// missing, while this node can vouch for it, is granted to the pair's other node.
+// finishWalk ends one walk over the table. It grants each partition in which no
+// record was missing, and whose history is complete here, to the pair's other node.
 func (c *Core) finishWalk(now time.Duration, effects *Effects) {
 	p := &c.copier
 	if !p.interrupted {
@@ -268,7 +269,7 @@
 	}
 }
 
-// receiveGrant notes that this node holds everything of the partitions.
+// receiveGrant records that this node holds every record of the granted partitions.
 func (c *Core) receiveGrant(from membership.ID, grant *Grant) {
 	if len(grant.Partitions) != membership.PartitionCount/8 {
 		return
@@ -277,16 +278,16 @@
 		granted := grant.Partitions[partition/8]&(1<<(partition%8)) != 0
 		if granted && c.view.PairAt(partition).Partner(c.self) == from {
 			c.continuity.Grant(partition, c.view)
-			// Who grants holds everything itself.
+			// The sender of a grant holds every record itself.
 			c.copier.granted[partition] = from
 		}
 	}
 }
 
-// settled tells whether the last whole walk found nothing that the other nodes
-// of this node's pairs lack.
-func (p *copier) settled(walks int) bool {
-	return p.walks >= walks && len(p.queue) == 0 && len(p.sent) == 0 && !p.ungranted
+// isSettled reports whether at least minWalks walks have completed, no flow waits
+// to be copied or acknowledged, and no grant is outstanding.
+func (p *copier) isSettled(minWalks int) bool {
+	return p.walks >= minWalks && len(p.queue) == 0 && len(p.sent) == 0 && !p.ungranted
 }
 
 // longestLifetime returns the longest request lifetime of all services.
--- a/internal/balancer/core.go
+++ b/internal/balancer/core.go
@@ -12,55 +12,54 @@
 	"gaugeyard/internal/settings"
 )
 
-// Core is one balancer's state and decisions.
+// Core holds the state of a balancer and makes its decisions.
 type Core struct {
 	config Config
 	self   membership.ID
 
-	// control guards membership and settings. Workers hold it for reading.
+	// control guards membership, settings and the shutdown state. Datagram workers
+	// hold it for reading.
 	control    sync.RWMutex
 	detector   *membership.Detector
 	view       *membership.View
 	continuity *membership.Continuity
 	quorum     bool
-	// quorumSince is when a majority was first heard, 0 while there is none.
+	// quorumSince is when a majority became reachable, 0 while there is none.
 	quorumSince time.Duration
 	snapshot    *settings.Snapshot
 	history     []*settings.Snapshot
 	assembly    assembly
-	// settingsQueue holds parts of settings that wait for the byte budget.
+	// settingsQueue holds settings parts that wait for the byte budget.
 	settingsQueue []queuedPart
-	ramps         map[settings.BackendID]time.Duration
+	rampStarts    map[settings.BackendID]time.Duration
 	leave         leaveState
 
 	flows     *flow.Table
 	registry  registry
 	deadlines deadlineQueue
 	copier    copier
-	// settled is what the last tick found of the copier, for other goroutines.
+	// settled is the copier's state at the last tick, for other goroutines.
 	settled atomic.Bool
 	budget  byteBudget
 
 	lastTick      atomic.Int64
 	lastHeartbeat time.Duration
-	// heartbeats counts the heartbeats sent to all peers.
-	heartbeats  uint64
-	lastRequest time.Duration
-	// viewChanged is when the view last became another one.
-	viewChanged time.Duration
-	// breaks counts how often this node has stopped to vouch for its records.
-	breaks    uint32
-	lastBreak time.Duration
-	// joinAt is when this node has listened long enough to join the view.
+	// heartbeats counts the rounds of heartbeats sent.
+	heartbeats          uint64
+	lastSettingsRequest time.Duration
+	viewChanged         time.Duration
+	// invalidations counts how often this node has invalidated its records.
+	invalidations    uint32
+	lastInvalidation time.Duration
+	// joinAt is the earliest time at which this node may join the view.
 	joinAt time.Duration
 	// ticked is set once the first tick has passed.
 	ticked bool
 
-	// Counters count what happened; see Counters.
 	Counters Counters
 }
 
-// Counters are the numbers that a balancer exposes. All only grow.
+// Counters are the monotonic counters that a balancer exposes.
 type Counters struct {
 	Datagrams, Forwarded, Delivered, Relayed, Detoured     atomic.Uint64
 	NewFlows, Deviating, Adopted, ExpiredFlows, LateAnswer atomic.Uint64
@@ -69,7 +68,7 @@
 	Answered                                               [32]atomic.Uint64
 }
 
-// New returns a core that knows no settings and no peers.
+// New returns a core without settings and peers.
 func New(config Config) *Core {
 	if config.ControlBytesPerSecond == 0 {
 		config.ControlBytesPerSecond = DefaultControlBytesPerSecond
@@ -80,7 +79,7 @@
 		detector:   membership.NewDetector(config.Self),
 		continuity: membership.NewContinuity(config.Self.ID, config.BootstrapUntil),
 		snapshot:   settings.Resolve(settings.Tree{"": settings.Values{}}, 0),
-		ramps:      map[settings.BackendID]time.Duration{},
+		rampStarts: map[settings.BackendID]time.Duration{},
 		flows:      flow.NewTable(),
 	}
 	core.view = membership.NewView(nil, false)
@@ -89,14 +88,15 @@
 	return core
 }
 
-// Effects collects what Step decided. A worker reuses one; Reset empties it.
+// Effects collects the effects of Step. A worker reuses one Effects and calls
+// Reset between steps.
 type Effects struct {
 	List       []Effect
 	candidates []placement.Candidate
 	backends   []*backend
 }
 
-// Reset empties the collection and keeps its memory.
+// Reset empties the list and retains its memory.
 func (e *Effects) Reset() {
 	clear(e.List)
 	e.List = e.List[:0]
@@ -106,11 +106,11 @@
 	e.List = append(e.List, effect)
 }
 
-// Step handles one event at now, a time that never goes back, and appends what
-// must be done to effects. Packets and messages in effects are valid until the
-// driver reuses the event's memory.
+// Step handles one event and appends the resulting effects. now must not
+// decrease. Packets and messages in effects are valid until the driver reuses the
+// event's memory.
 func (c *Core) Step(now time.Duration, event Event, effects *Effects) {
-	c.notePause(now, effects)
+	c.detectPause(now, effects)
 	switch e := event.(type) {
 	case *Datagram:
 		c.control.RLock()
@@ -127,7 +127,7 @@
 		c.detector.Listed(e.Addresses)
 		c.control.Unlock()
 	case *LoadReport:
-		c.registry.report(e.Backend, e.Utilization)
+		c.registry.recordUtilization(e.Backend, e.Utilization)
 	case *Tick:
 		c.tick(now, effects)
 	case *Leave:
@@ -139,11 +139,12 @@
 
 func (c *Core) handleDatagram(now time.Duration, packet *Packet, effects *Effects) {
 	c.Counters.Datagrams.Add(1)
-	c.leave.traffic(now)
+	c.leave.recordTraffic(now)
 	c.route(now, packet, 0, effects)
 }
 
-// route hands a datagram to its owner, which may be this node.
+// route handles a datagram if this node owns its flow, and relays it to the owner
+// otherwise.
 func (c *Core) route(now time.Duration, packet *Packet, hops uint8, effects *Effects) {
 	service := c.snapshot.ServiceAt(packet.Flow.Service)
 	if service == nil {
@@ -161,32 +162,31 @@
 	hash := packet.Flow.Hash()
 	pair := c.view.PairOf(hash)
 	if pair.Owner == c.self {
-		c.own(now, packet, service, hash, pair, hops, effects)
+		c.handleAsOwner(now, packet, service, hash, pair, hops, effects)
 		return
 	}
 	answer := packet.Kind >= Answer
 	if answer && (pair.Owner == 0 || c.detector.Overdue(pair.Owner, now)) {
-		// The owner may be dead: an answer needs no state to reach its caller.
+		// The owner may be down. Delivering an answer needs no flow state.
 		c.deliver(packet, effects)
 		return
 	}
 	c.relay(pair.Owner, Relay{Kind: RelayToOwner, Hops: hops, Packet: packet}, effects)
 }
 
-// own handles a datagram as the flow's owner.
-func (c *Core) own(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
+func (c *Core) handleAsOwner(now time.Duration, packet *Packet, service *settings.Service, hash uint64, pair membership.Pair, hops uint8, effects *Effects) {
 	context := exchangeContext{now: now, packet: packet, service: service, hash: hash, pair: pair, hops: hops, effects: effects}
 	shard := c.flows.ShardOf(hash)
 	shard.Lock()
 	defer shard.Unlock()
 	if packet.Kind >= Answer {
-		c.ownAnswer(&context, shard)
+		c.handleAnswer(&context, shard)
 		return
 	}
-	c.ownCaller(&context, shard)
+	c.handleCallerDatagram(&context, shard)
 }
 
-// exchangeContext is what the handling of one datagram needs throughout.
+// exchangeContext holds what the steps of handling one datagram share.
 type exchangeContext struct {
 	now     time.Duration
 	packet  *Packet
@@ -197,14 +197,14 @@
 	effects *Effects
 }
 
-// routeStateless is the baseline without flow state.
+// routeStateless routes a datagram under Consistent or Modulo, without flow state.
 func (c *Core) routeStateless(packet *Packet, service *settings.Service, effects *Effects) {
 	if packet.Kind >= Answer {
 		c.deliver(packet, effects)
 		return
 	}
 	candidates, backends := c.candidates(0, service, effects)
-	index := placement.Default(packet.Flow.Hash(), candidates)
+	index := placement.Preferred(packet.Flow.Hash(), candidates)
 	if c.config.Strategy == Modulo {
 		index = moduloIndex(packet.Flow.Hash(), candidates)
 	}
@@ -225,15 +225,15 @@
 	if open == 0 {
 		return -1
 	}
-	chosen := int(hash % uint64(open))
+	remaining := int(hash % uint64(open))
 	for i := range candidates {
 		if candidates[i].Closed {
 			continue
 		}
-		if chosen == 0 {
+		if remaining == 0 {
 			return i
 		}
-		chosen--
+		remaining--
 	}
 	return -1
 }
@@ -248,7 +248,8 @@
 	effects.add(Effect{Kind: DeliverToCaller, To: packet.Flow.Caller, Packet: packet})
 }
 
-// answer tells the caller how its request failed.
+// answer answers a request with a failure. Datagrams of other kinds are only
+// counted.
 func (c *Core) answer(packet *Packet, kind errkind.Kind, retry time.Duration, effects *Effects) {
 	c.Counters.Answered[kind].Add(1)
 	if packet.Kind != Request {
@@ -261,7 +262,8 @@
 	c.Counters.Dropped[kind].Add(1)
 }
 
-// relay sends a datagram to another balancer, unless it has travelled too far.
+// relay sends a datagram to another balancer. It drops the datagram if the receiver
+// is not live or the hop limit is reached.
 func (c *Core) relay(to membership.ID, relay Relay, effects *Effects) {
 	member, live := c.view.Member(to)
 	if !live || relay.Hops >= HopLimit {
--- a/internal/balancer/deadlines.go
+++ b/internal/balancer/deadlines.go
@@ -7,23 +7,23 @@
 	"gaugeyard/internal/flow"
 )
 
-// deadline is when a request in flight is given up.
+// deadline identifies a request in flight with a pending timeout.
 type deadline struct {
 	key       flow.Key
 	messageID uint16
 }
 
-// deadlineQueue is a timing wheel without a rim: one list of deadlines for each
-// tick. Lists are reused, so that a steady load allocates nothing.
+// deadlineQueue is a timing wheel of unlimited range, with one list of deadlines
+// for each tick. Lists are reused, so that a steady load allocates nothing.
 type deadlineQueue struct {
 	sync.Mutex
 	lists map[time.Duration][]deadline
-	spare [][]deadline
-	// next is the first tick whose list was not taken yet.
+	free  [][]deadline
+	// next is the first tick whose list has not been popped.
 	next time.Duration
 }
 
-// add queues a deadline; it is due at the first tick not before at.
+// add queues a deadline, which is due at the first tick not before at.
 func (q *deadlineQueue) add(at time.Duration, key flow.Key, messageID uint16) {
 	q.Lock()
 	defer q.Unlock()
@@ -33,24 +33,24 @@
 	}
 	tick = max(tick, q.next)
 	list, known := q.lists[tick]
-	if !known && len(q.spare) > 0 {
-		list = q.spare[len(q.spare)-1]
-		q.spare = q.spare[:len(q.spare)-1]
+	if !known && len(q.free) > 0 {
+		list = q.free[len(q.free)-1]
+		q.free = q.free[:len(q.free)-1]
 	}
 	q.lists[tick] = append(list, deadline{key, messageID})
 }
 
-// take removes the lists of all ticks up to now and calls settle for each deadline.
-func (q *deadlineQueue) take(now time.Duration, settle func(deadline)) {
+// popDue removes the deadlines due by now and calls handle for each, unlocked.
+func (q *deadlineQueue) popDue(now time.Duration, handle func(deadline)) {
 	for {
-		list, any := q.pop(now)
-		if !any {
+		list, found := q.pop(now)
+		if !found {
 			return
 		}
 		for _, due := range list {
-			settle(due)
+			handle(due)
 		}
-		q.reuse(list)
+		q.recycle(list)
 	}
 }
 
@@ -71,13 +71,13 @@
 	return nil, false
 }
 
-// maxSpare bounds the lists kept for reuse.
-const maxSpare = 64
+// maxFreeLists is the maximum number of lists held for reuse.
+const maxFreeLists = 64
 
-func (q *deadlineQueue) reuse(list []deadline) {
+func (q *deadlineQueue) recycle(list []deadline) {
 	q.Lock()
 	defer q.Unlock()
-	if len(q.spare) < maxSpare {
-		q.spare = append(q.spare, list[:0])
+	if len(q.free) < maxFreeLists {
+		q.free = append(q.free, list[:0])
 	}
 }
--- a/internal/balancer/tick.go
+++ b/internal/balancer/tick.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// retryDecayInterval is the window of the retry budget.
+	// retryDecayInterval is the interval at which retry counts are halved.
 	retryDecayInterval = time.Second
-	// settingsRequestInterval bounds how often a peer is asked for settings.
+	// settingsRequestInterval is the minimum time between settings requests.
 	settingsRequestInterval = 500 * time.Millisecond
-	// viewStable is how long the view must stand before a node that joins or
-	// leaves as planned changes it again.
-	viewStable = 2 * time.Second
-	// quorumSettle is how long a majority must be heard before this node decides.
-	quorumSettle = 1 * time.Second
-	// joinPatience is how long a node waits to join while its peers still copy
-	// flows after an earlier change.
-	joinPatience = 30 * time.Second
-	// settledWalkShards is how many shards of the flow table one tick looks
-	// through while everything is held twice; a full walk takes ShardCount
-	// divided by it ticks.
+	// viewStableTime is how long the view must be unchanged before a join or a
+	// graceful shutdown changes it again.
+	viewStableTime = 2 * time.Second
+	// quorumStableTime is how long a majority must be reachable before this node
+	// has a quorum.
+	quorumStableTime = 1 * time.Second
+	// maxJoinWait is how long a join is delayed at most while peers copy flows after
+	// an earlier change.
+	maxJoinWait = 30 * time.Second
+	// settledWalkShards is the number of flow table shards walked per tick while
+	// the copier is settled. A full walk takes ShardCount/settledWalkShards ticks.
 	settledWalkShards = 1
-	// unsettledWalkShards is the same while flows must be copied.
+	// unsettledWalkShards is the number while flows must be copied.
 	unsettledWalkShards = 4
-	// leavingWalkShards is the same while this node leaves.
+	// leavingWalkShards is the number during a graceful shutdown.
 	leavingWalkShards = 16
-	// copiedBeforeRest is how many walks a leaving node makes at least.
-	copiedBeforeRest = 2
+	// minLeaveWalks is the minimum number of full walks of a leaving node.
+	minLeaveWalks = 2
 )
 
-// tick does what time alone causes.
+// tick runs the timers and the periodic work.
 func (c *Core) tick(now time.Duration, effects *Effects) {
 	c.control.Lock()
 	c.startListening(now)
@@ -50,16 +50,16 @@
 
 	c.control.RLock()
 	defer c.control.RUnlock()
-	c.deadlines.take(now, func(due deadline) { c.giveUp(now, due, effects) })
+	c.deadlines.popDue(now, func(due deadline) { c.timeOutRequest(now, due, effects) })
 	if now/retryDecayInterval != (now-TickInterval)/retryDecayInterval {
 		c.registry.decayRetries()
 	}
-	c.walk(now, effects)
+	c.walkFlows(now, effects)
 	c.sendCopy(now, effects)
-	c.settled.Store(c.copier.settled(1))
+	c.settled.Store(c.copier.isSettled(1))
 }
 
-// startListening sets, at the first tick, when this node may join.
+// startListening sets the earliest join time at the first tick.
 func (c *Core) startListening(now time.Duration) {
 	if c.ticked {
 		return
@@ -69,15 +69,15 @@
 	c.lastHeartbeat = now - membership.HeartbeatInterval
 }
 
-// join puts this node into the view once it has listened for its peers and has
-// settings. Until then peers do not count it, and it passes datagrams on.
+// join adds this node to the view once it has listened for its peers and has
+// settings. Until then peers do not count it, and it only relays datagrams.
 func (c *Core) join(now time.Duration, effects *Effects) {
 	if c.detector.Joined() || c.leave.announced || now < c.joinAt || c.snapshot.Revision == 0 {
 		return
 	}
-	// At the first start of a fleet there is nothing to endanger.
-	patient := now >= c.config.BootstrapUntil && now < c.joinAt+joinPatience
-	if patient && !c.othersSettled(now) {
+	// While the fleet bootstraps there are no flows to lose.
+	waitForPeers := now >= c.config.BootstrapUntil && now < c.joinAt+maxJoinWait
+	if waitForPeers && !c.peersSettled(now) {
 		return
 	}
 	c.detector.Join()
@@ -85,20 +85,20 @@
 	c.sendHeartbeats(now, effects)
 }
 
-// walk looks through a part of the flow table: forgets what is over and
-// collects flows that the successor lacks.
-func (c *Core) walk(now time.Duration, effects *Effects) {
+// walkFlows walks the next shards of the flow table. It removes expired flows and
+// requests, and queues flows that the pair's other node lacks.
+func (c *Core) walkFlows(now time.Duration, effects *Effects) {
 	shards := unsettledWalkShards
 	switch {
 	case c.leave.started:
 		shards = leavingWalkShards
-	case c.copier.settled(1):
+	case c.copier.isSettled(1):
 		shards = settledWalkShards
 	}
 	for range shards {
 		shard := &c.flows.Shards[c.copier.cursor]
 		shard.Lock()
-		shard.Walk(func(f *flow.Flow) bool { return c.visit(now, f) })
+		shard.Walk(func(f *flow.Flow) bool { return c.visitFlow(now, f) })
 		shard.Unlock()
 		c.copier.cursor = (c.copier.cursor + 1) % flow.ShardCount
 		if c.copier.cursor == 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// visit looks at one flow and tells whether to keep it.
-func (c *Core) visit(now time.Duration, f *flow.Flow) bool {
+// visitFlow handles one flow of a walk and reports whether to retain it.
+func (c *Core) visitFlow(now time.Duration, f *flow.Flow) bool {
 	f.Expire(now)
 	service := c.snapshot.ServiceAt(f.Key.Service)
 	idle := now - f.LastSeen
@@ -118,15 +118,15 @@
 		return false
 	}
 	partner := c.view.PairOf(f.Hash).Partner(c.self)
-	if c.vouches(now, f) && !f.ProposedTo(partner) && partner != 0 && f.Replica != partner && c.config.Strategy == Replicated {
-		c.copier.want(partner, f)
+	if c.isAuthoritative(now, f) && !f.ProposedTo(partner) && partner != 0 && f.Replica != partner && c.config.Strategy == Replicated {
+		c.copier.enqueue(partner, f)
 	}
 	return true
 }
 
-// vouches tells whether this node's record of a flow is right: a peer confirmed
-// it, or nobody can have decided without this node.
-func (c *Core) vouches(now time.Duration, f *flow.Flow) bool {
+// isAuthoritative reports whether this node's record of a flow is authoritative: a
+// peer confirmed it, or no node can have decided without this one.
+func (c *Core) isAuthoritative(now time.Duration, f *flow.Flow) bool {
 	partition := membership.PartitionOf(f.Hash)
 	return f.Verified || c.quorum && c.continuity.Covers(partition, now, c.longestLifetime())
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -8,48 +8,48 @@
 	"gaugeyard/internal/membership"
 )
 
-// othersSettled tells whether the view has stood for so long that every peer has
-// said since then whether it is settled, and all are.
-func (c *Core) othersSettled(now time.Duration) bool {
-	return now-c.viewChanged >= viewStable && c.detector.AllSettled(now)
+// peersSettled reports whether the view has been unchanged for viewStableTime, so
+// that peers have reported since, and all peers are settled.
+func (c *Core) peersSettled(now time.Duration) bool {
+	return now-c.viewChanged >= viewStableTime && c.detector.AllSettled(now)
 }
 
-// notePause notices that this node stood still for so long that its peers have
-// gone on without it. Nothing that it holds may be vouched for then, and it
-// joins anew. It runs before every event, because queued datagrams may be
-// handled before the first tick.
-func (c *Core) notePause(now time.Duration, effects *Effects) {
+// detectPause detects that this node was suspended for so long that its peers may
+// have decided without it. The node then invalidates its records and joins again.
+// It runs before every event, because queued datagrams may precede the first tick
+// after the pause.
+func (c *Core) detectPause(now time.Duration, effects *Effects) {
 	if now-time.Duration(c.lastTick.Load()) <= membership.DeadAfter || c.config.Mechanisms.NoContinuity {
 		return
 	}
 	c.control.Lock()
 	defer c.control.Unlock()
-	last := time.Duration(c.lastTick.Load())
-	if !c.ticked || now-last <= membership.DeadAfter {
+	lastTick := time.Duration(c.lastTick.Load())
+	if !c.ticked || now-lastTick <= membership.DeadAfter {
 		return
 	}
 	c.lastTick.Store(int64(now))
-	c.detector.Resume(last, now)
+	c.detector.Resume(lastTick, now)
 	c.detector.Withdraw()
 	c.joinAt = now + membership.DeadAfter
-	c.stopVouching(now)
+	c.invalidateRecords(now)
 	effects.add(Effect{Kind: StateChanged, Subject: "self", State: "resumed after a pause"})
 	c.refreshView(now, effects)
 }
 
-// stopVouching forgets since when this node holds every record, because others
-// may have decided without it.
-func (c *Core) stopVouching(now time.Duration) {
-	c.breaks++
-	c.lastBreak = now
+// invalidateRecords marks this node's history as incomplete and its flows as
+// unverified, because others may have decided without it.
+func (c *Core) invalidateRecords(now time.Duration) {
+	c.invalidations++
+	c.lastInvalidation = now
 	c.continuity.Break(now, c.view)
-	c.distrust()
+	c.markUnverified()
 }
 
-// recopy forgets what a peer was known to hold, for one that no longer vouches
-// for it.
-func (c *Core) recopy(peer membership.ID) {
-	c.copier.forget(peer)
+// resetReplicas clears the replicas and grants of a peer that has invalidated its
+// records.
+func (c *Core) resetReplicas(peer membership.ID) {
+	c.copier.resetPeer(peer)
 	c.eachFlow(func(f *flow.Flow) {
 		if f.Replica == peer {
 			f.Replica = 0
@@ -57,15 +57,15 @@
 	})
 }
 
-// distrust marks every flow as not vouched for.
-func (c *Core) distrust() {
+// markUnverified marks every flow as unverified and incomplete.
+func (c *Core) markUnverified() {
 	c.eachFlow(func(f *flow.Flow) {
 		f.Verified = false
 		f.Complete = false
 	})
 }
 
-// eachFlow calls visit for every flow, under the lock of its shard.
+// eachFlow calls visit for every flow, with the flow's shard locked.
 func (c *Core) eachFlow(visit func(f *flow.Flow)) {
 	for i := range c.flows.Shards {
 		shard := &c.flows.Shards[i]
@@ -78,8 +78,8 @@
 	}
 }
 
-// stableQuorum tells whether this node has heard a majority for so long that it
-// has heard all who can be heard, so that none of them is taken for gone.
+// stableQuorum reports whether a majority has been reachable for quorumStableTime,
+// so that this node has received from all reachable peers and takes none for down.
 func (c *Core) stableQuorum(now time.Duration) bool {
 	if !c.detector.Quorum(now) {
 		c.quorumSince = 0
@@ -88,17 +88,18 @@
 	if c.quorumSince == 0 {
 		c.quorumSince = now
 	}
-	return now-c.quorumSince >= quorumSettle
+	return now-c.quorumSince >= quorumStableTime
 }
 
-// refreshView computes the live members and, when they changed, the new pairs.
+// refreshView recomputes the quorum and the live members and, if they changed, the
+// pairs.
 func (c *Core) refreshView(now time.Duration, effects *Effects) {
 	quorum := c.stableQuorum(now)
 	if quorum != c.quorum {
 		c.quorum = quorum
-		state := "hears a majority"
+		state := "quorum reached"
 		if !quorum {
-			state = "hears no majority"
+			state = "quorum lost"
 		}
 		effects.add(Effect{Kind: StateChanged, Subject: "membership", State: state})
 	}
@@ -109,9 +110,9 @@
 	if slices.Equal(live, c.view.Members) {
 		return
 	}
-	for _, old := range c.view.Members {
-		if !slices.Contains(live, old) {
-			effects.add(Effect{Kind: StateChanged, Subject: old.Address.String(), State: "left the view"})
+	for _, former := range c.view.Members {
+		if !slices.Contains(live, former) {
+			effects.add(Effect{Kind: StateChanged, Subject: former.Address.String(), State: "left the view"})
 		}
 	}
 	for _, member := range live {
@@ -124,18 +125,18 @@
 	c.viewChanged = now
 	c.continuity.Change(now, c.view)
 	c.copier.viewChanged(previous, c.view)
-	c.eachFlow(c.recountFlow)
+	c.eachFlow(c.updateOwnership)
 }
 
-// recountFlow brings a flow's ownership in line with a new view.
-func (c *Core) recountFlow(f *flow.Flow) {
+// updateOwnership updates a flow's ownership for a new view.
+func (c *Core) updateOwnership(f *flow.Flow) {
 	pair := c.view.PairOf(f.Hash)
 	if pair.Owner != c.self {
 		c.release(f)
 		f.Complete = false
 	}
 	if !pair.Has(c.self) {
-		// Others may change the flow from here on.
+		// Other nodes may change the flow from now on.
 		f.Verified = false
 	}
 	if pair.Owner == c.self && !f.Owner && f.Backend != 0 {
@@ -150,13 +151,13 @@
 	c.heartbeats++
 	for _, target := range c.detector.Targets(c.heartbeats) {
 		heartbeat := &Heartbeat{
-			Revision: c.snapshot.Revision,
-			Absent:   !c.detector.Joined(),
-			Leaving:  c.leave.announced,
-			Settled:  c.copier.settled(1),
-			GoneOn:   target.GoneOn,
-			Breaks:   c.breaks,
-			Sequence: c.heartbeats,
+			Revision:       c.snapshot.Revision,
+			Absent:         !c.detector.Joined(),
+			Leaving:        c.leave.announced,
+			Settled:        c.copier.isSettled(1),
+			DecidedWithout: target.GoneOn,
+			Invalidations:  c.invalidations,
+			Sequence:       c.heartbeats,
 		}
 		if target.Introduce {
 			heartbeat.Introduction = &Introduction{Address: c.config.Self.Address, Zone: c.config.Self.Zone}
@@ -165,7 +166,7 @@
 	}
 }
 
-// senderOf returns who sent a heartbeat, unless that is not known yet.
+// senderOf returns the sender of a heartbeat, and false if it is unknown.
 func (c *Core) senderOf(from membership.ID, heartbeat *Heartbeat) (membership.Member, bool) {
 	if introduction := heartbeat.Introduction; introduction != nil {
 		return membership.Member{ID: from, Zone: introduction.Zone, Address: introduction.Address}, true
@@ -183,23 +184,23 @@
 		Absent:   heartbeat.Absent,
 		Leaving:  heartbeat.Leaving,
 		Settled:  heartbeat.Settled,
-		Breaks:   heartbeat.Breaks,
+		Breaks:   heartbeat.Invalidations,
 	}
-	fresh, broke := c.detector.Heard(now, member, report)
-	if !fresh {
+	newer, invalidated := c.detector.Heard(now, member, report)
+	if !newer {
 		return
 	}
-	if broke {
-		c.recopy(from)
+	if invalidated {
+		c.resetReplicas(from)
 	}
-	if heartbeat.GoneOn && !c.config.Mechanisms.NoContinuity && now-c.lastBreak > membership.HeartbeatInterval {
-		c.stopVouching(now)
-		effects.add(Effect{Kind: StateChanged, Subject: member.Address.String(), State: "went on without this node"})
+	if heartbeat.DecidedWithout && !c.config.Mechanisms.NoContinuity && now-c.lastInvalidation > membership.HeartbeatInterval {
+		c.invalidateRecords(now)
+		effects.add(Effect{Kind: StateChanged, Subject: member.Address.String(), State: "decided without this node"})
 	}
 	c.refreshView(now, effects)
 	behind := heartbeat.Revision > c.snapshot.Revision && !c.config.Mechanisms.NoSettingsGossip
-	if behind && now-c.lastRequest >= settingsRequestInterval {
-		c.lastRequest = now
+	if behind && now-c.lastSettingsRequest >= settingsRequestInterval {
+		c.lastSettingsRequest = now
 		request := &SettingsRequest{Have: c.snapshot.Revision}
 		c.sendControl(now, member.Address, &Message{From: c.self, SettingsRequest: request}, essential, effects)
 	}
