--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -44,11 +44,11 @@
 	// refusal is why none may.
 	refusal errkind.Kind
 	// turn is the part whose turn it was, and reason why the flow went to the other one.
-	turn    *part
-	reason  PartReason
-	spilled bool
-	load    float64
-	trial   bool
+	scheduled *part
+	reason    PartReason
+	spilled   bool
+	load      float64
+	probe     bool
 }
 
 // pass is one look at the parts of a service.
@@ -70,7 +70,7 @@
 	if left != nil {
 		avoid, had = left.backend, left.turn
 	}
-	parts := s.split(service, hash).turn(had)
+	parts := s.rotationOf(service, hash).next(had)
 	reason, usual := PartTurn, PartTurn
 	if len(parts) < 2 {
 		usual = PartOnly
@@ -81,13 +81,13 @@
 		}
 		for _, p := range parts {
 			s.placing = placing{now: now, hash: hash, group: p.group, pool: s.view.Pool(p.group.Discover), limit: s.warmUpOf(p.group), avoid: avoid}
-			able, why := s.weigh(p, pass)
+			able, why := s.evaluate(p, pass)
 			if able {
 				if p == parts[0] {
 					reason = usual
 				}
 				picked := s.pick(p, service)
-				picked.turn, picked.reason = parts[0], reason
+				picked.scheduled, picked.reason = parts[0], reason
 				return picked
 			}
 			if i == 0 && p == parts[0] {
@@ -111,11 +111,11 @@
 }
 
 // weigh gathers and scores candidates, and tells whether they can take the flow, or why not.
-func (s *Steerer) weigh(p *part, pass pass) (able bool, why PartReason) {
-	if !s.gather(pass.tier) {
-		return false, s.whyNone()
+func (s *Steerer) evaluate(p *part, pass pass) (able bool, why PartReason) {
+	if !s.gatherCandidates(pass.tier) {
+		return false, s.unavailableReason()
 	}
-	s.score()
+	s.scoreCandidates()
 	if !pass.skipFailing {
 		return true, PartTurn
 	}
@@ -127,14 +127,14 @@
 	switch {
 	case out:
 		return false, PartOut
-	case s.poolOf(p.group.Discover).rest.keeps(s.placing.now):
+	case s.poolOf(p.group.Discover).rest.blocks(s.placing.now):
 		return false, PartDark
 	}
 	return true, PartTurn
 }
 
 // whyNone tells why a part has no candidate.
-func (s *Steerer) whyNone() PartReason {
+func (s *Steerer) unavailableReason() PartReason {
 	p := &s.placing
 	if len(p.pool.Open) == 0 {
 		return PartEmpty
@@ -156,31 +156,31 @@
 // ends are equal the flow's hash decides, so that balancers that know nothing yet agree and do not
 // crowd one.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
-	usual := s.placing.usual
+	usual := s.placing.typicalLatency
 	known := s.poolOf(p.group.Discover)
 	known.usual = usual
-	turn := known.turn
-	known.turn++
+	turn := known.rotation
+	known.rotation++
 	local := s.best(usual, true, turn)
 	remote := s.best(usual, false, turn)
 	best, spilled := local, false
-	if local == nil || remote != nil && remote.load < local.load && s.leavesZone(local, remote, service) {
+	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
 	}
-	return choice{member: best.member, part: p, spilled: spilled, load: best.load, trial: best.trial}
+	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.trial}
 }
 
 // leavesZone tells whether a new flow is better off in another zone: the own one has
 // more than its share, or a request would wait there and not elsewhere.
-func (s *Steerer) leavesZone(local, remote *candidate, service *settings.Service) bool {
-	if local.full() && !remote.full() {
+func (s *Steerer) shouldSpill(local, remote *candidate, service *settings.Service) bool {
+	if local.busy() && !remote.busy() {
 		return true
 	}
 	return local.load > service.LoadFactor*meanLoad(s.candidates)+loadSlack
 }
 
 // full tells whether this balancer alone has a request under way in each slot.
-func (c *candidate) full() bool {
+func (c *candidate) busy() bool {
 	return c.state.active >= max(c.member.Slots, 1)
 }
 
@@ -197,7 +197,7 @@
 // large zone it compares those alone whose turn it is, unless all of them are full or out of rotation.
 func (s *Steerer) best(usual float64, local bool, turn int) *candidate {
 	if s.own.Count < manyBalancers {
-		return least(s.candidates, usual, local, span{})
+		return bestIn(s.candidates, usual, local, subset{})
 	}
 	total := 0
 	for i := range s.candidates {
@@ -205,16 +205,16 @@
 			total++
 		}
 	}
-	best := least(s.candidates, usual, local, s.own.span(total, turn))
-	if best != nil && (best.full() || best.state.out) {
-		return least(s.candidates, usual, local, span{})
+	best := bestIn(s.candidates, usual, local, s.own.subset(total, turn))
+	if best != nil && (best.busy() || best.state.out) {
+		return bestIn(s.candidates, usual, local, subset{})
 	}
 	return best
 }
 
 // least returns the candidate in or outside the own zone and in the span where a request
 // is expected to take the least time, nil for none.
-func least(candidates []candidate, usual float64, local bool, within span) *candidate {
+func bestIn(candidates []candidate, usual float64, local bool, within subset) *candidate {
 	var least *candidate
 	position := 0
 	for i := range candidates {
@@ -223,7 +223,7 @@
 			continue
 		}
 		position++
-		if !within.has(position - 1) {
+		if !within.contains(position - 1) {
 			continue
 		}
 		if least == nil || c.before(least, usual) {
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("back end %d has %d flows, want %d", id, flows, want)
 		}
 	}
-	if counts := f.partsOf(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
+	if counts := f.countParts(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
 		t.Errorf("a split service: %v", counts)
 	}
 	caller, verdict := 200, Verdict{}
@@ -80,7 +80,7 @@
 	group := &settings.Group{Connections: limit}
 	local, remote := f.directory.View().Member(1), f.directory.View().Member(5)
 	held := 0
-	for _, each := range []struct{ balancers, own int }{{zone, f.mostAt(group, local)}, {4 * zone, f.mostAt(group, remote)}} {
+	for _, each := range []struct{ balancers, own int }{{zone, f.flowLimit(group, local)}, {4 * zone, f.flowLimit(group, remote)}} {
 		held += each.balancers * each.own
 	}
 	// Each balancer elsewhere may hold a part of a flow more.
@@ -90,7 +90,7 @@
 }
 
 // mostAt is how many flows this balancer holds at a back end before it avoids it.
-func (f *fleet) mostAt(group *settings.Group, member *directory.Member) int {
+func (f *fleet) flowLimit(group *settings.Group, member *directory.Member) int {
 	own := 0
 	for !f.steerer.connectionsOf(group, member).Avoids(own) {
 		own++
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -23,7 +23,7 @@
 			if member == nil || !known.isFirst(packet) {
 				return drop(errkind.Undecided)
 			}
-			s.restAt(known, member)
+			s.pinTo(known, member)
 		} else {
 			verdict.Repinned = s.reconcile(known, packet)
 		}
@@ -45,12 +45,12 @@
 // adopt learns from its tag a flow that came from another balancer. The tag of an opening packet is good for the
 // caller's first packet, and only if no other balancer knows better.
 func (s *Steerer) adopt(now time.Duration, packet *Packet) Verdict {
-	member := s.tagged(packet, packet.Tag)
+	member := s.taggedBackend(packet, packet.Tag)
 	if member == nil {
 		if s.seek(now, packet) {
 			return Verdict{Action: Wait}
 		}
-		named := s.tagged(packet, openingTag(packet.Tag, openingSequence(packet)))
+		named := s.taggedBackend(packet, openingTag(packet.Tag, openingSequence(packet)))
 		member = s.mayFollow(packet.Flow, named)
 		if member == nil && named != nil {
 			return drop(errkind.Undecided)
@@ -110,13 +110,13 @@
 	}
 	member := s.named(packet, known.openSequence)
 	if member != nil {
-		s.restAt(known, member)
+		s.pinTo(known, member)
 	}
 	return false
 }
 
 // restAt notes that a flow rests at a back end.
-func (s *Steerer) restAt(known *record, member *directory.Member) {
+func (s *Steerer) pinTo(known *record, member *directory.Member) {
 	if member == known.member {
 		return
 	}
@@ -128,15 +128,15 @@
 // named returns the back end that the packet's tag names, as that of an opening packet with the sequence or of later
 // ones; nil for none.
 func (s *Steerer) named(packet *Packet, openSequence uint32) *directory.Member {
-	if member := s.tagged(packet, packet.Tag); member != nil {
+	if member := s.taggedBackend(packet, packet.Tag); member != nil {
 		return member
 	}
-	return s.tagged(packet, openingTag(packet.Tag, openSequence))
+	return s.taggedBackend(packet, openingTag(packet.Tag, openSequence))
 }
 
 // tagged returns the back end that a tag names for the packet's flow, nil for none. Where
 // two share a tag, the one that the packet's service uses is meant.
-func (s *Steerer) tagged(packet *Packet, tag directory.Tag) *directory.Member {
+func (s *Steerer) taggedBackend(packet *Packet, tag directory.Tag) *directory.Member {
 	members := s.view.Tagged(tag)
 	if len(members) == 0 {
 		return nil
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	herdBalancers = 28
-	herdServers   = 40
-	herdRate      = 350 // flows a second in the zone
-	herdLength    = 20 * time.Second
-	herdHello     = 500 * time.Millisecond
-	herdAnswer    = 20 * time.Millisecond
+	zoneBalancers = 28
+	zoneServers   = 40
+	zoneRate      = 350 // flows a second in the zone
+	simulatedTime = 20 * time.Second
+	helloInterval = 500 * time.Millisecond
+	answerLatency = 20 * time.Millisecond
 )
 
 // zoneOf returns the balancers of one zone with one view, and the service's address.
 func zoneOf(t testing.TB, balancers, servers int) ([]*Steerer, netip.AddrPort) {
 	t.Helper()
-	beliefs, address := zoneBeliefs(t, servers)
+	beliefs, address := zoneDirectory(t, servers)
 	return steerersOf(beliefs, balancers), address
 }
 
@@ -39,7 +39,7 @@
 }
 
 // zoneBeliefs returns what balancers of one zone believe of its servers.
-func zoneBeliefs(t testing.TB, servers int) (*directory.Directory, netip.AddrPort) {
+func zoneDirectory(t testing.TB, servers int) (*directory.Directory, netip.AddrPort) {
 	t.Helper()
 	address := netip.MustParseAddrPort("198.18.0.1:443")
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: "1.5"}, "feed/any": settings.Values{}}
@@ -61,7 +61,7 @@
 }
 
 // ending is the last packet of a flow.
-type ending struct {
+type flowEnd struct {
 	at     time.Duration
 	via    *Steerer
 	packet Packet
@@ -71,17 +71,17 @@
 // loads, half a second old; if each sent its next flow to the least loaded back end, that
 // one would get a flow from all of them.
 func TestManyBalancersDoNotCrowdOneBackEnd(t *testing.T) {
-	zone, address := zoneOf(t, herdBalancers, herdServers)
+	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	taken := map[settings.BackendID]int{}
 	worst, total := 0.0, 0
-	playHerd(t, zone, address, herdRate, func(now time.Duration, id settings.BackendID) {
-		if now > herdLength/4 {
+	simulateZone(t, zone, address, zoneRate, func(now time.Duration, id settings.BackendID) {
+		if now > simulatedTime/4 {
 			taken[id]++
 			total++
 		}
 	})
 	for _, count := range taken {
-		worst = max(worst, float64(count*herdServers)/float64(total))
+		worst = max(worst, float64(count*zoneServers)/float64(total))
 	}
 	if worst > 1.15 {
 		t.Errorf("the busiest back end takes %.2f times the mean", worst)
@@ -90,18 +90,18 @@
 
 // playHerd lets callers open short flows through the balancers of a zone, drawn by chance, and
 // tells taken where each went. Balancers hear of each other's loads every herdHello.
-func playHerd(t *testing.T, zone []*Steerer, address netip.AddrPort, rate time.Duration, taken func(now time.Duration, id settings.BackendID)) {
+func simulateZone(t *testing.T, zone []*Steerer, address netip.AddrPort, rate time.Duration, taken func(now time.Duration, id settings.BackendID)) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
-	var ends []ending
-	next, second := herdHello, time.Second
-	for now, caller := time.Second, 0; now < herdLength; now += time.Second / rate {
+	var ends []flowEnd
+	next, second := helloInterval, time.Second
+	for now, caller := time.Second, 0; now < simulatedTime; now += time.Second / rate {
 		for _, s := range zone {
 			s.Pulse(now)
 		}
 		if now >= next {
-			next += herdHello
-			shareAll(zone, now)
+			next += helloInterval
+			exchangeLoads(zone, now)
 		}
 		if now >= second {
 			second += time.Second
@@ -123,18 +123,18 @@
 		}
 		tag := verdict.Backend.Tag
 		s.Steer(now, &Packet{Flow: key, Kind: Established, Tag: tag, Sequence: 2, Acknowledged: 1, Payload: 100})
-		ends = append(ends, ending{now + herdAnswer, s, Packet{Flow: key, Kind: Close, Tag: tag, Sequence: 102, Acknowledged: 600}})
+		ends = append(ends, flowEnd{now + answerLatency, s, Packet{Flow: key, Kind: Close, Tag: tag, Sequence: 102, Acknowledged: 600}})
 		taken(now, verdict.Backend.ID)
 	}
 }
 
 // shareAll tells each balancer what the others gave to each back end.
-func shareAll(zone []*Steerer, now time.Duration) {
+func exchangeLoads(zone []*Steerer, now time.Duration) {
 	sum := map[settings.BackendID]Load{}
 	own := make([]map[settings.BackendID]Load, len(zone))
 	for i, s := range zone {
 		own[i] = map[settings.BackendID]Load{}
-		for _, load := range s.RecentLoad(herdServers) {
+		for _, load := range s.RecentLoad(zoneServers) {
 			own[i][load.Backend] = load.Load
 			sum[load.Backend] = sum[load.Backend].Plus(load.Load)
 		}
@@ -142,7 +142,7 @@
 	for i, s := range zone {
 		others := map[directory.Tag]Load{}
 		for id, load := range sum {
-			others[directory.TagOf(id)] = without(load, own[i][id])
+			others[directory.TagOf(id)] = subtract(load, own[i][id])
 		}
 		s.SetOthersLoad(others)
 		s.SetPlace(Place{Index: i, Count: len(zone)})
@@ -150,7 +150,7 @@
 }
 
 // without returns the load less a part of it.
-func without(load, part Load) Load {
+func subtract(load, part Load) Load {
 	return load.Plus(Load{-part.Requests, -part.Steady, -part.Failures, -part.Answers, -part.Time})
 }
 
@@ -158,7 +158,7 @@
 // long flows that all callers open at the same moment stay where they are.
 func TestFlowsThatComeAtOnceAreSpread(t *testing.T) {
 	const flows = 320
-	zone, address := zoneOf(t, herdBalancers, herdServers)
+	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	for i, s := range zone {
 		s.SetPlace(Place{Index: i, Count: len(zone)})
 	}
@@ -175,7 +175,7 @@
 		taken[verdict.Backend.ID]++
 		most = max(most, taken[verdict.Backend.ID])
 	}
-	if mean := flows / herdServers; most > mean*5/4 {
+	if mean := flows / zoneServers; most > mean*5/4 {
 		t.Errorf("one back end takes %d flows, the mean is %d", most, mean)
 	}
 }
--- a/internal/steering/parts.go
+++ b/internal/steering/parts.go
@@ -17,15 +17,15 @@
 const (
 	// goldenStep is how far turns lie apart on the circle of the shares. By the golden ratio the turns of any
 	// part are as even as they can be, wherever the first one lies.
-	goldenStep = 0.6180339887498949
+	rotationStep = 0.6180339887498949
 	// mostCorrection is by how much new flows may miss their part's share to correct what flows ask for later:
 	// a part whose flows ask more often gets fewer of them. Operators weigh new flows, so that it is little.
-	mostCorrection = 0.05
+	maxCorrection = 0.05
 	// usualRequests is how many requests, as the shares want them, are counted beside those that were seen, so
 	// that a few do not count as a miss.
-	usualRequests = 50
+	priorShareRequests = 50
 	// partDecay is what of a part's count is left after a second.
-	partDecay = 0.97
+	partCountDecay = 0.97
 )
 
 // PartReason is why a flow went to the part of its service that it went to.
@@ -65,9 +65,9 @@
 }
 
 // split is whose turn it is among the parts of one service.
-type split struct {
+type rotation struct {
 	// at is the place on the circle of the next turn, from 0 to 1.
-	at float64
+	position float64
 	// parts are those with a share, as the settings that they were read from have them.
 	service *settings.Service
 	parts   []*part
@@ -84,13 +84,13 @@
 }
 
 // newSplit begins at a place that differs from balancer to balancer.
-func newSplit(hash uint64) *split {
-	return &split{at: float64(hash>>11) / (1 << 53)}
+func newRotation(hash uint64) *rotation {
+	return &rotation{position: float64(hash>>11) / (1 << 53)}
 }
 
 // take reads the shares of a service. Where these have changed, what was counted by the old ones does not
 // count against the new ones.
-func (s *split) take(service *settings.Service) {
+func (s *rotation) update(service *settings.Service) {
 	if s.service == service {
 		return
 	}
@@ -100,7 +100,7 @@
 	sum := 0.0
 	for i := range service.Groups {
 		if group := &service.Groups[i]; group.Share > 0 {
-			s.parts = append(s.parts, partOf(before, group))
+			s.parts = append(s.parts, partFor(before, group))
 			sum += group.Share
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // partOf returns the part of the group, which keeps its counts.
-func partOf(known []*part, group *settings.Group) *part {
+func partFor(known []*part, group *settings.Group) *part {
 	for _, p := range known {
 		if p.group.Path == group.Path && p.group.Discover == group.Discover {
 			p.group = group
@@ -132,42 +132,42 @@
 // turn returns the parts in the order in which they are asked to take a flow: the one whose turn it
 // is, and the others as their shares divide its turns. had is the part whose turn was used for the flow
 // before and counts no more, nil for none. The list is valid until the next call.
-func (s *split) turn(had *part) []*part {
+func (s *rotation) next(had *part) []*part {
 	if len(s.parts) < 2 {
 		return s.parts
 	}
-	s.aim()
+	s.computeTargets()
 	s.order = append(s.order[:0], s.parts...)
 	if at := slices.Index(s.order, had); at >= 0 {
 		had.count = max(had.count-1, 0)
 		s.order[0], s.order[at] = s.order[at], s.order[0]
 		return s.order
 	}
-	s.at = math.Mod(s.at+goldenStep, 1)
-	place := s.at
+	s.position = math.Mod(s.position+rotationStep, 1)
+	place := s.position
 	for i := range s.order {
-		place = pickPart(s.order[i:], s.targets[i:], place)
+		place = selectPart(s.order[i:], s.targets[i:], place)
 	}
 	return s.order
 }
 
 // aim works out which part of new flows each part should get.
-func (s *split) aim() {
-	total := float64(usualRequests)
+func (s *rotation) computeTargets() {
+	total := float64(priorShareRequests)
 	for _, p := range s.parts {
 		total += p.count
 	}
 	s.targets = s.targets[:0]
 	for _, p := range s.parts {
-		has := (p.count + usualRequests*p.share) / total
-		most := min(mostCorrection, p.share/2)
+		has := (p.count + priorShareRequests*p.share) / total
+		most := min(maxCorrection, p.share/2)
 		s.targets = append(s.targets, p.share+max(-most, min(p.share-has, most)))
 	}
 }
 
 // pickPart brings the part to the front at whose targets the place lies, and returns the place within it,
 // by which its turns are divided among the others.
-func pickPart(parts []*part, targets []float64, place float64) float64 {
+func selectPart(parts []*part, targets []float64, place float64) float64 {
 	sum := 0.0
 	for _, target := range targets {
 		sum += target
@@ -187,18 +187,18 @@
 
 // split returns whose turn it is among the parts of the service. The hash of the first flow that came
 // differs between balancers, also before they have heard of each other.
-func (s *Steerer) split(service *settings.Service, hash uint64) *split {
-	known := s.splits[service.Name]
+func (s *Steerer) rotationOf(service *settings.Service, hash uint64) *rotation {
+	known := s.rotations[service.Name]
 	if known == nil {
-		known = newSplit(hash)
-		s.splits[service.Name] = known
+		known = newRotation(hash)
+		s.rotations[service.Name] = known
 	}
-	known.take(service)
+	known.update(service)
 	return known
 }
 
 // renamed tells whether no service of the name stands at the address any more.
-func (s *Steerer) renamed(name string, service *settings.Service) bool {
+func (s *Steerer) serviceReplaced(name string, service *settings.Service) bool {
 	if s.view.Settings == nil {
 		return false
 	}
@@ -208,13 +208,13 @@
 
 // decaySplits lets a second pass.
 func (s *Steerer) decaySplits() {
-	for name, known := range s.splits {
-		if s.renamed(name, known.service) {
-			delete(s.splits, name)
+	for name, known := range s.rotations {
+		if s.serviceReplaced(name, known.service) {
+			delete(s.rotations, name)
 			continue
 		}
 		for _, p := range known.parts {
-			p.count *= partDecay
+			p.count *= partCountDecay
 		}
 	}
 }
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -18,17 +18,17 @@
 	for _, flows := range []int{5, 20, 200} {
 		for _, small := range []float64{0.5, 0.1, 0.05} {
 			t.Run(fmt.Sprintf("%d flows, %v", flows, small), func(t *testing.T) {
-				splits := make([]*split, 70)
+				splits := make([]*rotation, 70)
 				for i := range splits {
-					splits[i] = newSplit(key(i, splitAddress).Hash())
+					splits[i] = newRotation(key(i, splitAddress).Hash())
 				}
 				for _, share := range []float64{small, 1 - small, small} {
 					service := &settings.Service{Groups: []settings.Group{{Path: "a", Share: 1 - share}, {Path: "b", Share: share}, {Path: "c"}}}
 					taken := 0
 					for _, s := range splits {
-						s.take(service)
+						s.update(service)
 						for range flows {
-							p := s.turn(nil)[0]
+							p := s.next(nil)[0]
 							p.count++
 							if p.group.Path == "b" {
 								taken++
@@ -46,24 +46,24 @@
 
 // TestFlowsThatAskMoreOftenCorrectTheShares a little, never by more than mostCorrection.
 func TestFlowsThatAskMoreOftenCorrectTheShares(t *testing.T) {
-	s := newSplit(0)
-	s.take(&settings.Service{Groups: []settings.Group{{Path: "a", Share: 1}, {Path: "b", Share: 1}}})
+	s := newRotation(0)
+	s.update(&settings.Service{Groups: []settings.Group{{Path: "a", Share: 1}, {Path: "b", Share: 1}}})
 	flows := 0.0
 	for range 2000 {
-		p := s.turn(nil)[0]
+		p := s.next(nil)[0]
 		p.count++
 		if p.group.Path == "a" {
 			p.count += 9
 			flows++
 		}
 	}
-	if got := flows / 2000; got > 0.5-mostCorrection+0.01 || got < 0.5-mostCorrection-0.01 {
+	if got := flows / 2000; got > 0.5-maxCorrection+0.01 || got < 0.5-maxCorrection-0.01 {
 		t.Errorf("the part whose flows ask ten times as often has %.3f of the flows", got)
 	}
 }
 
 // partsOf counts to which part of the split service count flows go that open and rest, by reason.
-func (f *fleet) partsOf(first, count int) map[string]int {
+func (f *fleet) countParts(first, count int) map[string]int {
 	f.Helper()
 	counts := map[string]int{}
 	for caller := first; caller < first+count; caller++ {
@@ -127,13 +127,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			f.partsOf(0, 100)
+			f.countParts(0, 100)
 			c.gone(f)
-			if counts := f.partsOf(100, 100); counts["feed turn"] < 70 || counts["feed "+c.why.String()] < 20 || len(counts) != 2 {
+			if counts := f.countParts(100, 100); counts["feed turn"] < 70 || counts["feed "+c.why.String()] < 20 || len(counts) != 2 {
 				t.Errorf("while it can take none: %v", counts)
 			}
 			c.back(f)
-			if counts := f.partsOf(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
+			if counts := f.countParts(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
 				t.Errorf("again: %v", counts)
 			}
 		})
@@ -143,30 +143,30 @@
 // TestABusyPartKeepsItsShare: with few back ends a request in each slot is usual, and nobody turned one away.
 func TestABusyPartKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
-	f.partsOf(0, 100)
+	f.countParts(0, 100)
 	for id := settings.BackendID(11); id <= 12; id++ {
 		f.state(id).active += 2
 	}
-	if counts := f.partsOf(100, 100); counts["upload turn"] < 22 || counts["upload turn"] > 28 || len(counts) != 2 {
+	if counts := f.countParts(100, 100); counts["upload turn"] < 22 || counts["upload turn"] > 28 || len(counts) != 2 {
 		t.Errorf("%v", counts)
 	}
 }
 
 // TestASlowPartDoesNotRest: its requests take longer than a caller's patience, and are answered.
 func TestASlowPartDoesNotRest(t *testing.T) {
-	r := rest{}
+	r := cooldown{}
 	for at := time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
 		r.noteAnswer(at)
-		r.noteVain(at+50*time.Millisecond, at-500*time.Millisecond)
-		if r.keeps(at + 60*time.Millisecond) {
+		r.noteUnanswered(at+50*time.Millisecond, at-500*time.Millisecond)
+		if r.blocks(at + 60*time.Millisecond) {
 			t.Fatalf("it rests at %v", at)
 		}
 	}
 	pool := poolState{usual: 0.5}
-	for range 2 * restFrom {
+	for range 2 * cooldownThreshold {
 		pool.noteVain(2*time.Second, time.Second)
 	}
-	if pool.rest.vain != 0 {
+	if pool.rest.unanswered != 0 {
 		t.Errorf("requests of twice the usual time count: %+v", pool.rest)
 	}
 }
@@ -175,15 +175,15 @@
 func TestASplitIsForgottenWithItsName(t *testing.T) {
 	f := newFleet(t)
 	f.open(0, splitAddress, 0)
-	for _, known := range f.steerer.splits {
+	for _, known := range f.steerer.rotations {
 		old := *known.service
 		old.Name = "renamed"
 		known.service = &old
-		f.steerer.splits["renamed"] = known
+		f.steerer.rotations["renamed"] = known
 	}
 	f.steerer.Tick(f.now)
-	if len(f.steerer.splits) != 1 || f.steerer.splits["renamed"] != nil {
-		t.Errorf("%v", f.steerer.splits)
+	if len(f.steerer.rotations) != 1 || f.steerer.rotations["renamed"] != nil {
+		t.Errorf("%v", f.steerer.rotations)
 	}
 }
 
@@ -208,14 +208,14 @@
 // TestAColdPartGivesItsFlowsToTheOther when its rate allows none now.
 func TestAColdPartGivesItsFlowsToTheOther(t *testing.T) {
 	f := newFleet(t)
-	f.settle(map[string]string{"feed": "1", "upload": "1"}, "2")
+	f.applySettings(map[string]string{"feed": "1", "upload": "1"}, "2")
 	for id := settings.BackendID(11); id <= 12; id++ {
 		f.revision++
 		cold := directory.Backend{ID: id, Group: "upload", Zone: "a", Slots: 2, WarmUp: time.Hour}
 		f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: cold, Revision: f.revision}}})
 	}
 	f.steerer.SetView(f.directory.View())
-	if counts := f.partsOf(0, 40); counts["feed cold"] < 18 || counts["feed turn"] < 18 || counts["no_backend"] > 0 {
+	if counts := f.countParts(0, 40); counts["feed cold"] < 18 || counts["feed turn"] < 18 || counts["no_backend"] > 0 {
 		t.Errorf("%v", counts)
 	}
 }
@@ -224,13 +224,13 @@
 func TestWeightZeroGetsNoFlow(t *testing.T) {
 	f := newFleet(t)
 	waiting := f.open(0, splitAddress, 0)
-	f.settle(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
+	f.applySettings(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
 	f.pass(200 * time.Millisecond)
 	if copied := f.open(0, splitAddress, 1); copied.Part == nil || copied.Part.Discover == waiting.Part.Discover {
 		t.Errorf("a copy goes to the part without a weight: %+v", copied)
 	}
-	f.settle(map[string]string{"feed": "0", "upload": "1"}, "0")
-	if counts := f.partsOf(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
+	f.applySettings(map[string]string{"feed": "0", "upload": "1"}, "0")
+	if counts := f.countParts(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
 		t.Errorf("%v", counts)
 	}
 	f.vanish(11)
@@ -242,7 +242,7 @@
 }
 
 // settle puts settings in force where the split service has the shares, and a rate for back ends that warm up.
-func (f *fleet) settle(shares map[string]string, warmUpRate string) {
+func (f *fleet) applySettings(shares map[string]string, warmUpRate string) {
 	f.Helper()
 	f.revision++
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: "2", settings.KeyWarmUpRate: warmUpRate}}
@@ -310,7 +310,7 @@
 	if counts["feed dark"] < 60 || counts["upload turn"] > 35 {
 		t.Errorf("while it answers none: %v", counts)
 	}
-	f.pass(longestRest + time.Second)
+	f.pass(maxCooldown + time.Second)
 	clear(counts)
 	for caller := 400; caller < 600; caller++ {
 		counts[ask(caller, true)]++
@@ -322,22 +322,22 @@
 
 // TestARestIsNotRenewedByRequestsOfBefore: what was asked before a part rested comes to light while it does.
 func TestARestIsNotRenewedByRequestsOfBefore(t *testing.T) {
-	r := rest{}
+	r := cooldown{}
 	for i := range 10 {
-		r.noteVain(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
+		r.noteUnanswered(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
 	}
-	if r.length != firstRest || r.keeps(time.Second+40*time.Millisecond+firstRest) {
+	if r.duration != minCooldown || r.blocks(time.Second+40*time.Millisecond+minCooldown) {
 		t.Errorf("%+v", r)
 	}
-	if !r.keeps(1700 * time.Millisecond) {
+	if !r.blocks(1700 * time.Millisecond) {
 		t.Error("a second flow tries it beside the first")
 	}
-	r.noteVain(1900*time.Millisecond, 1500*time.Millisecond)
-	if r.length != 2*firstRest || !r.keeps(2800*time.Millisecond) {
+	r.noteUnanswered(1900*time.Millisecond, 1500*time.Millisecond)
+	if r.duration != 2*minCooldown || !r.blocks(2800*time.Millisecond) {
 		t.Errorf("after the trial failed: %+v", r)
 	}
 	r.noteAnswer(2700 * time.Millisecond)
-	if r.keeps(2800 * time.Millisecond) {
+	if r.blocks(2800 * time.Millisecond) {
 		t.Error("it rests after an answer")
 	}
 }
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -19,7 +19,7 @@
 	// avoid is the back end that a copy of an opening packet leaves, nil for none.
 	avoid *backendState
 	// usual is the usual time of an answer among the candidates, in seconds, 0 while unknown.
-	usual float64
+	typicalLatency float64
 }
 
 // filter is one concern that keeps new flows away from a back end: true leaves it out.
@@ -32,10 +32,10 @@
 // tier is a list of back ends and the concerns that thin it out. A flow goes to a back end of the
 // first tier that has any.
 type tier struct {
-	from    func(pool *directory.Pool) []*directory.Member
+	members func(pool *directory.Pool) []*directory.Member
 	filters []filter
 	// lapsed is set where back ends whose entries lapsed in an outage are candidates as well.
-	lapsed bool
+	includeExpired bool
 }
 
 // tiers are in order of preference: back ends that are well; those near their limit; those that are silent,
@@ -44,24 +44,24 @@
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterConnections}, true},
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterFull}, true},
 	{openMembers, []filter{filterCold, filterFull}, false},
-	{leftMembers, []filter{filterLapsed, filterCold, filterFull}, false},
+	{removedMembers, []filter{filterLapsed, filterCold, filterFull}, false},
 }
 
 // scorers fill the candidates: first the work at each, then what makes the same work more.
-var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreUsual, scoreSlowness, scoreTime}
+var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreTypicalLatency, scoreSlowness, scoreTime}
 
 func openMembers(pool *directory.Pool) []*directory.Member { return pool.Open }
 
-func leftMembers(pool *directory.Pool) []*directory.Member { return pool.Left }
+func removedMembers(pool *directory.Pool) []*directory.Member { return pool.Left }
 
 // gather makes those back ends candidates that a tier leaves, and tells whether there are any.
-func (s *Steerer) gather(tier int) bool {
+func (s *Steerer) gatherCandidates(tier int) bool {
 	s.candidates = s.candidates[:0]
 	from := &tiers[tier]
-	for _, member := range from.from(s.placing.pool) {
+	for _, member := range from.members(s.placing.pool) {
 		s.addCandidate(member, from.filters)
 	}
-	if from.lapsed {
+	if from.includeExpired {
 		s.addLapsed(from.filters)
 	}
 	return len(s.candidates) > 0
@@ -92,7 +92,7 @@
 }
 
 // score lets each concern weigh the candidates.
-func (s *Steerer) score() {
+func (s *Steerer) scoreCandidates() {
 	for _, weigh := range scorers {
 		weigh(s, &s.placing)
 	}
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -40,7 +40,7 @@
 func TestTheFirstCopyOfAFlowThatIsNotKnownIsNotPlaced(t *testing.T) {
 	for _, vain := range []float64{1, 50} {
 		f := newFleet(t)
-		f.steerer.poolOf("feed").openings = repetitions{asked: 100, vain: vain}
+		f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: vain}
 		want := Wait
 		if vain == 50 {
 			want = Drop
@@ -51,7 +51,7 @@
 		if verdict := f.open(1, feedAddress, 2); verdict.Action != Wait {
 			t.Errorf("%.0f of 100 are lost, the second copy: %+v", vain, verdict)
 		}
-		if verdict := f.waited(1, feedAddress, 2); verdict.Action != Forward {
+		if verdict := f.openWaited(1, feedAddress, 2); verdict.Action != Forward {
 			t.Errorf("%.0f of 100 are lost, the second copy, later: %+v", vain, verdict)
 		}
 	}
@@ -73,7 +73,7 @@
 		{"one in 20 is lost", 10 * time.Second, repetitions{asked: 100, vain: 5}, false, 3, 3},
 	} {
 		var events []BackendEvent
-		b := &backendState{pool: &poolState{openings: test.openings}, events: &events}
+		b := &backendState{pool: &poolState{openingRetransmits: test.openings}, events: &events}
 		if test.heard {
 			b.heardDoubtUntil = test.now + time.Second
 		}
@@ -93,7 +93,7 @@
 		b := f.state(1)
 		b.doubt, b.doubtUntil = doubtTime, f.now+doubtTime
 		if lossy {
-			f.steerer.poolOf("feed").openings = repetitions{asked: 100, vain: 20}
+			f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: 20}
 		}
 		if told := len(f.steerer.Doubted(f.now, 9)) > 0; told == lossy {
 			t.Errorf("packets are lost: %v, the doubt is told: %v", lossy, told)
--- a/internal/steering/rush_test.go
+++ b/internal/steering/rush_test.go
@@ -20,15 +20,15 @@
 		joins              = 8 * time.Second
 		part               = 500 * time.Millisecond
 	)
-	beliefs, address := zoneBeliefs(t, servers)
+	beliefs, address := zoneDirectory(t, servers)
 	zone := steerersOf(beliefs, balancers)
 	const newcomer = settings.BackendID(servers + 1)
 	joined := false
 	counts := map[time.Duration]int{}
-	playHerd(t, zone, address, rate, func(now time.Duration, id settings.BackendID) {
+	simulateZone(t, zone, address, rate, func(now time.Duration, id settings.BackendID) {
 		if now >= joins && !joined {
 			joined = true
-			join(beliefs, newcomer, 0)
+			announceCold(beliefs, newcomer, 0)
 			for _, s := range zone {
 				s.SetView(beliefs.View())
 			}
@@ -43,13 +43,13 @@
 			t.Errorf("%d flows from %v on, %v are its share", count, at*part, mean)
 		}
 	}
-	if last := counts[(herdLength-part)/part]; float64(last) < mean/2 {
+	if last := counts[(simulatedTime-part)/part]; float64(last) < mean/2 {
 		t.Errorf("%d flows at the end, %v are its share", last, mean)
 	}
 }
 
 // join announces a back end that is cold for a time.
-func join(beliefs *directory.Directory, id settings.BackendID, cold time.Duration) {
+func announceCold(beliefs *directory.Directory, id settings.BackendID, cold time.Duration) {
 	beliefs.Apply(time.Second, &directory.Changes{Revision: 2, Records: []directory.Record{{Revision: 2, Backend: directory.Backend{
 		ID: id, Group: "feed", Zone: "a", Slots: 2, WarmUp: cold,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(id)}), 80),
@@ -69,14 +69,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			const servers = 5
-			beliefs, address := zoneBeliefs(t, servers)
+			beliefs, address := zoneDirectory(t, servers)
 			const cold = settings.BackendID(servers + 1)
-			join(beliefs, cold, time.Minute)
+			announceCold(beliefs, cold, time.Minute)
 			s := New(Config{Zone: "a", FlowLife: time.Minute})
 			s.SetView(beliefs.View())
 			taken := 0
-			playHerd(t, []*Steerer{s}, address, test.rate, func(now time.Duration, id settings.BackendID) {
-				if id == cold && now > herdLength/4 {
+			simulateZone(t, []*Steerer{s}, address, test.rate, func(now time.Duration, id settings.BackendID) {
+				if id == cold && now > simulatedTime/4 {
 					taken++
 				}
 			})
@@ -95,16 +95,16 @@
 	member.ColdUntil = f.now + time.Minute
 	pool := f.steerer.poolOf("feed")
 	pool.usual = 0.050
-	other := f.steerer.poolOf("upload").coldPace
+	other := f.steerer.poolOf("upload").warmUpSlowdown
 	for i := range uint32(60) {
 		f.established(0, feedAddress, member.Tag, 1+100*i, 100)
 		f.pass(150 * time.Millisecond)
 		f.established(0, feedAddress, member.Tag, 101+100*i, 0)
 	}
-	if pace := pool.coldPace; math.Abs(pace-3) > 0.1 {
+	if pace := pool.warmUpSlowdown; math.Abs(pace-3) > 0.1 {
 		t.Errorf("pace %v of answers that took three times the usual", pace)
 	}
-	if pace := f.steerer.poolOf("upload").coldPace; pace != other {
+	if pace := f.steerer.poolOf("upload").warmUpSlowdown; pace != other {
 		t.Errorf("pace %v of another service's back ends", pace)
 	}
 	if state := f.steerer.stateOf(member); state.answers.count > 0 {
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -27,7 +27,7 @@
 	}
 	for i := range s.candidates {
 		if c := &s.candidates[i]; p.now < c.member.ColdUntil {
-			c.pace = c.state.pool.coldPace
+			c.pace = c.state.pool.warmUpSlowdown
 		}
 	}
 }
@@ -36,10 +36,10 @@
 func scoreFailures(s *Steerer, _ *placing) { s.weighFailures() }
 
 // scoreUsual finds out the usual time of an answer among the candidates.
-func scoreUsual(s *Steerer, p *placing) { p.usual = s.usualAnswer() }
+func scoreTypicalLatency(s *Steerer, p *placing) { p.typicalLatency = s.usualAnswer() }
 
 // scoreSlowness lets work at back ends that answer slowly count more.
-func scoreSlowness(s *Steerer, p *placing) { s.weighSlowness(p.now, p.usual) }
+func scoreSlowness(s *Steerer, p *placing) { s.weighSlowness(p.now, p.typicalLatency) }
 
 // scoreTime works out how long a request is expected to take.
-func scoreTime(s *Steerer, p *placing) { s.expectTimes(p.usual) }
+func scoreTime(s *Steerer, p *placing) { s.expectTimes(p.typicalLatency) }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -28,18 +28,18 @@
 }
 
 // Fading is what a time leaves of loads.
-type Fading struct {
+type Decay struct {
 	recent, steady float64
 }
 
 // FadingOver returns what a time leaves of loads. It costs two powers, and is meant for all loads
 // that came in one hello.
-func FadingOver(age time.Duration) Fading {
-	return Fading{math.Pow(recentDecay, age.Seconds()), math.Pow(steadyDecay, age.Seconds())}
+func FadingOver(age time.Duration) Decay {
+	return Decay{math.Pow(recentDecay, age.Seconds()), math.Pow(steadyDecay, age.Seconds())}
 }
 
 // Faded returns what is left of the load.
-func (l Load) Faded(by Fading) Load {
+func (l Load) Faded(by Decay) Load {
 	return Load{l.Requests * by.recent, l.Steady * by.steady, l.Failures * by.recent, l.Answers * by.recent, l.Time * by.recent}
 }
 
@@ -95,7 +95,7 @@
 func (s *Steerer) RecentLoad(count int) []BackendLoad {
 	var loads []BackendLoad
 	for id, state := range s.backends {
-		if work := state.steadyWork(); work >= leastLoad {
+		if work := state.steadyWork(); work >= minReportedLoad {
 			loads = append(loads, BackendLoad{id, Load{Requests: state.work(), Steady: work, Answers: state.answers.count, Time: state.answers.time}})
 		}
 	}
@@ -110,7 +110,7 @@
 func (s *Steerer) Failures(count int) []BackendLoad {
 	var failing []BackendLoad
 	for id, state := range s.backends {
-		if state.failures >= leastLoad {
+		if state.failures >= minReportedLoad {
 			failing = append(failing, BackendLoad{id, Load{Failures: state.failures}})
 		}
 	}
@@ -127,4 +127,4 @@
 }
 
 // leastLoad is the load below which others need not know of it.
-const leastLoad = 0.1
+const minReportedLoad = 0.1
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -13,7 +13,7 @@
 // may be of the start before: until they have heard of it (0.6 s along the longest chains) and what they told
 // earlier has faded (a tenth of a load is left after 6 s). A back end that has just started is slow for
 // about as long anyway, and draws no rush by that.
-const deafTime = 6 * time.Second
+const ignoreReportsTime = 6 * time.Second
 
 // deaf tells whether what others say of the back end may be of the start before.
 func (b *backendState) deaf(now time.Duration) bool { return now < b.deafUntil }
@@ -22,7 +22,7 @@
 // learned of one is of no worth then, and of its flows those are ended that are older than the start: their
 // next request would be lost there, and a caller that may not repeat it would not know. Others may have
 // opened there since and stay.
-func (s *Steerer) noteStarts(changed []settings.BackendID) {
+func (s *Steerer) handleRestarts(changed []settings.BackendID) {
 	anew := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
 		b, member := s.backends[id], s.view.Member(id)
@@ -40,7 +40,7 @@
 	for _, id := range slices.Sorted(maps.Keys(anew)) {
 		before, member := s.backends[id], anew[id]
 		b := s.newState(member)
-		b.deafUntil = s.pulse + deafTime
+		b.deafUntil = s.pulse + ignoreReportsTime
 		b.note(StartedAnew, s.pulse-before.progress, b.deafUntil)
 	}
 	for _, known := range s.flows {
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -9,7 +9,7 @@
 )
 
 // startAs announces a start of back end 1 by its birth.
-func (f *fleet) startAs(birth directory.Birth) {
+func (f *fleet) restartAs(birth directory.Birth) {
 	f.revision++
 	backend := f.directory.View().Member(1).Backend
 	backend.Born = birth
@@ -19,7 +19,7 @@
 }
 
 // at opens a flow at back end 1 and returns its caller.
-func (f *fleet) at(first int) int {
+func (f *fleet) openAtFirst(first int) int {
 	for caller := first; caller < first+1000; caller++ {
 		if f.opened(caller, feedAddress).ID == 1 {
 			return caller
@@ -34,15 +34,15 @@
 func TestAnotherStartHoldsNothingOfTheOneBefore(t *testing.T) {
 	f := newFleet(t)
 	f.directory.SetInterval(time.Second)
-	f.startAs(100)
-	old := f.at(1)
+	f.restartAs(100)
+	old := f.openAtFirst(1)
 	f.pass(10 * time.Second)
-	young := f.at(2000)
+	young := f.openAtFirst(2000)
 	before := f.state(1)
 	before.failures, before.slowness, before.others.Failures = 5, 4, 5
 	before.suspectUntil = f.now + time.Minute
 	f.steerer.TakeEvents()
-	f.startAs(200)
+	f.restartAs(200)
 	resets := f.steerer.TakeResets()
 	if len(resets) == 0 {
 		t.Fatal("no flow ends")
@@ -75,9 +75,9 @@
 // TestWordsOfTheStartBeforeAreNotHeard for a while, since others learn of a start a moment later.
 func TestWordsOfTheStartBeforeAreNotHeard(t *testing.T) {
 	f := newFleet(t)
-	f.startAs(100)
-	f.at(1)
-	f.startAs(200)
+	f.restartAs(100)
+	f.openAtFirst(1)
+	f.restartAs(200)
 	hear := func() {
 		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1})
 		f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 9, Failures: 9}})
@@ -87,7 +87,7 @@
 	if state.doubted(f.now) || state.others != (Load{}) {
 		t.Errorf("heard at once: %+v", state)
 	}
-	f.pass(deafTime)
+	f.pass(ignoreReportsTime)
 	hear()
 	if !state.doubted(f.now) || state.others.Failures != 9 {
 		t.Errorf("not heard later: %+v", state)
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -18,7 +18,7 @@
 	steadyDecay = 0.93
 	// leastSteady is added to the time for which the count of a new back end stands, in seconds, so
 	// that it catches up with the rate of the others within about a second and not at once.
-	leastSteady = 1
+	steadyOffset = 1
 	// settleTime is how long after its own start a balancer takes the back ends that it meets for
 	// old ones.
 	settleTime = 5 * time.Second
@@ -32,14 +32,14 @@
 // steadyRate is how much work all balancers gave to the back end, in requests a second, over the
 // longer time or since it can have had any.
 func (b *backendState) steadyRate() float64 {
-	return (b.steadyWork() + b.others.Steady) / (leastSteady + b.spanned)
+	return (b.steadyWork() + b.others.Steady) / (steadyOffset + b.spanned)
 }
 
 // firstSpan is for how many seconds of requests the steady count of a back end stands that nothing was observed
 // of until now: as long as it is known here.
 func (s *Steerer) firstSpan(member *directory.Member) float64 {
 	const longest = 1 / (1 - steadyDecay)
-	if member.Since-s.begun < settleTime {
+	if member.Since-s.startedAt < settleTime {
 		return longest
 	}
 	return longest * (1 - math.Pow(steadyDecay, max(s.pulse-member.Since, 0).Seconds()))
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -20,7 +20,7 @@
 	PulseInterval = 125 * time.Millisecond
 	// standstill is the time without a pulse after which the process has stood
 	// still. Routers need longer to send a caller's copies elsewhere.
-	standstill = 400 * time.Millisecond
+	pauseThreshold = 400 * time.Millisecond
 	// pulseSlack is how much later than due a pulse may come before the process counts as
 	// short of processor, and lagTime how long what it takes for silence of others may
 	// then be its own delay.
@@ -39,7 +39,7 @@
 	// departed are those of backends whose entries are gone: they are few, and each view is asked of them alone.
 	departed map[settings.BackendID]*backendState
 	// splits are by the service's name.
-	splits map[string]*split
+	rotations map[string]*rotation
 	// baselines are what answers look like.
 	baselines map[baselineKey]*answerBaseline
 	// own is where this balancer stands among those of its zone, and pools what it knows of
@@ -54,8 +54,8 @@
 	events []BackendEvent
 	// running is set by the first sign that the process runs, begun is when it came, pulse the
 	// last one, and resumed the end of its last standstill.
-	running               bool
-	begun, pulse, resumed time.Duration
+	running                   bool
+	startedAt, pulse, resumed time.Duration
 	// lagged is when a pulse last came late.
 	lagged time.Duration
 	// resets are flows that were ended and that the driver has not taken yet; alarm is set when
@@ -65,8 +65,8 @@
 	raised time.Duration
 	// awaited are the requests under way, and looked is when those without an answer
 	// were last looked for.
-	awaited awaited
-	looked  time.Duration
+	awaited  awaited
+	lastScan time.Duration
 	// searches are for flows that may rest elsewhere than their tags say, and inquiries what the driver has not taken
 	// of them yet.
 	searches  map[flow.Key]search
@@ -84,7 +84,7 @@
 		flows:     map[flow.Key]*record{},
 		backends:  map[settings.BackendID]*backendState{},
 		departed:  map[settings.BackendID]*backendState{},
-		splits:    map[string]*split{},
+		rotations: map[string]*rotation{},
 		baselines: map[baselineKey]*answerBaseline{},
 		pools:     map[string]*poolState{},
 		searches:  map[flow.Key]search{},
@@ -97,13 +97,13 @@
 
 // Pulse tells that the process runs. A driver calls it every PulseInterval.
 func (s *Steerer) Pulse(now time.Duration) {
-	s.noteStandstill(now)
+	s.detectPause(now)
 	if now-s.pulse > PulseInterval+pulseSlack {
 		s.lagged = now
 	}
 	s.pulse = now
-	if now-s.looked >= lookInterval && !s.config.Mechanisms.NoFaults {
-		s.looked = now
+	if now-s.lastScan >= lookInterval && !s.config.Mechanisms.NoFaults {
+		s.lastScan = now
 		s.noteUnanswered(now)
 	}
 }
@@ -115,11 +115,11 @@
 }
 
 // noteStandstill finds out whether the process stood still until now.
-func (s *Steerer) noteStandstill(now time.Duration) {
+func (s *Steerer) detectPause(now time.Duration) {
 	switch {
 	case !s.running:
-		s.running, s.pulse, s.begun = true, now, now
-	case now-s.pulse > standstill:
+		s.running, s.pulse, s.startedAt = true, now, now
+	case now-s.pulse > pauseThreshold:
 		s.pulse, s.resumed = now, now
 	}
 }
@@ -134,7 +134,7 @@
 		changed = slices.Collect(maps.Keys(s.backends))
 	}
 	s.view = view
-	s.noteStarts(changed)
+	s.handleRestarts(changed)
 	for _, id := range changed {
 		s.noteMember(id, view.Member(id))
 	}
@@ -170,7 +170,7 @@
 
 // Steer decides on one packet at now, a time that never goes back.
 func (s *Steerer) Steer(now time.Duration, packet *Packet) Verdict {
-	s.noteStandstill(now)
+	s.detectPause(now)
 	if packet.Kind == Open {
 		return s.steerOpen(now, packet)
 	}
@@ -199,7 +199,7 @@
 		return drop(errkind.Stale)
 	case known == nil && packet.Attempt > 0 && s.isSought(now, packet.Flow):
 		return drop(errkind.Undecided)
-	case known == nil && s.mayBePlaced(packet):
+	case known == nil && s.mayBePlacedElsewhere(packet):
 		if packet.Attempt == 1 && s.losesAnswers() {
 			return drop(errkind.Undecided)
 		}
@@ -214,7 +214,7 @@
 		return s.place(now, packet, service, nil)
 	}
 	known.noteCopy(now, packet.Attempt)
-	if s.mayOpen(now, service, known) {
+	if s.acceptsCopy(now, service, known) {
 		known.lastSeen = now
 		return Verdict{Action: Forward, Backend: known.member, Tag: openingTag(known.member.Tag, packet.Sequence)}
 	}
@@ -228,7 +228,7 @@
 // placed the flow of an opening packet that is not known here: copies come after the first one
 // was not answered. A back end whose answer was lost repeats it just then; its caller's next
 // packet shows in a moment that the flow has opened, and a second back end must not answer as well.
-func (s *Steerer) mayBePlaced(packet *Packet) bool {
+func (s *Steerer) mayBePlacedElsewhere(packet *Packet) bool {
 	return packet.Attempt > 0 && !packet.Waited && !s.config.Mechanisms.NoCopyWait
 }
 
@@ -247,7 +247,7 @@
 
 // mayOpen tells whether the back end of a flow that is still opening may take it
 // by the newest view.
-func (s *Steerer) mayOpen(now time.Duration, service *settings.Service, known *record) bool {
+func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, known *record) bool {
 	if known.backend.suspected(now) && !s.config.Mechanisms.NoSuspicion {
 		return false
 	}
@@ -280,7 +280,7 @@
 		key:          packet.Flow,
 		member:       choice.member,
 		backend:      state,
-		turn:         choice.turn,
+		turn:         choice.scheduled,
 		opening:      true,
 		openSequence: packet.Sequence,
 		attempt:      lastAttempt(packet.Attempt),
@@ -297,8 +297,8 @@
 	}
 	state.notePlaced(now)
 	state.warmUpNext = now + s.warmUpOf(choice.part.group).interval
-	state.trial = state.trial || choice.trial
-	choice.turn.count++
+	state.trial = state.trial || choice.probe
+	choice.scheduled.count++
 	return Verdict{
 		Action: Forward, Backend: choice.member, Tag: openingTag(choice.member.Tag, packet.Sequence), Placed: true, Spilled: choice.spilled,
 		Load: choice.load, Mean: meanLoad(s.candidates), Candidates: len(s.candidates),
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -106,7 +106,7 @@
 }
 
 // waited steers a copy of an opening packet that has waited.
-func (f *fleet) waited(caller int, service netip.AddrPort, attempt uint32) Verdict {
+func (f *fleet) openWaited(caller int, service netip.AddrPort, attempt uint32) Verdict {
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1, Waited: true})
 }
 
@@ -390,13 +390,13 @@
 			t.Fatalf("it is not awaited: %+v", copied)
 		}
 		first := f.open(1, feedAddress, 0)
-		if second := f.waited(1, feedAddress, 1); second.Backend == nil || first.Backend != second.Backend {
+		if second := f.openWaited(1, feedAddress, 1); second.Backend == nil || first.Backend != second.Backend {
 			t.Errorf("%+v and %+v", first, second)
 		}
 	})
 	t.Run("a copy that waited before its original", func(t *testing.T) {
 		f := newFleet(t)
-		second := f.waited(1, feedAddress, 1)
+		second := f.openWaited(1, feedAddress, 1)
 		if first := f.open(1, feedAddress, 0); second.Backend == nil || first.Backend != second.Backend {
 			t.Errorf("%+v and %+v", first, second)
 		}
@@ -513,7 +513,7 @@
 			f.established(caller, feedAddress, 2, 1, 0)
 		}
 		f.now += CopyWait
-		verdict := f.waited(caller, feedAddress, 1)
+		verdict := f.openWaited(caller, feedAddress, 1)
 		if want := map[bool]Action{true: Drop, false: Forward}[opens]; verdict.Action != want {
 			t.Errorf("after the wait, opened %v: %+v", opens, verdict)
 		}
--- a/internal/steering/turn.go
+++ b/internal/steering/turn.go
@@ -26,30 +26,30 @@
 	// spanEach is how many balancers compare each back end at a time, on average, and
 	// leastSpan the least number that one compares.
 	spanEach  = 2
-	leastSpan = 2
+	minSubset = 2
 )
 
 // span is a part of a ring of back ends; the zero span is all of it.
-type span struct {
+type subset struct {
 	first, length, total int
 }
 
 // span returns the back ends, of a total, that are compared at a turn. Balancers begin
 // at even distances on the ring and move on with each flow, so that together they
 // spread the flows that come before any of them has heard of the others' loads.
-func (p Place) span(total, turn int) span {
+func (p Place) subset(total, turn int) subset {
 	if total == 0 {
-		return span{}
+		return subset{}
 	}
-	length := max(leastSpan, (spanEach*total+p.Count-1)/p.Count)
+	length := max(minSubset, (spanEach*total+p.Count-1)/p.Count)
 	if length >= total {
-		return span{}
+		return subset{}
 	}
-	return span{first: (p.Index*total/p.Count + turn) % total, length: length, total: total}
+	return subset{first: (p.Index*total/p.Count + turn) % total, length: length, total: total}
 }
 
 // has tells whether a position on the ring is in the span.
-func (s span) has(position int) bool {
+func (s subset) contains(position int) bool {
 	if s.total == 0 {
 		return true
 	}
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -21,10 +21,10 @@
 	warmUpPlacers = 2
 	// warmUpDoubles is how many times as many may believe that they do: a zone may be split in two, or
 	// some have heard of a balancer's death and others have not.
-	warmUpDoubles = 2
+	warmUpOvercount = 2
 	// leastForTwo is the bound, in flows a second, from which on there are two of them: below it the
 	// first flow of each would use the bound up.
-	leastForTwo = 8.0
+	minBoundForTwo = 8.0
 )
 
 // warmUp is how new flows go to the back ends of a group while these warm up. The zero value is
@@ -49,10 +49,10 @@
 	}
 	bound := group.WarmUpRate*max(s.config.WarmUpOvershoot, 1) + s.config.WarmUpSlack
 	placers := warmUpPlacers
-	if bound < leastForTwo {
+	if bound < minBoundForTwo {
 		placers = 1
 	}
-	each := min(bound/float64(placers*warmUpDoubles)-1, group.WarmUpRate/float64(placers))
+	each := min(bound/float64(placers*warmUpOvercount)-1, group.WarmUpRate/float64(placers))
 	if each <= 0 {
 		return warmUp{limited: true}
 	}
@@ -69,16 +69,16 @@
 	if !limit.limited || now >= member.ColdUntil {
 		return false
 	}
-	return limit.placers == 0 || now < state.warmUpNext || !s.placesAt(member, limit.placers, now)
+	return limit.placers == 0 || now < state.warmUpNext || !s.isPlacerFor(member, limit.placers, now)
 }
 
 // placesAt tells whether this balancer is one of those that place flows at a back end that warms up. One
 // that has just started, or does not hear most of those that it knew, cannot tell.
-func (s *Steerer) placesAt(member *directory.Member, placers int, now time.Duration) bool {
-	if member.Zone != s.config.Zone || now-s.begun < settleTime {
+func (s *Steerer) isPlacerFor(member *directory.Member, placers int, now time.Duration) bool {
+	if member.Zone != s.config.Zone || now-s.startedAt < settleTime {
 		return false
 	}
-	return s.own.Zone.nearest(placement.Mix(uint64(member.ID), 0), placers)
+	return s.own.Zone.isNearest(placement.Mix(uint64(member.ID), 0), placers)
 }
 
 // Neighbours are the balancers of the own zone that this one knows, each by a hash of its address. The
@@ -95,7 +95,7 @@
 
 // nearest tells whether this balancer is one of the count nearest to a point. It is certain among
 // those that it knows; a point outside of their range belongs to others.
-func (n *Neighbours) nearest(point uint64, count int) bool {
+func (n *Neighbours) isNearest(point uint64, count int) bool {
 	if n.Silent > len(n.Live)+1 {
 		return false
 	}
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -24,7 +24,7 @@
 			}
 			// With a first flow at the begin of the span, and the last at its end.
 			each := 1 + int(time.Second/limit.interval)
-			if all, most := float64(each*limit.placers*warmUpDoubles), rate*bounds.overshoot+bounds.slack; all > most {
+			if all, most := float64(each*limit.placers*warmUpOvercount), rate*bounds.overshoot+bounds.slack; all > most {
 				t.Errorf("rate %v, %+v: %v flows in a second, %v are allowed", rate, bounds, all, most)
 			}
 		}
@@ -36,11 +36,11 @@
 }
 
 // tableSize is how many neighbours each balancer of the test knows.
-const tableSize = 24
+const neighbourTableSize = 24
 
 // neighboursOf is what balancer i knows of those with the hashes: the nearest ones.
 func neighboursOf(hashes []uint64, i int) Neighbours {
-	n := Neighbours{Own: hashes[i], Bounded: len(hashes) > tableSize}
+	n := Neighbours{Own: hashes[i], Bounded: len(hashes) > neighbourTableSize}
 	for j, other := range hashes {
 		if j == i {
 			continue
@@ -51,7 +51,7 @@
 				nearer++
 			}
 		}
-		if nearer < tableSize {
+		if nearer < neighbourTableSize {
 			n.Live = append(n.Live, other)
 		}
 	}
@@ -74,16 +74,16 @@
 		for point := range uint64(points) {
 			placers := 0
 			for i := range known {
-				if known[i].nearest(placement.Mix(point, 7), warmUpPlacers) {
+				if known[i].isNearest(placement.Mix(point, 7), warmUpPlacers) {
 					placers++
 				}
 			}
 			total += placers
 			most = max(most, placers)
 		}
-		if want := min(count, warmUpPlacers); total < points*want*9/10 || most > warmUpPlacers*warmUpDoubles {
+		if want := min(count, warmUpPlacers); total < points*want*9/10 || most > warmUpPlacers*warmUpOvercount {
 			t.Errorf("%d balancers: %.2f place at a back end, %d at the most; want about %d, at most %d",
-				count, float64(total)/points, most, want, warmUpPlacers*warmUpDoubles)
+				count, float64(total)/points, most, want, warmUpPlacers*warmUpOvercount)
 		}
 	}
 }
@@ -91,10 +91,10 @@
 // TestABalancerThatIsCutOffPlacesNothing at back ends that warm up: others do in its place.
 func TestABalancerThatIsCutOffPlacesNothing(t *testing.T) {
 	n := Neighbours{Own: 5, Live: []uint64{1 << 60}, Silent: 12}
-	if n.nearest(5, warmUpPlacers) {
+	if n.isNearest(5, warmUpPlacers) {
 		t.Error("a balancer that hears one of thirteen others places flows")
 	}
-	if n.Silent = 1; !n.nearest(5, warmUpPlacers) {
+	if n.Silent = 1; !n.isNearest(5, warmUpPlacers) {
 		t.Error("the nearest balancer of three places nothing")
 	}
 }
@@ -115,7 +115,7 @@
 }
 
 // restart lets the feed's back ends start anew, cold.
-func (f *fleet) restart(ids ...settings.BackendID) {
+func (f *fleet) warmUp(ids ...settings.BackendID) {
 	for _, id := range ids {
 		f.revision++
 		backend := f.directory.View().Tagged(directory.TagOf(id))[0].Backend
@@ -128,7 +128,7 @@
 // TestALoadBeyondTheLimitGoesToWarmBackEnds: 100 new flows in a second, one back end of six cold.
 func TestALoadBeyondTheLimitGoesToWarmBackEnds(t *testing.T) {
 	f := coldFleet(t)
-	f.restart(1)
+	f.warmUp(1)
 	cold := 0
 	for caller := range 100 {
 		verdict := f.open(caller, feedAddress, 0)
@@ -159,7 +159,7 @@
 	for _, member := range f.directory.View().Pool("feed").Open {
 		ids = append(ids, member.ID)
 	}
-	f.restart(ids...)
+	f.warmUp(ids...)
 	placed, refused := 0, 0
 	for caller := range 100 {
 		switch verdict := f.open(caller, feedAddress, 0); {
@@ -179,8 +179,8 @@
 // TestABalancerThatHasJustStartedLeavesColdBackEndsToOthers.
 func TestABalancerThatHasJustStartedLeavesColdBackEndsToOthers(t *testing.T) {
 	f := coldFleet(t)
-	f.steerer.begun = f.now
-	f.restart(1)
+	f.steerer.startedAt = f.now
+	f.warmUp(1)
 	for caller := range 50 {
 		if verdict := f.open(caller, feedAddress, 0); verdict.Action != Forward || verdict.Backend.ID == 1 {
 			t.Fatalf("%+v", verdict)
