--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// loadSlack is how much load above the bound is no reason to leave the zone,
-	// in requests a slot: single requests do not count.
+	// loadSlack is the load above the bound that does not yet move new flows out of the zone, in
+	// requests per slot, so that single requests do not count.
 	loadSlack = 1.5
 )
 
-// candidate is a back end that may take a new flow, with what the scorers found of it.
+// candidate is a back end that may take a new flow, with the values that the scorers fill in.
 type candidate struct {
 	member *directory.Member
 	state  *backendState
 	local  bool
-	// score is by the flow's hash, and decides between equals.
+	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
 	score float64
-	// load is the work at the back end relative to its slots, and soon what it will be, counting
-	// flows of the last moments.
+	// load is the work at the back end relative to its slots, and expectedLoad the same with the
+	// flows placed in the last moments counted in.
 	load, soon float64
-	// even is what is kept even where a request hardly waits: the load, or in a large zone the
-	// rate of work over a longer time, relative to slots.
+	// balanceLoad is compared where a request hardly waits: load, or in a large zone the rate of
+	// work over a longer time, relative to slots.
 	even float64
-	// failures counts the requests that it failed lately, through all balancers.
+	// failures counts its recent failed requests, through all balancers.
 	failures float64
-	// pace is how many times longer than usual a request takes there, 1 at the least.
+	// slowdown is the time of a request there relative to the typical one, at least 1.
 	pace float64
-	// time is how long a request is expected to take there, in usual times.
+	// expectedTime is the expected time of a request there, in typical times.
 	time float64
-	// trial is set where a flow finds out whether the back end is still slow.
+	// probe is set where the flow would test whether a slow back end has recovered.
 	trial bool
 }
 
-// choice is the result of choose; member is nil where no back end may take the flow.
+// choice is the result of choose. member is nil where no back end may take the flow.
 type choice struct {
 	member *directory.Member
 	part   *part
-	// refusal is why none may.
+	// refusal is the reason where member is nil.
 	refusal errkind.Kind
-	// turn is the part whose turn it was, and reason why the flow went to the other one.
+	// scheduled is the part that the rotation named, and reason why the flow went to that part or
+	// to another one.
 	scheduled *part
 	reason    PartReason
 	spilled   bool
@@ -51,29 +52,29 @@
 	probe     bool
 }
 
-// pass is one look at the parts of a service.
+// pass is one round over the parts of a service.
 type pass struct {
-	// tier is an index of tiers.
+	// tier is an index into tiers.
 	tier int
-	// skipFailing leaves out a part whose back ends are all out of rotation, or that rests.
+	// skipFailing skips a part whose back ends are all ejected, or that is in cooldown.
 	skipFailing bool
 }
 
-// passes are in order of preference. A service with one part has none that skips.
+// passes are in order of preference. A service with one part has no pass that skips.
 var passes = []pass{{tier: 0, skipFailing: true}, {tier: 0}, {tier: 1}, {tier: 2}, {tier: 3}}
 
-// choose picks the back end of a new flow. The part whose turn it is goes first, and another one where it
-// can take none. A flow that leaves an earlier place has had its turn.
-func (s *Steerer) choose(now time.Duration, hash uint64, service *settings.Service, left *record) choice {
+// choose picks the back end of a new flow. The scheduled part is tried first, and the others where
+// it can take none. A flow that moves away from previous keeps the part it was scheduled for.
+func (s *Steerer) choose(now time.Duration, hash uint64, service *settings.Service, previous *record) choice {
 	var avoid *backendState
-	var had *part
-	if left != nil {
-		avoid, had = left.backend, left.turn
+	var previousPart *part
+	if previous != nil {
+		avoid, previousPart = previous.backend, previous.turn
 	}
-	parts := s.rotationOf(service, hash).next(had)
-	reason, usual := PartTurn, PartTurn
+	parts := s.rotationOf(service, hash).next(previousPart)
+	reason, scheduledReason := PartScheduled, PartScheduled
 	if len(parts) < 2 {
-		usual = PartOnly
+		scheduledReason = PartOnly
 	}
 	for i, pass := range passes {
 		if len(parts) < 2 && pass.skipFailing {
@@ -81,24 +82,24 @@
 		}
 		for _, p := range parts {
 			s.placing = placing{now: now, hash: hash, group: p.group, pool: s.view.Pool(p.group.Discover), limit: s.warmUpOf(p.group), avoid: avoid}
-			able, why := s.evaluate(p, pass)
-			if able {
+			usable, unusableReason := s.evaluate(p, pass)
+			if usable {
 				if p == parts[0] {
-					reason = usual
+					reason = scheduledReason
 				}
 				picked := s.pick(p, service)
 				picked.scheduled, picked.reason = parts[0], reason
 				return picked
 			}
 			if i == 0 && p == parts[0] {
-				reason = why
+				reason = unusableReason
 			}
 		}
 	}
 	return choice{refusal: s.refusal(parts)}
 }
 
-// refusal is why no back end of the parts may take a flow.
+// refusal returns the reason why no back end of the parts may take a flow.
 func (s *Steerer) refusal(parts []*part) errkind.Kind {
 	for _, p := range parts {
 		for _, member := range s.view.Pool(p.group.Discover).Open {
@@ -110,40 +111,42 @@
 	return errkind.NoBackend
 }
 
-// weigh gathers and scores candidates, and tells whether they can take the flow, or why not.
-func (s *Steerer) evaluate(p *part, pass pass) (able bool, why PartReason) {
+// evaluate gathers and scores the candidates of a part, and reports whether they can take the
+// flow, or why not.
+func (s *Steerer) evaluate(p *part, pass pass) (usable bool, reason PartReason) {
 	if !s.gatherCandidates(pass.tier) {
 		return false, s.unavailableReason()
 	}
 	s.scoreCandidates()
 	if !pass.skipFailing {
-		return true, PartTurn
+		return true, PartScheduled
 	}
-	// A part that is merely busy keeps its share: with few back ends a request in each slot is usual.
-	out := true
+	// A part that is merely busy keeps its share: with few back ends a request in each slot is
+	// normal.
+	allEjected := true
 	for i := range s.candidates {
-		out = out && s.candidates[i].state.out
+		allEjected = allEjected && s.candidates[i].state.out
 	}
 	switch {
-	case out:
-		return false, PartOut
+	case allEjected:
+		return false, PartEjected
 	case s.poolOf(p.group.Discover).rest.blocks(s.placing.now):
-		return false, PartDark
+		return false, PartUnresponsive
 	}
-	return true, PartTurn
+	return true, PartScheduled
 }
 
-// whyNone tells why a part has no candidate.
+// unavailableReason returns why a part has no candidate.
 func (s *Steerer) unavailableReason() PartReason {
 	p := &s.placing
 	if len(p.pool.Open) == 0 {
 		return PartEmpty
 	}
-	reason := PartDark
+	reason := PartUnresponsive
 	for _, member := range p.pool.Open {
 		switch state := s.observed(member); {
 		case s.withholds(p.now, p.limit, member, state):
-			return PartCold
+			return PartWarmingUp
 		case s.connectionsOf(p.group, member).Avoids(state.flows):
 			reason = PartFull
 		}
@@ -151,18 +154,18 @@
 	return reason
 }
 
-// pick returns the best of the candidates, which were scored: the one with the least work in the own
-// zone, unless even that has more than the load factor allows above the mean of all zones. Where back
-// ends are equal the flow's hash decides, so that balancers that know nothing yet agree and do not
-// crowd one.
+// pick returns the best of the scored candidates: the one with the shortest expected time in the
+// own zone, unless its load exceeds the mean of all zones by more than the load factor. Ties are
+// broken by the flow's hash, so that balancers without any load reports agree and do not all
+// choose the same back end.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
-	usual := s.placing.typicalLatency
-	known := s.poolOf(p.group.Discover)
-	known.usual = usual
-	turn := known.rotation
-	known.rotation++
-	local := s.best(usual, true, turn)
-	remote := s.best(usual, false, turn)
+	typicalLatency := s.placing.typicalLatency
+	pool := s.poolOf(p.group.Discover)
+	pool.usual = typicalLatency
+	rotation := pool.rotation
+	pool.rotation++
+	local := s.best(typicalLatency, true, rotation)
+	remote := s.best(typicalLatency, false, rotation)
 	best, spilled := local, false
 	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
@@ -170,8 +173,8 @@
 	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.trial}
 }
 
-// leavesZone tells whether a new flow is better off in another zone: the own one has
-// more than its share, or a request would wait there and not elsewhere.
+// shouldSpill reports whether a new flow is better placed in another zone: the own zone has more
+// than its share of load, or a request would wait here and not there.
 func (s *Steerer) shouldSpill(local, remote *candidate, service *settings.Service) bool {
 	if local.busy() && !remote.busy() {
 		return true
@@ -179,12 +182,12 @@
 	return local.load > service.LoadFactor*meanLoad(s.candidates)+loadSlack
 }
 
-// full tells whether this balancer alone has a request under way in each slot.
+// busy reports whether this balancer alone has a request in progress in each slot.
 func (c *candidate) busy() bool {
 	return c.state.active >= max(c.member.Slots, 1)
 }
 
-// meanLoad is the mean over all zones.
+// meanLoad returns the mean load over all zones.
 func meanLoad(candidates []candidate) float64 {
 	sum := 0.0
 	for i := range candidates {
@@ -193,11 +196,11 @@
 	return sum / float64(len(candidates))
 }
 
-// best returns the least loaded candidate in or outside the own zone, nil for none. In a
-// large zone it compares those alone whose turn it is, unless all of them are full or out of rotation.
-func (s *Steerer) best(usual float64, local bool, turn int) *candidate {
+// best returns the best candidate inside or outside the own zone, or nil. In a large zone it
+// compares only the current subset, unless the best of that is busy or ejected.
+func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
 	if s.own.Count < manyBalancers {
-		return bestIn(s.candidates, usual, local, subset{})
+		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	total := 0
 	for i := range s.candidates {
@@ -205,17 +208,17 @@
 			total++
 		}
 	}
-	best := bestIn(s.candidates, usual, local, s.own.subset(total, turn))
+	best := bestIn(s.candidates, typicalLatency, local, s.own.subset(total, rotation))
 	if best != nil && (best.busy() || best.state.out) {
-		return bestIn(s.candidates, usual, local, subset{})
+		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	return best
 }
 
-// least returns the candidate in or outside the own zone and in the span where a request
-// is expected to take the least time, nil for none.
-func bestIn(candidates []candidate, usual float64, local bool, within subset) *candidate {
-	var least *candidate
+// bestIn returns the candidate of the subset, inside or outside the own zone, with the shortest
+// expected time, or nil.
+func bestIn(candidates []candidate, typicalLatency float64, local bool, within subset) *candidate {
+	var best *candidate
 	position := 0
 	for i := range candidates {
 		c := &candidates[i]
@@ -226,9 +229,9 @@
 		if !within.contains(position - 1) {
 			continue
 		}
-		if least == nil || c.before(least, usual) {
-			least = c
+		if best == nil || c.before(best, typicalLatency) {
+			best = c
 		}
 	}
-	return least
+	return best
 }
--- a/internal/steering/config.go
+++ b/internal/steering/config.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Config is what a steerer is made with.
+// Config configures a Steerer.
 type Config struct {
-	// Zone is where this balancer is; back ends there are preferred.
+	// Zone is the balancer's zone, whose back ends are preferred.
 	Zone string
-	// FlowLife is how long a flow may live; older ones may be forgotten.
+	// FlowLife is the maximum age of a flow; records of older ones may be dropped.
 	FlowLife time.Duration
-	// LapseGrace is how long after their entries vanished back ends may still take
-	// new flows, where a group has no other: entries also vanish by mistake.
+	// RemovalGrace is how long back ends may still take new flows after their entries were
+	// removed, where a group has no other: entries are also removed by mistake.
 	LapseGrace time.Duration
-	// MaxFlows bounds the flows that are remembered; 0 is no bound. Others are
-	// forwarded by their tag alone.
+	// MaxFlows limits the flows that are recorded; 0 is no limit. Packets of others are forwarded
+	// by their tags alone.
 	MaxFlows int
-	// WarmUpOvershoot and WarmUpSlack bound the new flows that a back end gets in any second while it
-	// warms up, over all balancers: its group's rate times the first, plus the second. An overshoot
-	// below 1 counts as 1.
+	// WarmUpOvershoot and WarmUpSlack limit the new flows that a back end gets in any second while
+	// it warms up, over all balancers: the rate of its group times the first, plus the second. An
+	// overshoot below 1 counts as 1.
 	WarmUpOvershoot, WarmUpSlack float64
-	// Mechanisms are turned off by experiments alone.
+	// Mechanisms are disabled by experiments only.
 	Mechanisms Mechanisms
 }
 
-// Mechanisms are the parts of the decisions that an experiment can turn off.
+// Mechanisms disables parts of the decision for experiments.
 type Mechanisms struct {
 	// NoCopyMemory places each copy of an opening packet anew.
 	NoCopyMemory bool
-	// NoCopyWait places copies of opening packets at once that another balancer may have placed.
+	// NoCopyWait places copies of opening packets at once, even if another balancer may have
+	// placed the flow.
 	NoCopyWait bool
-	// NoPins follows the tag of each packet, also where the flow's back end is known.
+	// NoPins follows the tag of each packet even if the flow's back end is known.
 	NoPins bool
-	// NoSuspicion keeps sending new flows to silent back ends.
+	// NoSuspicion keeps sending new flows to unresponsive back ends.
 	NoSuspicion bool
-	// NoOutliers takes all answers for what callers asked for.
+	// NoOutliers does not detect responses that look like failures.
 	NoOutliers bool
-	// NoFaults places new flows as if no request had been left unanswered.
+	// NoFaults ignores unanswered requests in placement.
 	NoFaults bool
-	// NoResets leaves flows at back ends that are lost.
+	// NoResets does not end flows at back ends that are down.
 	NoResets bool
-	// NoPacing counts new flows as the recent requests that they are, however many come at once.
+	// NoPacing does not correct loads for flows placed in the last moments.
 	NoPacing bool
-	// NoPace takes back ends that warm up or are slow for as quick as others.
+	// NoPace assumes that back ends that are warming up or slow are as fast as others.
 	NoPace bool
 	// NoLoad places by hash alone.
 	NoLoad bool
-	// NoWarmUpLimit sends back ends that warm up as many new flows as others.
+	// NoWarmUpLimit does not limit new flows to back ends that are warming up.
 	NoWarmUpLimit bool
-	// EvenWarmUp lets each balancer of a zone send its even share of the rate to back ends there that
-	// warm up, whoever else does.
+	// EvenWarmUp lets each balancer of a zone use an even share of the warm-up rate.
 	EvenWarmUp bool
-	// NoLapsed leaves back ends alone whose entries vanished in an outage of the store.
+	// NoLapsed does not use back ends whose entries expired in an outage of the store.
 	NoLapsed bool
-	// NoInquiries asks no other balancer where a flow rests.
+	// NoInquiries does not ask other balancers for a flow's back end.
 	NoInquiries bool
-	// NoStandstill forwards opening packets that waited while the process stood still.
+	// NoStandstill forwards opening packets that were queued while the process was paused.
 	NoStandstill bool
 }
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -30,19 +30,19 @@
 	if counts := f.countParts(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
 		t.Errorf("a split service: %v", counts)
 	}
-	caller, verdict := 200, Verdict{}
+	caller, decision := 200, Verdict{}
 	for ; caller < 400; caller++ {
-		if verdict = f.open(caller, feedAddress, 0); verdict.Action != Forward {
+		if decision = f.open(caller, feedAddress, 0); decision.Action != Forward {
 			break
 		}
-		f.established(caller, feedAddress, verdict.Backend.Tag, 1, 0)
+		f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 	}
-	if verdict.Action != Refuse || verdict.Reason != errkind.ConnectionsFull {
-		t.Fatalf("after %d flows: %+v", caller-200, verdict)
+	if decision.Action != Refuse || decision.Reason != errkind.ConnectionsFull {
+		t.Fatalf("after %d flows: %+v", caller-200, decision)
 	}
 	f.steerer.Steer(f.now, &Packet{Flow: key(200, feedAddress), Kind: Close, Tag: f.steerer.flows[key(200, feedAddress)].member.Tag, Acknowledged: 2})
-	if verdict := f.open(500, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("after one has ended: %+v", verdict)
+	if decision := f.open(500, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("after one has ended: %+v", decision)
 	}
 }
 
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -13,7 +13,7 @@
 	if known == nil {
 		return s.adopt(now, packet)
 	}
-	verdict := Verdict{Action: Forward}
+	decision := Verdict{Action: Forward}
 	if known.member.Tag != packet.Tag {
 		if s.opensElsewhere(now, known, packet) {
 			if s.seek(now, packet) {
@@ -25,25 +25,25 @@
 			}
 			s.pinTo(known, member)
 		} else {
-			verdict.Repinned = s.reconcile(known, packet)
+			decision.Repinned = s.reconcile(known, packet)
 		}
 	}
-	// Only now is it known where the flow rests: a copy of its opening packet may have been placed
-	// here at a back end that is lost, while another one has answered.
+	// The flow's back end is certain only now: a copy of its opening packet may have been placed
+	// here at a back end that is down, while another one has answered.
 	if s.givesUp(now, known.backend, packet) {
 		s.forget(known)
 		return refuse(errkind.BackendLost)
 	}
-	verdict.Backend, verdict.Tag = known.member, known.member.Tag
+	decision.Backend, decision.Tag = known.member, known.member.Tag
 	s.observe(now, known, packet)
 	if packet.Kind == Abort {
 		s.forget(known)
 	}
-	return verdict
+	return decision
 }
 
-// adopt learns from its tag a flow that came from another balancer. The tag of an opening packet is good for the
-// caller's first packet, and only if no other balancer knows better.
+// adopt records a flow from another balancer by its tag. The tag of an opening packet is valid for
+// the caller's first packet, and only if no other balancer knows better.
 func (s *Steerer) adopt(now time.Duration, packet *Packet) Verdict {
 	member := s.taggedBackend(packet, packet.Tag)
 	if member == nil {
@@ -73,7 +73,7 @@
 		begun:    true,
 		started:  now,
 		lastSeen: now,
-		// What the caller has received before is no sign of life now.
+		// Data that the caller received earlier does not show that the back end responds now.
 		acknowledged: packet.Acknowledged,
 		sequence:     packet.Sequence,
 	}
@@ -83,7 +83,7 @@
 	return Verdict{Action: Forward, Backend: member, Tag: member.Tag}
 }
 
-// observe learns from a packet of a flow what its back end does.
+// observe updates the state of a flow's back end from a packet.
 func (s *Steerer) observe(now time.Duration, known *record, packet *Packet) {
 	known.received(now, packet)
 	if known.answerTime > 0 && known.endsAnswer(packet) {
@@ -100,10 +100,10 @@
 	}
 }
 
-// reconcile decides between the tag of a packet and the back end that the flow is
-// remembered at. While a flow opens, the tag tells which back end answered. Later
-// a differing tag comes from a second back end that answered a late copy of the
-// opening packet; the flow rests on the first, which alone holds its data.
+// reconcile handles a packet whose tag differs from the flow's recorded back end. While a flow
+// opens, the tag shows which back end answered. Later a differing tag comes from a second back end
+// that answered a late copy of the opening packet; the flow stays pinned to the first, which alone
+// has its data.
 func (s *Steerer) reconcile(known *record, packet *Packet) (repinned bool) {
 	if !known.opening && !s.config.Mechanisms.NoPins {
 		return !known.opensBy(packet, known.member.Tag)
@@ -115,7 +115,7 @@
 	return false
 }
 
-// restAt notes that a flow rests at a back end.
+// pinTo changes the recorded back end of a flow.
 func (s *Steerer) pinTo(known *record, member *directory.Member) {
 	if member == known.member {
 		return
@@ -125,8 +125,8 @@
 	known.backend.join(known)
 }
 
-// named returns the back end that the packet's tag names, as that of an opening packet with the sequence or of later
-// ones; nil for none.
+// namedBackend returns the back end that the packet's tag names, as the tag of an opening packet
+// with the sequence or of a later packet; nil for none.
 func (s *Steerer) named(packet *Packet, openSequence uint32) *directory.Member {
 	if member := s.taggedBackend(packet, packet.Tag); member != nil {
 		return member
@@ -134,8 +134,8 @@
 	return s.taggedBackend(packet, openingTag(packet.Tag, openSequence))
 }
 
-// tagged returns the back end that a tag names for the packet's flow, nil for none. Where
-// two share a tag, the one that the packet's service uses is meant.
+// taggedBackend returns the back end that a tag names for the packet's flow, or nil. Where two
+// share a tag, it is the one that the packet's service uses.
 func (s *Steerer) taggedBackend(packet *Packet, tag directory.Tag) *directory.Member {
 	members := s.view.Tagged(tag)
 	if len(members) == 0 {
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -117,14 +117,14 @@
 		caller++
 		s := zone[random.IntN(len(zone))]
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
-		verdict := s.Steer(now, &Packet{Flow: key, Kind: Open, Sequence: 1})
-		if verdict.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", verdict.Reason)
+		decision := s.Steer(now, &Packet{Flow: key, Kind: Open, Sequence: 1})
+		if decision.Backend == nil {
+			t.Fatalf("no back end is chosen: %v", decision.Reason)
 		}
-		tag := verdict.Backend.Tag
+		tag := decision.Backend.Tag
 		s.Steer(now, &Packet{Flow: key, Kind: Established, Tag: tag, Sequence: 2, Acknowledged: 1, Payload: 100})
 		ends = append(ends, flowEnd{now + answerLatency, s, Packet{Flow: key, Kind: Close, Tag: tag, Sequence: 102, Acknowledged: 600}})
-		taken(now, verdict.Backend.ID)
+		taken(now, decision.Backend.ID)
 	}
 }
 
@@ -168,12 +168,12 @@
 	for caller := range flows {
 		s := zone[random.IntN(len(zone))]
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
-		verdict := s.Steer(time.Second, &Packet{Flow: key, Kind: Open, Sequence: 1})
-		if verdict.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", verdict.Reason)
+		decision := s.Steer(time.Second, &Packet{Flow: key, Kind: Open, Sequence: 1})
+		if decision.Backend == nil {
+			t.Fatalf("no back end is chosen: %v", decision.Reason)
 		}
-		taken[verdict.Backend.ID]++
-		most = max(most, taken[verdict.Backend.ID])
+		taken[decision.Backend.ID]++
+		most = max(most, taken[decision.Backend.ID])
 	}
 	if mean := flows / zoneServers; most > mean*5/4 {
 		t.Errorf("one back end takes %d flows, the mean is %d", most, mean)
--- a/internal/steering/parts.go
+++ b/internal/steering/parts.go
@@ -7,50 +7,50 @@
 	"gaugeyard/internal/settings"
 )
 
-// A service may be split into parts, groups with a share each. Each balancer alone keeps to the shares of
-// new flows, and tells nobody: of 70 balancers each sees few flows, so that they begin at different places,
-// or all of them would give their first flows to the part with the largest share. A part that can take none
-// now gives its turn to the others. That counts as its turn, so that it has its share again, and no more,
-// with the first flow that finds it able: whether it is able is asked anew for each flow, and what
-// speaks against its back ends (a doubt of 0.5 to 8 s, 7 s and more out of rotation) lasts by itself.
+// A service may be split into parts, groups with a share each. Each balancer keeps the shares of
+// its own new flows without exchanging counts. Since each sees few flows, balancers start at
+// different positions of the rotation; else all of them would send their first flows to the part
+// with the largest share. A part that cannot take a flow passes it to the others, which uses up
+// its place in the rotation: it gets its share again, and no more, as soon as it can take flows.
 
 const (
-	// goldenStep is how far turns lie apart on the circle of the shares. By the golden ratio the turns of any
-	// part are as even as they can be, wherever the first one lies.
+	// rotationStep is the distance between consecutive positions on the unit circle of the shares.
+	// The golden ratio spreads the positions of each part evenly, wherever the first one is.
 	rotationStep = 0.6180339887498949
-	// mostCorrection is by how much new flows may miss their part's share to correct what flows ask for later:
-	// a part whose flows ask more often gets fewer of them. Operators weigh new flows, so that it is little.
+	// maxCorrection limits how far the share of new flows may deviate to correct for flows that
+	// send more requests than others. It is small since operators weigh new flows.
 	maxCorrection = 0.05
-	// usualRequests is how many requests, as the shares want them, are counted beside those that were seen, so
-	// that a few do not count as a miss.
+	// priorShareRequests is the number of requests, divided by the shares, that is added to the
+	// counts so that a few requests cause no correction.
 	priorShareRequests = 50
-	// partDecay is what of a part's count is left after a second.
+	// partCountDecay is the factor per second for the request count of a part.
 	partCountDecay = 0.97
 )
 
-// PartReason is why a flow went to the part of its service that it went to.
+// PartReason is why a flow went to a part of its service.
 type PartReason uint8
 
-// The reasons. All but the first two say what kept the part from its turn.
+// The reasons. All but the first two say why the scheduled part could not take the flow.
 const (
-	// PartOnly is a service of one part.
+	// PartOnly means that the service has one part.
 	PartOnly PartReason = iota
-	// PartTurn is the part whose turn it was.
-	PartTurn
-	// PartEmpty is no back end, or none outside of evacuated zones.
+	// PartScheduled means that the part was scheduled.
+	PartScheduled
+	// PartEmpty means that it has no back end outside of evacuated zones.
 	PartEmpty
-	// PartDark is none that answers, be it opening packets or requests.
-	PartDark
-	// PartCold is none but such as warm up and get their flows from others now.
-	PartCold
-	// PartFull is all near their limit of flows, and PartOut all out of rotation.
+	// PartUnresponsive means that no back end answers opening packets or requests.
+	PartUnresponsive
+	// PartWarmingUp means that its back ends are warming up and get their flows from other
+	// balancers now.
+	PartWarmingUp
+	// PartFull means that all are near their limit of flows, PartEjected that all are ejected.
 	PartFull
-	PartOut
+	PartEjected
 
 	partReasons
 )
 
-// PartReasons lists all reasons.
+// PartReasons returns all reasons.
 func PartReasons() []PartReason {
 	reasons := make([]PartReason, partReasons)
 	for i := range reasons {
@@ -59,16 +59,16 @@
 	return reasons
 }
 
-// String returns the word of logs and counters.
+// String returns the name in logs and metrics.
 func (r PartReason) String() string {
 	return [...]string{"only", "turn", "empty", "dark", "cold", "full", "out_of_rotation"}[r]
 }
 
-// split is whose turn it is among the parts of one service.
+// rotation schedules the parts of one service by their shares.
 type rotation struct {
-	// at is the place on the circle of the next turn, from 0 to 1.
+	// position is the last position on the unit circle.
 	position float64
-	// parts are those with a share, as the settings that they were read from have them.
+	// parts are those with a share in service, the settings that they were read from.
 	service *settings.Service
 	parts   []*part
 	targets []float64
@@ -78,34 +78,33 @@
 // part is a group of a split service.
 type part struct {
 	group *settings.Group
-	// share is its part of new flows, and count the decaying number of requests on flows that had
-	// its turns.
+	// share is its share of new flows, and requests the decaying number of requests on flows that
+	// were scheduled for it.
 	share, count float64
 }
 
-// newSplit begins at a place that differs from balancer to balancer.
+// newRotation starts at a position that depends on the hash.
 func newRotation(hash uint64) *rotation {
 	return &rotation{position: float64(hash>>11) / (1 << 53)}
 }
 
-// take reads the shares of a service. Where these have changed, what was counted by the old ones does not
-// count against the new ones.
-func (s *rotation) update(service *settings.Service) {
-	if s.service == service {
+// update reads the shares of a service. Counts are reset where the shares have changed.
+func (r *rotation) update(service *settings.Service) {
+	if r.service == service {
 		return
 	}
-	s.service = service
-	before := s.parts
-	s.parts = nil
+	r.service = service
+	previous := r.parts
+	r.parts = nil
 	sum := 0.0
 	for i := range service.Groups {
 		if group := &service.Groups[i]; group.Share > 0 {
-			s.parts = append(s.parts, partFor(before, group))
+			r.parts = append(r.parts, partFor(previous, group))
 			sum += group.Share
 		}
 	}
-	changed := len(s.parts) != len(before)
-	for _, p := range s.parts {
+	changed := len(r.parts) != len(previous)
+	for _, p := range r.parts {
 		share := p.group.Share / sum
 		changed = changed || share != p.share
 		p.share = share
@@ -113,14 +112,14 @@
 	if !changed {
 		return
 	}
-	for _, p := range s.parts {
+	for _, p := range r.parts {
 		p.count = 0
 	}
 }
 
-// partOf returns the part of the group, which keeps its counts.
-func partFor(known []*part, group *settings.Group) *part {
-	for _, p := range known {
+// partFor returns the part of the group with its counts, or a new one.
+func partFor(previous []*part, group *settings.Group) *part {
+	for _, p := range previous {
 		if p.group.Path == group.Path && p.group.Discover == group.Discover {
 			p.group = group
 			return p
@@ -129,75 +128,75 @@
 	return &part{group: group}
 }
 
-// turn returns the parts in the order in which they are asked to take a flow: the one whose turn it
-// is, and the others as their shares divide its turns. had is the part whose turn was used for the flow
-// before and counts no more, nil for none. The list is valid until the next call.
-func (s *rotation) next(had *part) []*part {
-	if len(s.parts) < 2 {
-		return s.parts
-	}
-	s.computeTargets()
-	s.order = append(s.order[:0], s.parts...)
-	if at := slices.Index(s.order, had); at >= 0 {
-		had.count = max(had.count-1, 0)
-		s.order[0], s.order[at] = s.order[at], s.order[0]
-		return s.order
-	}
-	s.position = math.Mod(s.position+rotationStep, 1)
-	place := s.position
-	for i := range s.order {
-		place = selectPart(s.order[i:], s.targets[i:], place)
-	}
-	return s.order
+// next returns the parts in the order in which they are tried for a flow: the scheduled one, then
+// the others, divided by their shares. previous is the part that the flow was scheduled for
+// before, which is scheduled again; nil for a new flow. The list is valid until the next call.
+func (r *rotation) next(previous *part) []*part {
+	if len(r.parts) < 2 {
+		return r.parts
+	}
+	r.computeTargets()
+	r.order = append(r.order[:0], r.parts...)
+	if at := slices.Index(r.order, previous); at >= 0 {
+		previous.count = max(previous.count-1, 0)
+		r.order[0], r.order[at] = r.order[at], r.order[0]
+		return r.order
+	}
+	r.position = math.Mod(r.position+rotationStep, 1)
+	position := r.position
+	for i := range r.order {
+		position = selectPart(r.order[i:], r.targets[i:], position)
+	}
+	return r.order
 }
 
-// aim works out which part of new flows each part should get.
-func (s *rotation) computeTargets() {
+// computeTargets computes the share of new flows that each part should get.
+func (r *rotation) computeTargets() {
 	total := float64(priorShareRequests)
-	for _, p := range s.parts {
+	for _, p := range r.parts {
 		total += p.count
 	}
-	s.targets = s.targets[:0]
-	for _, p := range s.parts {
-		has := (p.count + priorShareRequests*p.share) / total
-		most := min(maxCorrection, p.share/2)
-		s.targets = append(s.targets, p.share+max(-most, min(p.share-has, most)))
+	r.targets = r.targets[:0]
+	for _, p := range r.parts {
+		share := (p.count + priorShareRequests*p.share) / total
+		limit := min(maxCorrection, p.share/2)
+		r.targets = append(r.targets, p.share+max(-limit, min(p.share-share, limit)))
 	}
 }
 
-// pickPart brings the part to the front at whose targets the place lies, and returns the place within it,
-// by which its turns are divided among the others.
-func selectPart(parts []*part, targets []float64, place float64) float64 {
+// selectPart moves the part whose range contains the position to the front, and returns the
+// position within that range, which orders the other parts.
+func selectPart(parts []*part, targets []float64, position float64) float64 {
 	sum := 0.0
 	for _, target := range targets {
 		sum += target
 	}
 	from, at := 0.0, 0
 	for at = range targets {
-		if place*sum < from+targets[at] || at == len(targets)-1 {
+		if position*sum < from+targets[at] || at == len(targets)-1 {
 			break
 		}
 		from += targets[at]
 	}
-	within := (place*sum - from) / targets[at]
+	within := (position*sum - from) / targets[at]
 	parts[0], parts[at] = parts[at], parts[0]
 	targets[0], targets[at] = targets[at], targets[0]
 	return min(max(within, 0), 1)
 }
 
-// split returns whose turn it is among the parts of the service. The hash of the first flow that came
-// differs between balancers, also before they have heard of each other.
+// rotationOf returns the rotation of the service. The hash of the first flow differs between
+// balancers, also before they have received anything from each other.
 func (s *Steerer) rotationOf(service *settings.Service, hash uint64) *rotation {
-	known := s.rotations[service.Name]
-	if known == nil {
-		known = newRotation(hash)
-		s.rotations[service.Name] = known
+	r := s.rotations[service.Name]
+	if r == nil {
+		r = newRotation(hash)
+		s.rotations[service.Name] = r
 	}
-	known.update(service)
-	return known
+	r.update(service)
+	return r
 }
 
-// renamed tells whether no service of the name stands at the address any more.
+// serviceReplaced reports whether the address no longer belongs to a service of the name.
 func (s *Steerer) serviceReplaced(name string, service *settings.Service) bool {
 	if s.view.Settings == nil {
 		return false
@@ -206,14 +205,14 @@
 	return current == nil || current.Name != name
 }
 
-// decaySplits lets a second pass.
+// decayRotations ages the counts by one second.
 func (s *Steerer) decaySplits() {
-	for name, known := range s.rotations {
-		if s.serviceReplaced(name, known.service) {
+	for name, r := range s.rotations {
+		if s.serviceReplaced(name, r.service) {
 			delete(s.rotations, name)
 			continue
 		}
-		for _, p := range known.parts {
+		for _, p := range r.parts {
 			p.count *= partCountDecay
 		}
 	}
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -67,13 +67,13 @@
 	f.Helper()
 	counts := map[string]int{}
 	for caller := first; caller < first+count; caller++ {
-		verdict := f.open(caller, splitAddress, 0)
-		if verdict.Action != Forward {
-			counts[verdict.Reason.String()]++
+		decision := f.open(caller, splitAddress, 0)
+		if decision.Action != Forward {
+			counts[decision.Reason.String()]++
 			continue
 		}
-		f.established(caller, splitAddress, verdict.Backend.Tag, 1, 0)
-		counts[verdict.Part.Discover+" "+verdict.PartReason.String()]++
+		f.established(caller, splitAddress, decision.Backend.Tag, 1, 0)
+		counts[decision.Part.Discover+" "+decision.PartReason.String()]++
 	}
 	return counts
 }
@@ -109,19 +109,19 @@
 		"evacuated": {evacuate(true), evacuate(false), PartEmpty},
 		"suspected": {
 			uploads(func(f *fleet, state *backendState) { state.suspectUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
 		"lost": {
 			uploads(func(f *fleet, state *backendState) { state.lostUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
 		"doubted": {
 			uploads(func(f *fleet, state *backendState) { state.doubtUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
 		"out of rotation": {
 			uploads(func(_ *fleet, state *backendState) { state.failures = 10 }),
-			uploads(func(_ *fleet, state *backendState) { state.failures = 0 }), PartOut,
+			uploads(func(_ *fleet, state *backendState) { state.failures = 0 }), PartEjected,
 		},
 	}
 	for name, c := range cases {
@@ -192,15 +192,15 @@
 	f := newFleet(t)
 	f.vanish(12)
 	caller := 0
-	verdict := f.open(caller, splitAddress, 0)
-	for ; verdict.Part.Discover != "upload"; verdict = f.open(caller, splitAddress, 0) {
-		f.established(caller, splitAddress, verdict.Backend.Tag, 1, 0)
+	decision := f.open(caller, splitAddress, 0)
+	for ; decision.Part.Discover != "upload"; decision = f.open(caller, splitAddress, 0) {
+		f.established(caller, splitAddress, decision.Backend.Tag, 1, 0)
 		caller++
 	}
 	f.pass(200 * time.Millisecond)
 	f.state(11).suspectUntil = f.now + time.Second
 	copied := f.open(caller, splitAddress, 1)
-	if copied.Action != Forward || !copied.Moved || copied.Part.Discover != "feed" || copied.PartReason != PartDark {
+	if copied.Action != Forward || !copied.Moved || copied.Part.Discover != "feed" || copied.PartReason != PartUnresponsive {
 		t.Errorf("the copy: %+v", copied)
 	}
 }
@@ -236,8 +236,8 @@
 	f.vanish(11)
 	f.vanish(12)
 	f.pass(3 * time.Second)
-	if verdict := f.open(200, splitAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoBackend {
-		t.Errorf("%+v", verdict)
+	if decision := f.open(200, splitAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
+		t.Errorf("%+v", decision)
 	}
 }
 
@@ -256,15 +256,15 @@
 func TestAPartThatAnswersOtherwiseKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
 	answer := func(caller int, failing bool) string {
-		verdict := f.open(caller, splitAddress, 0)
+		decision := f.open(caller, splitAddress, 0)
 		length, took := 4000, 60*time.Millisecond
-		if verdict.Part.Discover == "upload" {
+		if decision.Part.Discover == "upload" {
 			length, took = 600, 8*time.Millisecond
 			if failing {
 				length, took = 100, time.Millisecond
 			}
 		}
-		tag := verdict.Backend.Tag
+		tag := decision.Backend.Tag
 		f.established(caller, splitAddress, tag, 1, 100)
 		f.now += took
 		f.established(caller, splitAddress, tag, uint32(length), 0)
@@ -273,7 +273,7 @@
 		if caller%16 == 0 {
 			f.steerer.Tick(f.now)
 		}
-		return verdict.Part.Discover + " " + verdict.PartReason.String()
+		return decision.Part.Discover + " " + decision.PartReason.String()
 	}
 	count := func(first, number int, failing bool) map[string]int {
 		counts := map[string]int{}
@@ -294,14 +294,14 @@
 func TestAPartThatAnswersNoRequestRests(t *testing.T) {
 	f := newFleet(t)
 	ask := func(caller int, answered bool) string {
-		verdict := f.open(caller, splitAddress, 0)
-		tag := verdict.Backend.Tag
+		decision := f.open(caller, splitAddress, 0)
+		tag := decision.Backend.Tag
 		f.established(caller, splitAddress, tag, 1, 100)
-		if answered || verdict.Part.Discover == "feed" {
+		if answered || decision.Part.Discover == "feed" {
 			f.established(caller, splitAddress, tag, 500, 0)
 		}
 		f.pass(25 * time.Millisecond)
-		return verdict.Part.Discover + " " + verdict.PartReason.String()
+		return decision.Part.Discover + " " + decision.PartReason.String()
 	}
 	counts := map[string]int{}
 	for caller := range 400 {
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -8,38 +8,38 @@
 	"gaugeyard/internal/settings"
 )
 
-// placing is the decision on one new flow: what its filters and scorers read.
+// placementState holds the inputs of one placement, which filters and scorers read.
 type placing struct {
 	now   time.Duration
 	hash  uint64
 	group *settings.Group
 	pool  *directory.Pool
-	// limit is how new flows go to back ends of the group while these warm up.
+	// limit bounds the new flows to back ends of the group that are warming up.
 	limit warmUp
-	// avoid is the back end that a copy of an opening packet leaves, nil for none.
+	// avoid is the back end that a copy of an opening packet moves away from, or nil.
 	avoid *backendState
-	// usual is the usual time of an answer among the candidates, in seconds, 0 while unknown.
+	// typicalLatency is the typical response time of the candidates in seconds, 0 while unknown.
 	typicalLatency float64
 }
 
-// filter is one concern that keeps new flows away from a back end: true leaves it out.
+// filter reports whether a back end is excluded from a placement.
 type filter func(s *Steerer, p *placing, member *directory.Member, state *backendState) bool
 
-// scorer is one concern that weighs the candidates against each other. Scorers run in order, and
-// a later one may read what an earlier one found.
+// scorer fills in one value of all candidates. Scorers run in order, and a later one may read what
+// an earlier one filled in.
 type scorer func(s *Steerer, p *placing)
 
-// tier is a list of back ends and the concerns that thin it out. A flow goes to a back end of the
-// first tier that has any.
+// tier is a list of back ends and the filters that apply to it. A flow goes to the first tier that
+// has a candidate.
 type tier struct {
 	members func(pool *directory.Pool) []*directory.Member
 	filters []filter
-	// lapsed is set where back ends whose entries lapsed in an outage are candidates as well.
+	// includeExpired adds back ends whose entries expired in an outage of the store.
 	includeExpired bool
 }
 
-// tiers are in order of preference: back ends that are well; those near their limit; those that are silent,
-// where no other is left; those whose entries vanished moments ago, perhaps by mistake.
+// tiers are in order of preference: healthy back ends, back ends near their limit of flows,
+// unresponsive ones, and back ends whose entries were removed recently, perhaps by mistake.
 var tiers = []tier{
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterConnections}, true},
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterFull}, true},
@@ -47,14 +47,15 @@
 	{removedMembers, []filter{filterLapsed, filterCold, filterFull}, false},
 }
 
-// scorers fill the candidates: first the work at each, then what makes the same work more.
+// scorers compute the load of each candidate first, then what makes the same load slower there.
 var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreTypicalLatency, scoreSlowness, scoreTime}
 
 func openMembers(pool *directory.Pool) []*directory.Member { return pool.Open }
 
 func removedMembers(pool *directory.Pool) []*directory.Member { return pool.Left }
 
-// gather makes those back ends candidates that a tier leaves, and tells whether there are any.
+// gatherCandidates collects the back ends of a tier that pass its filters, and reports whether
+// there are any.
 func (s *Steerer) gatherCandidates(tier int) bool {
 	s.candidates = s.candidates[:0]
 	from := &tiers[tier]
@@ -67,7 +68,7 @@
 	return len(s.candidates) > 0
 }
 
-// addCandidate makes a back end a candidate that the filters leave.
+// addCandidate adds a back end to the candidates if it passes the filters.
 func (s *Steerer) addCandidate(member *directory.Member, filters []filter) {
 	state := s.observed(member)
 	if s.filtered(filters, member, state) {
@@ -91,7 +92,7 @@
 	return false
 }
 
-// score lets each concern weigh the candidates.
+// scoreCandidates runs all scorers.
 func (s *Steerer) scoreCandidates() {
 	for _, weigh := range scorers {
 		weigh(s, &s.placing)
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -17,12 +17,12 @@
 	}{{4, false}, {100, true}} {
 		f := newFleet(t)
 		for caller := range 100 {
-			verdict := f.open(caller, feedAddress, 0)
+			decision := f.open(caller, feedAddress, 0)
 			if caller%test.every == 0 {
 				f.pass(200 * time.Millisecond)
-				verdict = f.open(caller, feedAddress, 1)
+				decision = f.open(caller, feedAddress, 1)
 			}
-			f.established(caller, feedAddress, verdict.Backend.Tag, 1, 0)
+			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
 		f.pass(time.Second)
 		first := f.open(200, feedAddress, 0)
@@ -45,14 +45,14 @@
 		if vain == 50 {
 			want = Drop
 		}
-		if verdict := f.open(1, feedAddress, 1); verdict.Action != want {
-			t.Errorf("%.0f of 100 are lost, the first copy: %+v", vain, verdict)
+		if decision := f.open(1, feedAddress, 1); decision.Action != want {
+			t.Errorf("%.0f of 100 are lost, the first copy: %+v", vain, decision)
 		}
-		if verdict := f.open(1, feedAddress, 2); verdict.Action != Wait {
-			t.Errorf("%.0f of 100 are lost, the second copy: %+v", vain, verdict)
+		if decision := f.open(1, feedAddress, 2); decision.Action != Wait {
+			t.Errorf("%.0f of 100 are lost, the second copy: %+v", vain, decision)
 		}
-		if verdict := f.openWaited(1, feedAddress, 2); verdict.Action != Forward {
-			t.Errorf("%.0f of 100 are lost, the second copy, later: %+v", vain, verdict)
+		if decision := f.openWaited(1, feedAddress, 2); decision.Action != Forward {
+			t.Errorf("%.0f of 100 are lost, the second copy, later: %+v", vain, decision)
 		}
 	}
 }
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -1,6 +1,6 @@
 package steering
 
-// scoreLoad fills in the work at each candidate relative to its slots, and its failures.
+// scoreLoad fills in the loads of each candidate relative to its slots, and its failures.
 func scoreLoad(s *Steerer, p *placing) {
 	if s.config.Mechanisms.NoLoad {
 		return
@@ -20,7 +20,7 @@
 	}
 }
 
-// scoreWarmUp lets work at back ends that warm up count more.
+// scoreWarmUp sets the slowdown of back ends that are warming up.
 func scoreWarmUp(s *Steerer, p *placing) {
 	if s.config.Mechanisms.NoPace || s.config.Mechanisms.NoLoad {
 		return
@@ -32,14 +32,14 @@
 	}
 }
 
-// scoreFailures makes the load of back ends out of rotation the larger.
+// scoreFailures increases the load of ejected back ends.
 func scoreFailures(s *Steerer, _ *placing) { s.weighFailures() }
 
-// scoreUsual finds out the usual time of an answer among the candidates.
+// scoreTypicalLatency computes the typical response time of the candidates.
 func scoreTypicalLatency(s *Steerer, p *placing) { p.typicalLatency = s.usualAnswer() }
 
-// scoreSlowness lets work at back ends that answer slowly count more.
+// scoreSlowness sets the slowdown of back ends that respond slowly.
 func scoreSlowness(s *Steerer, p *placing) { s.weighSlowness(p.now, p.typicalLatency) }
 
-// scoreTime works out how long a request is expected to take.
+// scoreTime computes the expected time of a request at each candidate.
 func scoreTime(s *Steerer, p *placing) { s.expectTimes(p.typicalLatency) }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -10,15 +10,14 @@
 	"gaugeyard/internal/settings"
 )
 
-// Load is what balancers know of the work at a back end in the last seconds; each second
-// takes a part of it away.
+// Load is the work at a back end over the last seconds, decaying each second.
 type Load struct {
-	// Requests counts those that were begun, of which one that was left without an answer counts as
-	// many, and Steady the same over a longer time, by which loads are kept even in large zones.
+	// Requests counts the requests that were sent. One that stayed unanswered counts as several.
+	// Steady is the same over a longer time, by which loads are balanced in large zones.
 	Requests, Steady float64
-	// Failures counts those that failed by the look of their answers.
+	// Failures counts the requests whose responses look like failures.
 	Failures float64
-	// Answers counts the answers, and Time is the sum of the seconds until they came.
+	// Answers counts the responses, and Time is the sum of their response times in seconds.
 	Answers, Time float64
 }
 
@@ -27,24 +26,24 @@
 	return Load{l.Requests + other.Requests, l.Steady + other.Steady, l.Failures + other.Failures, l.Answers + other.Answers, l.Time + other.Time}
 }
 
-// Fading is what a time leaves of loads.
+// Decay holds the factors that age a load by some time.
 type Decay struct {
 	recent, steady float64
 }
 
-// FadingOver returns what a time leaves of loads. It costs two powers, and is meant for all loads
-// that came in one hello.
+// DecayOver returns the factors for an age. It costs two exponentiations and is meant to be
+// computed once for all loads of a hello.
 func FadingOver(age time.Duration) Decay {
 	return Decay{math.Pow(recentDecay, age.Seconds()), math.Pow(steadyDecay, age.Seconds())}
 }
 
-// Faded returns what is left of the load.
+// Decayed returns the load after decay.
 func (l Load) Faded(by Decay) Load {
 	return Load{l.Requests * by.recent, l.Steady * by.steady, l.Failures * by.recent, l.Answers * by.recent, l.Time * by.recent}
 }
 
-// SetOthersLoad takes over what other balancers told of the work at each back end; loads is the
-// steerer's from then on.
+// SetPeerLoads replaces the loads that other balancers reported for each back end. The steerer
+// owns the map from then on and may change it.
 func (s *Steerer) SetOthersLoad(loads map[directory.Tag]Load) {
 	for tag, load := range loads {
 		load.Failures = min(load.Failures, mostFailures)
@@ -64,34 +63,34 @@
 	}
 }
 
-// SetPlace takes over where this balancer stands among those of its zone.
-func (s *Steerer) SetPlace(place Place) { s.own = place }
+// SetMembership sets this balancer's position among those of its zone.
+func (s *Steerer) SetPlace(membership Place) { s.own = membership }
 
-// SetOthersDoubts takes over which back ends other balancers doubt at present.
-func (s *Steerer) SetOthersDoubts(now time.Duration, doubted []settings.BackendID) {
-	for _, id := range doubted {
+// ReceiveSuspects marks the back ends that other balancers suspect at present.
+func (s *Steerer) SetOthersDoubts(now time.Duration, suspects []settings.BackendID) {
+	for _, id := range suspects {
 		if member := s.view.Member(id); member != nil {
 			s.stateOf(member).hearDoubt(now)
 		}
 	}
 }
 
-// Doubted returns the back ends that this balancer found silent itself, at most count. Where packets get lost, a
-// single opening packet without an answer is no word for others: one that has just started does not know of
-// the loss, and would take it for a second sign.
+// Suspects returns at most count back ends that this balancer itself found unresponsive. Where
+// packets are lost, a single unanswered opening packet is not reported: a receiver that has just
+// started does not know of the loss, and would count it as a confirmation.
 func (s *Steerer) Doubted(now time.Duration, count int) []settings.BackendID {
-	var doubted []settings.BackendID
+	var suspects []settings.BackendID
 	for id, state := range s.backends {
 		if state.doubt > 0 && now < state.doubtUntil && !state.pool.lossy() || state.suspected(now) {
-			doubted = append(doubted, id)
+			suspects = append(suspects, id)
 		}
 	}
-	slices.Sort(doubted)
-	return doubted[:min(count, len(doubted))]
+	slices.Sort(suspects)
+	return suspects[:min(count, len(suspects))]
 }
 
-// RecentLoad returns how much work this balancer gave to each back end lately, the largest
-// first, at most count.
+// RecentLoad returns the recent work of this balancer at each back end, the largest first, at most
+// count.
 func (s *Steerer) RecentLoad(count int) []BackendLoad {
 	var loads []BackendLoad
 	for id, state := range s.backends {
@@ -105,8 +104,8 @@
 	return loads[:min(count, len(loads))]
 }
 
-// Failures returns how many requests each back end failed lately through this balancer, those that
-// failed the most first, at most count. Others hear of them at once.
+// Failures returns the recent failures of each back end through this balancer, the most first, at
+// most count. They are reported to other balancers at once.
 func (s *Steerer) Failures(count int) []BackendLoad {
 	var failing []BackendLoad
 	for id, state := range s.backends {
@@ -126,5 +125,5 @@
 	Load
 }
 
-// leastLoad is the load below which others need not know of it.
+// minReportedLoad is the load below which nothing is reported.
 const minReportedLoad = 0.1
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -9,49 +9,48 @@
 	"gaugeyard/internal/settings"
 )
 
-// deafTime is how long after a start under a known identifier the words of other balancers on the back end
-// may be of the start before: until they have heard of it (0.6 s along the longest chains) and what they told
-// earlier has faded (a tenth of a load is left after 6 s). A back end that has just started is slow for
-// about as long anyway, and draws no rush by that.
+// ignoreReportsTime is how long after a back end restarted under the same identifier reports of
+// other balancers may still concern its previous start: until they have received the news and the
+// loads that they reported earlier have decayed.
 const ignoreReportsTime = 6 * time.Second
 
-// deaf tells whether what others say of the back end may be of the start before.
+// ignoresReports reports whether reports on the back end may concern its previous start.
 func (b *backendState) deaf(now time.Duration) bool { return now < b.deafUntil }
 
-// noteStarts looks in a new view, of which these have changed, for back ends that started anew under their identifiers. Whatever was
-// learned of one is of no worth then, and of its flows those are ended that are older than the start: their
-// next request would be lost there, and a caller that may not repeat it would not know. Others may have
-// opened there since and stay.
+// handleRestarts looks for back ends that restarted under their identifiers, among those that
+// changed in the new view. It discards the observations of the previous start and ends the flows
+// that are older than the restart: their next request would be lost, and a caller that may not
+// repeat it would not know. Flows that may have opened since stay.
 func (s *Steerer) handleRestarts(changed []settings.BackendID) {
-	anew := map[settings.BackendID]*directory.Member{}
+	restarted := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
 		b, member := s.backends[id], s.view.Member(id)
 		switch {
 		case b == nil, member == nil:
 		case member.Born.Differs(b.born):
-			anew[id] = member
+			restarted[id] = member
 		case b.born == 0:
 			b.born = member.Born
 		}
 	}
-	if len(anew) == 0 {
+	if len(restarted) == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(anew)) {
-		before, member := s.backends[id], anew[id]
+	for _, id := range slices.Sorted(maps.Keys(restarted)) {
+		previous, member := s.backends[id], restarted[id]
 		b := s.newState(member)
 		b.deafUntil = s.pulse + ignoreReportsTime
-		b.note(StartedAnew, s.pulse-before.progress, b.deafUntil)
+		b.note(StartedAnew, s.pulse-previous.progress, b.deafUntil)
 	}
 	for _, known := range s.flows {
-		if member := anew[known.backend.id]; member != nil {
+		if member := restarted[known.backend.id]; member != nil {
 			known.backend.leave(known)
 			known.member, known.backend = member, s.backends[member.ID]
 			known.backend.join(known)
 		}
 	}
 	s.resetAll(func(known *record) bool {
-		member := anew[known.backend.id]
+		member := restarted[known.backend.id]
 		return member != nil && known.started < member.StartedAfter
 	})
 }
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -67,8 +67,8 @@
 		t.Errorf("events %+v", events)
 	}
 	// The young flow goes on.
-	if verdict := f.established(young, feedAddress, directory.TagOf(1), 1, 100); verdict.Action != Forward || verdict.Backend.ID != 1 {
-		t.Errorf("its next packet: %+v", verdict)
+	if decision := f.established(young, feedAddress, directory.TagOf(1), 1, 100); decision.Action != Forward || decision.Backend.ID != 1 {
+		t.Errorf("its next packet: %+v", decision)
 	}
 }
 
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -12,71 +12,72 @@
 )
 
 const (
-	// CopyWait is how long a copy of an opening packet waits that another balancer may have
-	// placed: a few times the 2 to 12 ms that a back end's answer and the caller's next packet
-	// need, and little beside the 200 ms that the caller has waited already.
+	// CopyWait is how long a copy of an opening packet waits if another balancer may have placed
+	// the flow: a few times what a back end's answer and the caller's next packet need, and short
+	// compared to the interval after which callers retransmit.
 	CopyWait = 20 * time.Millisecond
 	// PulseInterval is how often a driver calls Pulse.
 	PulseInterval = 125 * time.Millisecond
-	// standstill is the time without a pulse after which the process has stood
-	// still. Routers need longer to send a caller's copies elsewhere.
+	// pauseThreshold is the time without a pulse after which the process counts as having been
+	// paused. Routers take longer to reroute a caller's copies.
 	pauseThreshold = 400 * time.Millisecond
-	// pulseSlack is how much later than due a pulse may come before the process counts as
-	// short of processor, and lagTime how long what it takes for silence of others may
-	// then be its own delay.
+	// pulseSlack is how late a pulse may be before the process counts as short of CPU. For lagTime
+	// after a late pulse, missing responses may be due to its own delay.
 	pulseSlack = 30 * time.Millisecond
 	lagTime    = 150 * time.Millisecond
-	// resumeTime is how long after a standstill what arrives has waited in a queue.
+	// resumeTime is how long after a pause arriving packets may have been queued.
 	resumeTime = 50 * time.Millisecond
 )
 
-// Steerer is the decision core of one balancer. It is not safe for concurrent use.
+// Steerer makes the decisions of one balancer. It is not safe for concurrent use.
 type Steerer struct {
 	config   Config
 	view     *directory.View
 	flows    map[flow.Key]*record
 	backends map[settings.BackendID]*backendState
-	// departed are those of backends whose entries are gone: they are few, and each view is asked of them alone.
+	// removed are those of backends whose entries were removed. They are few, so that views are
+	// searched for these only.
 	departed map[settings.BackendID]*backendState
-	// splits are by the service's name.
+	// rotations are by service name.
 	rotations map[string]*rotation
-	// baselines are what answers look like.
+	// baselines describe typical responses.
 	baselines map[baselineKey]*answerBaseline
-	// own is where this balancer stands among those of its zone, and pools what it knows of
-	// the back ends of each name together.
+	// membership is this balancer's position in its zone, and pools are by the name that back ends
+	// announce.
 	own   Place
 	pools map[string]*poolState
-	// placing and candidates are the memory of placement, reused.
+	// placement, candidates and latencies are buffers reused by each placement.
 	placing    placing
 	candidates []candidate
 	means      []float64
 	// events are observations that the driver has not taken yet.
 	events []BackendEvent
-	// running is set by the first sign that the process runs, begun is when it came, pulse the
-	// last one, and resumed the end of its last standstill.
+	// running is set by the first call, at startedAt. pulse is the time of the last pulse, and
+	// resumed the end of the last pause.
 	running                   bool
 	startedAt, pulse, resumed time.Duration
-	// lagged is when a pulse last came late.
+	// lastLate is when a pulse was last late.
 	lagged time.Duration
-	// resets are flows that were ended and that the driver has not taken yet; alarm is set when
-	// others should hear of stalls, and raised when it last was.
+	// resets are ended flows that the driver has not taken yet. urgentReport is set when
+	// unresponsive back ends should be reported to others at once, and urgentAt is when it was
+	// last set.
 	resets []Reset
 	alarm  bool
 	raised time.Duration
-	// awaited are the requests under way, and looked is when those without an answer
-	// were last looked for.
+	// awaited are the requests in progress, and lastScan is when they were last searched for
+	// unanswered ones.
 	awaited  awaited
 	lastScan time.Duration
-	// searches are for flows that may rest elsewhere than their tags say, and inquiries what the driver has not taken
-	// of them yet.
+	// searches are for flows that may be pinned to another back end than their tags name, and
+	// inquiries those that the driver has not taken yet.
 	searches  map[flow.Key]search
 	inquiries []Inquiry
-	// searchesLeft is how many more searches were allowed at searchedAt.
+	// searchTokens is how many more searches were allowed at searchTokensAt.
 	searchesLeft float64
 	searchedAt   time.Duration
 }
 
-// New returns a steerer that knows no settings and no back ends.
+// New returns a steerer without settings and back ends.
 func New(config Config) *Steerer {
 	return &Steerer{
 		config:    config,
@@ -95,7 +96,7 @@
 	}
 }
 
-// Pulse tells that the process runs. A driver calls it every PulseInterval.
+// Pulse shows that the process runs. A driver calls it every PulseInterval.
 func (s *Steerer) Pulse(now time.Duration) {
 	s.detectPause(now)
 	if now-s.pulse > PulseInterval+pulseSlack {
@@ -108,13 +109,13 @@
 	}
 }
 
-// lagging tells whether the process has been short of processor just now: answers to it
-// may wait in its own queue.
+// lagging reports whether the process was short of CPU recently, so that responses may be waiting
+// in its own queue.
 func (s *Steerer) lagging(now time.Duration) bool {
 	return now-s.pulse > PulseInterval+pulseSlack || now-s.lagged < lagTime
 }
 
-// noteStandstill finds out whether the process stood still until now.
+// detectPause updates the times of the last pulse and the last pause.
 func (s *Steerer) detectPause(now time.Duration) {
 	switch {
 	case !s.running:
@@ -127,7 +128,7 @@
 // Reconfigure changes the configuration.
 func (s *Steerer) Reconfigure(config Config) { s.config = config }
 
-// SetView takes over a newer view of the desired state.
+// SetView replaces the view of the desired state by a newer one.
 func (s *Steerer) SetView(view *directory.View) {
 	changed, known := view.ChangedSince(s.view)
 	if !known {
@@ -141,7 +142,8 @@
 	s.noteEnded()
 }
 
-// noteMember takes over whether the entry of a back end is there; member is nil once no flow can rest on it.
+// noteMember updates whether the entry of a back end is removed. member is nil once no flow can be
+// pinned to it.
 func (s *Steerer) noteMember(id settings.BackendID, member *directory.Member) {
 	b := s.backends[id]
 	if b == nil {
@@ -155,7 +157,7 @@
 	b.ended = false
 }
 
-// TakeEvents returns the observations since the last call, mostly none.
+// TakeEvents returns the observations since the last call, or nil.
 func (s *Steerer) TakeEvents() []BackendEvent {
 	if len(s.events) == 0 {
 		return nil
@@ -165,10 +167,10 @@
 	return events
 }
 
-// Flows returns how many flows are remembered.
+// Flows returns how many flows are recorded.
 func (s *Steerer) Flows() int { return len(s.flows) }
 
-// Steer decides on one packet at now, a time that never goes back.
+// Steer decides on one packet. now must never decrease.
 func (s *Steerer) Steer(now time.Duration, packet *Packet) Verdict {
 	s.detectPause(now)
 	if packet.Kind == Open {
@@ -177,16 +179,15 @@
 	return s.steerEstablished(now, packet)
 }
 
-// steerOpen places an opening packet. A copy goes where the flow's earlier packet
-// went, so that not two back ends answer it, unless that one may take no new flow
-// any more or is known to be silent.
+// steerOpen places an opening packet. A copy goes to the back end of the flow's earlier packet, so
+// that two back ends do not answer it, unless that one may take no new flow any more or is silent.
 func (s *Steerer) steerOpen(now time.Duration, packet *Packet) Verdict {
 	if s.view.Settings == nil {
 		return drop(errkind.NotReady)
 	}
 	if now-s.resumed < resumeTime && !s.config.Mechanisms.NoStandstill {
-		// It waited while the process stood still. A copy has gone through another
-		// balancer meanwhile; a second back end must not answer now.
+		// The packet was queued while the process was paused, and a copy has gone through another
+		// balancer since. A second back end must not answer now.
 		return drop(errkind.Stale)
 	}
 	service := s.view.Settings.ServiceAt(packet.Flow.Service)
@@ -219,23 +220,24 @@
 		return Verdict{Action: Forward, Backend: known.member, Tag: openingTag(known.member.Tag, packet.Sequence)}
 	}
 	s.forget(known)
-	verdict := s.place(now, packet, service, known)
-	verdict.Moved, verdict.Previous = true, known.member
-	return verdict
+	decision := s.place(now, packet, service, known)
+	decision.Moved, decision.Previous = true, known.member
+	return decision
 }
 
-// mayBePlaced tells whether another balancer, or this one before it was started again, may have
-// placed the flow of an opening packet that is not known here: copies come after the first one
-// was not answered. A back end whose answer was lost repeats it just then; its caller's next
-// packet shows in a moment that the flow has opened, and a second back end must not answer as well.
+// mayBePlacedElsewhere reports whether another balancer, or this one before a restart, may have
+// placed the flow of an opening packet without a record: callers send copies when the first packet
+// is not answered. If only the answer was lost, the back end repeats it about now, and the
+// caller's next packet will show that the flow has opened. A second back end must not answer as
+// well.
 func (s *Steerer) mayBePlacedElsewhere(packet *Packet) bool {
 	return packet.Attempt > 0 && !packet.Waited && !s.config.Mechanisms.NoCopyWait
 }
 
-// losesAnswers tells whether answers to opening packets are lost so often that the first repetition of
-// one may well be lost too. Its next repetition and the caller's second copy come 0.4 s later: only that
-// copy is placed then. Links lose them whatever the service, and a balancer that has just started knows
-// of few.
+// losesAnswers reports whether answers to opening packets are lost so often that a repeated answer
+// may well be lost too. The flow is then placed with the caller's second copy only. The loss is a
+// property of links, not services, and a balancer that has just started knows few pools, so any
+// pool counts.
 func (s *Steerer) losesAnswers() bool {
 	for _, pool := range s.pools {
 		if pool.losesAnswers() {
@@ -245,8 +247,8 @@
 	return false
 }
 
-// mayOpen tells whether the back end of a flow that is still opening may take it
-// by the newest view.
+// acceptsCopy reports whether the back end of a flow that is still opening may take it by the
+// newest view.
 func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, known *record) bool {
 	if known.backend.suspected(now) && !s.config.Mechanisms.NoSuspicion {
 		return false
@@ -268,10 +270,10 @@
 	return false
 }
 
-// place chooses the back end of a new flow and remembers it. left is the flow's earlier place, which a
-// copy of its opening packet leaves, nil for none.
-func (s *Steerer) place(now time.Duration, packet *Packet, service *settings.Service, left *record) Verdict {
-	choice := s.choose(now, packet.Flow.Hash(), service, left)
+// place chooses the back end of a new flow and records it. previous is the record that a copy of
+// its opening packet moves away from, or nil.
+func (s *Steerer) place(now time.Duration, packet *Packet, service *settings.Service, previous *record) Verdict {
+	choice := s.choose(now, packet.Flow.Hash(), service, previous)
 	if choice.member == nil {
 		return refuse(choice.refusal)
 	}
@@ -288,11 +290,11 @@
 		lastSeen:     now,
 		askedAt:      now,
 	}
-	if left != nil {
-		known.left = left.member.Tag
+	if previous != nil {
+		known.left = previous.member.Tag
 	}
 	if s.remember(known) {
-		// Without a record nothing would ever show that the back end answered.
+		// Without a record no answer would ever be noticed.
 		state.asked(now)
 	}
 	state.notePlaced(now)
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -128,12 +128,12 @@
 // opened opens a flow and returns its back end.
 func (f *fleet) opened(caller int, service netip.AddrPort) *directory.Member {
 	f.Helper()
-	verdict := f.open(caller, service, 0)
-	if verdict.Action != Forward {
-		f.Fatalf("flow %d is not placed: %+v", caller, verdict)
+	decision := f.open(caller, service, 0)
+	if decision.Action != Forward {
+		f.Fatalf("flow %d is not placed: %+v", caller, decision)
 	}
-	f.established(caller, service, verdict.Backend.Tag, 1, 0)
-	return verdict.Backend
+	f.established(caller, service, decision.Backend.Tag, 1, 0)
+	return decision.Backend
 }
 
 func TestNewFlowsStayInTheZoneAndAreEven(t *testing.T) {
@@ -252,11 +252,11 @@
 	f.pass(answerTime)
 	tried := 0
 	for caller := 1; caller < 400; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		if verdict.Backend == silent {
+		decision := f.open(caller, feedAddress, 0)
+		if decision.Backend == silent {
 			tried++
 		} else {
-			f.established(caller, feedAddress, verdict.Backend.Tag, 1, 0)
+			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
 		f.pass(10 * time.Millisecond)
 	}
@@ -277,9 +277,9 @@
 	f.established(1, feedAddress, first.Tag, 5, 0)
 	f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1, 2, 3, 4})
 	for caller := 10; caller < 30; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		if verdict.Backend.Zone == "a" && verdict.Backend != first {
-			t.Fatalf("a flow goes to back end %d, which others doubt", verdict.Backend.ID)
+		decision := f.open(caller, feedAddress, 0)
+		if decision.Backend.Zone == "a" && decision.Backend != first {
+			t.Fatalf("a flow goes to back end %d, which others doubt", decision.Backend.ID)
 		}
 	}
 }
@@ -303,9 +303,9 @@
 		f := newFleet(t)
 		spilled := 0
 		for caller := range 60 {
-			verdict := f.open(caller, feedAddress, 0)
-			f.established(caller, feedAddress, verdict.Backend.Tag, 1, 100)
-			if verdict.Spilled {
+			decision := f.open(caller, feedAddress, 0)
+			f.established(caller, feedAddress, decision.Backend.Tag, 1, 100)
+			if decision.Spilled {
 				spilled++
 			}
 		}
@@ -318,8 +318,8 @@
 		for id := settings.BackendID(1); id <= 4; id++ {
 			f.vanish(id)
 		}
-		if verdict := f.open(1, feedAddress, 0); verdict.Action != Forward || verdict.Backend.Zone != "b" || !verdict.Spilled {
-			t.Errorf("verdict %+v", verdict)
+		if decision := f.open(1, feedAddress, 0); decision.Action != Forward || decision.Backend.Zone != "b" || !decision.Spilled {
+			t.Errorf("verdict %+v", decision)
 		}
 	})
 }
@@ -327,26 +327,26 @@
 func TestEstablishedPacketsFollowTheirTag(t *testing.T) {
 	f := newFleet(t)
 	for _, id := range []settings.BackendID{2, 5} {
-		verdict := f.established(int(id), feedAddress, directory.TagOf(id), 9, 10)
-		if verdict.Action != Forward || verdict.Backend.ID != id {
-			t.Errorf("back end %d: %+v", id, verdict)
+		decision := f.established(int(id), feedAddress, directory.TagOf(id), 9, 10)
+		if decision.Action != Forward || decision.Backend.ID != id {
+			t.Errorf("back end %d: %+v", id, decision)
 		}
 	}
 	f.announce(2, "feed", "a", true)
 	f.vanish(5)
 	for _, id := range []settings.BackendID{2, 5} {
-		verdict := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
-		if verdict.Action != Forward || verdict.Backend.ID != id {
-			t.Errorf("back end %d, which has left: %+v", id, verdict)
+		decision := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
+		if decision.Action != Forward || decision.Backend.ID != id {
+			t.Errorf("back end %d, which has left: %+v", id, decision)
 		}
 	}
 	unknown := Packet{Flow: key(30, feedAddress), Kind: Established, Tag: 999, Sequence: 41, Acknowledged: 9, Payload: 10}
-	if verdict := f.steerer.Steer(f.now, &unknown); verdict.Action != Wait || len(f.steerer.TakeInquiries()) != 1 {
-		t.Errorf("a tag that nobody has, while others may know the flow: %+v", verdict)
+	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Wait || len(f.steerer.TakeInquiries()) != 1 {
+		t.Errorf("a tag that nobody has, while others may know the flow: %+v", decision)
 	}
 	unknown.Waited = true
-	if verdict := f.steerer.Steer(f.now, &unknown); verdict.Action != Drop || verdict.Reason != errkind.UnknownTag {
-		t.Errorf("a tag that nobody has: %+v", verdict)
+	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Drop || decision.Reason != errkind.UnknownTag {
+		t.Errorf("a tag that nobody has: %+v", decision)
 	}
 }
 
@@ -359,14 +359,14 @@
 	f.route(tree, "split", splitAddress, map[string]string{"upload": "1"})
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Settings: &directory.Settings{Version: 2, Revision: f.revision, Tree: tree}})
 	f.steerer.SetView(f.directory.View())
-	if verdict := f.established(1, feedAddress, member.Tag, 5, 10); verdict.Action != Forward || verdict.Backend.ID != member.ID {
-		t.Errorf("the open flow: %+v", verdict)
+	if decision := f.established(1, feedAddress, member.Tag, 5, 10); decision.Action != Forward || decision.Backend.ID != member.ID {
+		t.Errorf("the open flow: %+v", decision)
 	}
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoRoute {
-		t.Errorf("a new flow: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoRoute {
+		t.Errorf("a new flow: %+v", decision)
 	}
-	if verdict := f.open(3, splitAddress, 0); verdict.Backend.Group != "upload" {
-		t.Errorf("a new flow of the changed route: %+v", verdict)
+	if decision := f.open(3, splitAddress, 0); decision.Backend.Group != "upload" {
+		t.Errorf("a new flow of the changed route: %+v", decision)
 	}
 }
 
@@ -452,9 +452,9 @@
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	other := directory.TagOf(member.ID%4 + 1)
-	verdict := f.established(1, feedAddress, other, 5, 10)
-	if verdict.Backend.ID != member.ID || !verdict.Repinned {
-		t.Errorf("%+v", verdict)
+	decision := f.established(1, feedAddress, other, 5, 10)
+	if decision.Backend.ID != member.ID || !decision.Repinned {
+		t.Errorf("%+v", decision)
 	}
 }
 
@@ -465,9 +465,9 @@
 	waiting := []int{0}
 	var answered []*directory.Member
 	for caller := 1; caller < 8; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		answered = append(answered, verdict.Backend)
-		if verdict.Backend == silent {
+		decision := f.open(caller, feedAddress, 0)
+		answered = append(answered, decision.Backend)
+		if decision.Backend == silent {
 			waiting = append(waiting, caller)
 		}
 	}
@@ -484,7 +484,7 @@
 		f.open(caller, feedAddress, 1)
 	}
 	for caller := range 40 {
-		if verdict := f.open(100+caller, feedAddress, 0); verdict.Backend == silent {
+		if decision := f.open(100+caller, feedAddress, 0); decision.Backend == silent {
 			t.Fatalf("flow %d goes to a silent back end", caller)
 		}
 	}
@@ -502,20 +502,20 @@
 // known yet. If its caller shows meanwhile that it has opened, no second back end answers.
 func TestACopyOfAnUnknownFlowWaits(t *testing.T) {
 	f := newFleet(t)
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("a first packet: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("a first packet: %+v", decision)
 	}
 	for caller, opens := range map[int]bool{3: true, 4: false} {
-		if verdict := f.open(caller, feedAddress, 1); verdict.Action != Wait {
-			t.Fatalf("a copy: %+v", verdict)
+		if decision := f.open(caller, feedAddress, 1); decision.Action != Wait {
+			t.Fatalf("a copy: %+v", decision)
 		}
 		if opens {
 			f.established(caller, feedAddress, 2, 1, 0)
 		}
 		f.now += CopyWait
-		verdict := f.openWaited(caller, feedAddress, 1)
-		if want := map[bool]Action{true: Drop, false: Forward}[opens]; verdict.Action != want {
-			t.Errorf("after the wait, opened %v: %+v", opens, verdict)
+		decision := f.openWaited(caller, feedAddress, 1)
+		if want := map[bool]Action{true: Drop, false: Forward}[opens]; decision.Action != want {
+			t.Errorf("after the wait, opened %v: %+v", opens, decision)
 		}
 	}
 }
@@ -555,12 +555,12 @@
 	if stale.Action != Drop || stale.Reason != errkind.Stale {
 		t.Errorf("an opening packet that waited: %+v", stale)
 	}
-	if verdict := f.established(1, feedAddress, member.Tag, 2, 5); verdict.Action != Forward {
-		t.Errorf("a packet of an open flow: %+v", verdict)
+	if decision := f.established(1, feedAddress, member.Tag, 2, 5); decision.Action != Forward {
+		t.Errorf("a packet of an open flow: %+v", decision)
 	}
 	f.pass(200 * time.Millisecond)
-	if verdict := f.open(3, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("an opening packet after the standstill: %+v", verdict)
+	if decision := f.open(3, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("an opening packet after the standstill: %+v", decision)
 	}
 }
 
@@ -582,16 +582,16 @@
 	for id := settings.BackendID(1); id <= 6; id++ {
 		f.vanish(id)
 	}
-	if verdict := f.open(1, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("at once: %+v", verdict)
+	if decision := f.open(1, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("at once: %+v", decision)
 	}
 	f.pass(2 * time.Second)
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("all together, after 2 s: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("all together, after 2 s: %+v", decision)
 	}
 	f.pass(600 * time.Millisecond)
-	if verdict := f.open(3, feedAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoBackend {
-		t.Errorf("later: %+v", verdict)
+	if decision := f.open(3, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
+		t.Errorf("later: %+v", decision)
 	}
 }
 
@@ -627,8 +627,8 @@
 	f.steerer.Reconfigure(config)
 	for caller := range 200 {
 		member := f.opened(caller, feedAddress)
-		if verdict := f.established(caller, feedAddress, member.Tag, 2, 10); verdict.Action != Forward || verdict.Backend.ID != member.ID {
-			t.Fatalf("flow %d: %+v", caller, verdict)
+		if decision := f.established(caller, feedAddress, member.Tag, 2, 10); decision.Action != Forward || decision.Backend.ID != member.ID {
+			t.Fatalf("flow %d: %+v", caller, decision)
 		}
 	}
 	f.pass(answerTime)
@@ -649,9 +649,9 @@
 
 func TestNothingIsPlacedBeforeSettingsAreKnown(t *testing.T) {
 	steerer := New(Config{Zone: "a", FlowLife: time.Minute})
-	verdict := steerer.Steer(0, &Packet{Flow: key(1, feedAddress), Kind: Open})
-	if verdict.Action != Drop || verdict.Reason != errkind.NotReady {
-		t.Errorf("%+v", verdict)
+	decision := steerer.Steer(0, &Packet{Flow: key(1, feedAddress), Kind: Open})
+	if decision.Action != Drop || decision.Reason != errkind.NotReady {
+		t.Errorf("%+v", decision)
 	}
 }
 
@@ -663,8 +663,8 @@
 			f.unlimited()
 			packets := make([]Packet, flows)
 			for i := range packets {
-				verdict := f.open(i, feedAddress, 0)
-				packets[i] = Packet{Flow: key(i, feedAddress), Kind: Established, Tag: verdict.Backend.Tag}
+				decision := f.open(i, feedAddress, 0)
+				packets[i] = Packet{Flow: key(i, feedAddress), Kind: Established, Tag: decision.Backend.Tag}
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/steering/turn.go
+++ b/internal/steering/turn.go
@@ -1,43 +1,43 @@
 package steering
 
-// Place is where a balancer stands among those of its zone that are alive, in an order
-// that all of them use.
+// Membership is a balancer's position among the live balancers of its zone, in an order that all
+// of them share.
 type Place struct {
-	// Index is from 0 to Count-1; Count includes the balancer itself, 0 is unknown.
+	// Index is from 0 to Count-1. Count includes the balancer itself; 0 is unknown.
 	Index, Count int
-	// Zone are the live ones of the zone by hash.
+	// Neighbours are the live balancers of the zone by hash.
 	Zone Neighbours
-	// Fleet is the number of live balancers of all zones that are known, itself included.
+	// Fleet is the number of known live balancers of all zones, including this one.
 	Fleet int
-	// ZoneSize and FleetSize are how many there are, known or not, by an estimate; 0 is not estimated.
+	// ZoneSize and FleetSize estimate the number of balancers, known or not; 0 is no estimate.
 	ZoneSize, FleetSize int
 }
 
-// zoneSize and fleetSize are how many balancers divide what a back end may have.
+// zoneSize and fleetSize return how many balancers share the limit of a back end.
 func (p Place) zoneSize() int { return max(p.Count, p.ZoneSize) }
 
 func (p Place) fleetSize() int { return max(p.Fleet, p.FleetSize) }
 
 const (
-	// manyBalancers is the number in a zone from which balancers compare some back ends
-	// alone. All hear of the same least loaded one, half a second late, and many would
-	// crowd it; few correct each other in time.
+	// minBalancersForSubsets is the size of a zone from which balancers compare only a subset of
+	// the back ends. All receive the same loads half a second late, and many balancers would
+	// overload the least loaded back end before they see each other's flows.
 	manyBalancers = 8
-	// spanEach is how many balancers compare each back end at a time, on average, and
-	// leastSpan the least number that one compares.
+	// balancersPerBackend is how many balancers compare each back end at a time, on average, and
+	// minSubset the least number of back ends that one compares.
 	spanEach  = 2
 	minSubset = 2
 )
 
-// span is a part of a ring of back ends; the zero span is all of it.
+// subset is a range on a ring of back ends. The zero value contains all of them.
 type subset struct {
 	first, length, total int
 }
 
-// span returns the back ends, of a total, that are compared at a turn. Balancers begin
-// at even distances on the ring and move on with each flow, so that together they
-// spread the flows that come before any of them has heard of the others' loads.
-func (p Place) subset(total, turn int) subset {
+// subset returns the range to compare at a rotation, out of total back ends. Balancers start at
+// even distances on the ring and advance with each flow, which spreads flows that are placed
+// before balancers receive each other's loads.
+func (p Place) subset(total, rotation int) subset {
 	if total == 0 {
 		return subset{}
 	}
@@ -45,10 +45,10 @@
 	if length >= total {
 		return subset{}
 	}
-	return subset{first: (p.Index*total/p.Count + turn) % total, length: length, total: total}
+	return subset{first: (p.Index*total/p.Count + rotation) % total, length: length, total: total}
 }
 
-// has tells whether a position on the ring is in the span.
+// contains reports whether a position on the ring is in the subset.
 func (s subset) contains(position int) bool {
 	if s.total == 0 {
 		return true
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -8,37 +8,36 @@
 	"gaugeyard/internal/settings"
 )
 
-// Some services bound the new flows that a back end may get while it warms up, in each second and
-// over all balancers, whether those hear of each other or not. Loads that are told every half second
-// are too old to keep such a bound, and an even share for each balancer of a zone is too small to use
-// it: with 30 balancers one flow each is already three times what a back end with 4 a second may get.
-// So few balancers of the back end's zone place flows there, those that are nearest to it by hash, and
-// each spaces them out. The others use back ends that are warm, here or elsewhere; a flow that no back end
-// may take is refused at once.
+// A service may limit the new flows per second that a back end gets while it warms up, over all
+// balancers, whether these receive each other's reports or not. Loads are reported too late to
+// enforce it, and an even share of the limit for each balancer would be less than one flow. So
+// only the few balancers of the zone that are nearest to the back end by hash place flows there,
+// at a minimum interval each. All others use back ends that are warm, here or in other zones. A
+// flow that no back end may take is refused at once.
 const (
-	// warmUpPlacers is how many balancers place flows at a back end that warms up. Of two, one may be
-	// about to be found dead.
+	// warmUpPlacers is how many balancers place flows at a back end that is warming up. It is two
+	// since one may have died without being noticed yet.
 	warmUpPlacers = 2
-	// warmUpDoubles is how many times as many may believe that they do: a zone may be split in two, or
-	// some have heard of a balancer's death and others have not.
+	// warmUpOvercount is by what factor more balancers may place flows there at a time: a zone may
+	// be partitioned, or only some may have noticed that a balancer died.
 	warmUpOvercount = 2
-	// leastForTwo is the bound, in flows a second, from which on there are two of them: below it the
-	// first flow of each would use the bound up.
+	// minBoundForTwo is the bound, in flows per second, from which there are two of them. Below it
+	// the first flow of each would already exhaust the bound.
 	minBoundForTwo = 8.0
 )
 
-// warmUp is how new flows go to the back ends of a group while these warm up. The zero value is
-// no limit.
+// warmUp limits the new flows to back ends of a group that are warming up. The zero value is no
+// limit.
 type warmUp struct {
 	limited bool
-	// placers is how many balancers place flows at each, and interval the least time between two of
-	// one balancer; 0 placers is none at all.
+	// placers is how many balancers place flows at each back end, 0 for none, and interval the
+	// least time between two flows of one balancer.
 	placers  int
 	interval time.Duration
 }
 
-// warmUpOf works out the spacing from the group's rate. Within any second each of those that place,
-// doubles included, sends one flow more than its rate; all of them together stay within the bound.
+// warmUpOf computes the limit from the group's rate. Within any second each placer may send one
+// flow more than its rate; all of them together, the overcount included, stay within the bound.
 func (s *Steerer) warmUpOf(group *settings.Group) warmUp {
 	if group.WarmUpRate <= 0 || s.config.Mechanisms.NoWarmUpLimit {
 		return warmUp{}
@@ -63,8 +62,8 @@
 	return time.Duration(count * float64(time.Second))
 }
 
-// withholds tells whether this balancer must not send a new flow to the back end now, because it
-// warms up and others do, or this one has just done so.
+// warmUpBlocks reports whether this balancer must not send a new flow to the back end now, because
+// other balancers place flows there while it warms up, or this one has just done so.
 func (s *Steerer) withholds(now time.Duration, limit warmUp, member *directory.Member, state *backendState) bool {
 	if !limit.limited || now >= member.ColdUntil {
 		return false
@@ -72,8 +71,8 @@
 	return limit.placers == 0 || now < state.warmUpNext || !s.isPlacerFor(member, limit.placers, now)
 }
 
-// placesAt tells whether this balancer is one of those that place flows at a back end that warms up. One
-// that has just started, or does not hear most of those that it knew, cannot tell.
+// isPlacerFor reports whether this balancer places flows at a back end that is warming up. One
+// that has just started, or receives nothing from most of those it knew, does not.
 func (s *Steerer) isPlacerFor(member *directory.Member, placers int, now time.Duration) bool {
 	if member.Zone != s.config.Zone || now-s.startedAt < settleTime {
 		return false
@@ -81,20 +80,21 @@
 	return s.own.Zone.isNearest(placement.Mix(uint64(member.ID), 0), placers)
 }
 
-// Neighbours are the balancers of the own zone that this one knows, each by a hash of its address. The
-// zero value is a balancer alone.
+// Neighbours are the known balancers of the own zone, each by a hash of its address. The zero
+// value is a balancer alone.
 type Neighbours struct {
-	// Own is the hash of this balancer itself.
+	// Own is the hash of this balancer.
 	Own uint64
-	// Live are those that were heard lately, Silent how many others were heard before.
+	// Live are those heard from recently, and Silent is the number of others that were heard from
+	// before.
 	Live   []uint64
 	Silent int
-	// Bounded is set where there may be others, all of them farther away from Own than those here.
+	// Truncated is set where there may be others, all of them farther from Own than those in Live.
 	Bounded bool
 }
 
-// nearest tells whether this balancer is one of the count nearest to a point. It is certain among
-// those that it knows; a point outside of their range belongs to others.
+// isNearest reports whether this balancer is among the count nearest to a point. Points outside
+// the range of the known balancers belong to others.
 func (n *Neighbours) isNearest(point uint64, count int) bool {
 	if n.Silent > len(n.Live)+1 {
 		return false
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -131,11 +131,11 @@
 	f.warmUp(1)
 	cold := 0
 	for caller := range 100 {
-		verdict := f.open(caller, feedAddress, 0)
-		if verdict.Action != Forward {
-			t.Fatalf("a flow is not placed: %+v", verdict)
+		decision := f.open(caller, feedAddress, 0)
+		if decision.Action != Forward {
+			t.Fatalf("a flow is not placed: %+v", decision)
 		}
-		if verdict.Backend.ID == 1 {
+		if decision.Backend.ID == 1 {
 			cold++
 		}
 		f.pass(10 * time.Millisecond)
@@ -145,7 +145,7 @@
 	}
 	f.pass(8 * time.Second)
 	for caller := 200; caller < 300; caller++ {
-		if verdict := f.open(caller, feedAddress, 0); verdict.Backend.ID == 1 {
+		if decision := f.open(caller, feedAddress, 0); decision.Backend.ID == 1 {
 			return
 		}
 	}
@@ -162,13 +162,13 @@
 	f.warmUp(ids...)
 	placed, refused := 0, 0
 	for caller := range 100 {
-		switch verdict := f.open(caller, feedAddress, 0); {
-		case verdict.Action == Forward:
+		switch decision := f.open(caller, feedAddress, 0); {
+		case decision.Action == Forward:
 			placed++
-		case verdict.Action == Refuse && verdict.Reason == errkind.NoBackend:
+		case decision.Action == Refuse && decision.Reason == errkind.NoBackend:
 			refused++
 		default:
-			t.Fatalf("%+v", verdict)
+			t.Fatalf("%+v", decision)
 		}
 	}
 	if placed == 0 || refused == 0 || placed+refused != 100 {
@@ -182,8 +182,8 @@
 	f.steerer.startedAt = f.now
 	f.warmUp(1)
 	for caller := range 50 {
-		if verdict := f.open(caller, feedAddress, 0); verdict.Action != Forward || verdict.Backend.ID == 1 {
-			t.Fatalf("%+v", verdict)
+		if decision := f.open(caller, feedAddress, 0); decision.Action != Forward || decision.Backend.ID == 1 {
+			t.Fatalf("%+v", decision)
 		}
 	}
 }
