--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -154,10 +154,9 @@
 	return reason
 }
 
-// pick returns the best of the scored candidates: the one with the shortest expected time in the
-// own zone, unless its load exceeds the mean of all zones by more than the load factor. Ties are
-// broken by the flow's hash, so that balancers without any load reports agree and do not all
-// choose the same back end.
+// pick returns the best of the scored candidates in the own zone, unless its load exceeds the mean
+// of all zones by more than the load factor. Ties are broken by the flow's hash, so that balancers
+// without any load reports agree and do not overload one back end.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
 	typicalLatency := s.placing.typicalLatency
 	pool := s.poolOf(p.group.Discover)
@@ -215,8 +214,7 @@
 	return best
 }
 
-// bestIn returns the candidate of the subset, inside or outside the own zone, with the shortest
-// expected time, or nil.
+// bestIn returns the best candidate of the subset, inside or outside the own zone, or nil.
 func bestIn(candidates []candidate, typicalLatency float64, local bool, within subset) *candidate {
 	var best *candidate
 	position := 0
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -8,9 +8,9 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestBackEndsAtTheirLimitOfFlows are avoided while others have room, also in another part; where none has, flows
-// are refused at once, and taken again when one ends.
-func TestBackEndsAtTheirLimitOfFlows(t *testing.T) {
+// Back ends near their limit of flows are avoided while others have room, also in another part.
+// Where none has room, flows are refused at once until one ends.
+func TestBackEndsNearTheirLimitAreAvoided(t *testing.T) {
 	f := newFleet(t)
 	f.steerer.SetPlace(Place{Count: 10, Fleet: 20})
 	for _, s := range f.steerer.view.Settings.Services {
@@ -18,7 +18,8 @@
 			s.Groups[i].Connections = 40
 		}
 	}
-	// A balancer's part is 3 in its zone and half a flow elsewhere; it refuses from 12 and 4 on.
+	// A balancer's share is 3 flows in its zone and half a flow elsewhere; it refuses from 12 and
+	// 4 on.
 	for caller := range 4*3 + 2*1 {
 		f.opened(caller, feedAddress)
 	}
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestTheLimitHoldsAcrossBalancers that meet flows by chance and tell each other nothing: at nine tenths of what
-// all back ends hold, none has more than its limit, and no flow is refused.
-func TestTheLimitHoldsAcrossBalancers(t *testing.T) {
+// Balancers that do not exchange reports must neither exceed the limit of a back end nor refuse
+// flows while a tenth of the capacity is free.
+func TestLimitHoldsAcrossBalancers(t *testing.T) {
 	const limit, balancers = 120, 6
 	var all []*fleet
 	for range balancers {
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestALimitIsDividedByTheWholeZone, of which a balancer knows 24 others: 198 of them with 8 a balancer hold no more
-// than 2,000 flows at a back end.
-func TestALimitIsDividedByTheWholeZone(t *testing.T) {
+// A limit must be divided by the estimated size of the zone, of which a balancer knows only a
+// part.
+func TestLimitIsDividedByEstimatedZoneSize(t *testing.T) {
 	const limit, zone = 2000, 198
 	f := newFleet(t)
 	f.steerer.SetPlace(Place{Count: 25, Fleet: 33, ZoneSize: zone, FleetSize: 5 * zone})
@@ -83,13 +84,13 @@
 	for _, each := range []struct{ balancers, own int }{{zone, f.flowLimit(group, local)}, {4 * zone, f.flowLimit(group, remote)}} {
 		held += each.balancers * each.own
 	}
-	// Each balancer elsewhere may hold a part of a flow more.
+	// Each balancer of other zones may round its share up by less than a flow.
 	if held > limit+5*zone {
-		t.Errorf("all together hold %d flows there", held)
+		t.Errorf("all balancers together place %d flows there", held)
 	}
 }
 
-// mostAt is how many flows this balancer holds at a back end before it avoids it.
+// flowLimit returns how many flows this balancer places at a back end before it avoids it.
 func (f *fleet) flowLimit(group *settings.Group, member *directory.Member) int {
 	own := 0
 	for !f.steerer.connectionsOf(group, member).Avoids(own) {
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -20,25 +20,25 @@
 	answerLatency = 20 * time.Millisecond
 )
 
-// zoneOf returns the balancers of one zone with one view, and the service's address.
+// zoneOf returns the balancers of one zone with the same view, and the service's address.
 func zoneOf(t testing.TB, balancers, servers int) ([]*Steerer, netip.AddrPort) {
 	t.Helper()
-	beliefs, address := zoneDirectory(t, servers)
-	return steerersOf(beliefs, balancers), address
+	dir, address := zoneDirectory(t, servers)
+	return steerersOf(dir, balancers), address
 }
 
-// steerersOf returns the balancers of one zone that have these beliefs.
-func steerersOf(beliefs *directory.Directory, balancers int) []*Steerer {
+// steerersOf returns balancers of one zone with the view of the directory.
+func steerersOf(dir *directory.Directory, balancers int) []*Steerer {
 	var zone []*Steerer
 	for range balancers {
 		s := New(Config{Zone: "a", FlowLife: time.Minute})
-		s.SetView(beliefs.View())
+		s.SetView(dir.View())
 		zone = append(zone, s)
 	}
 	return zone
 }
 
-// zoneBeliefs returns what balancers of one zone believe of its servers.
+// zoneDirectory returns a directory with the servers of one zone.
 func zoneDirectory(t testing.TB, servers int) (*directory.Directory, netip.AddrPort) {
 	t.Helper()
 	address := netip.MustParseAddrPort("198.18.0.1:443")
@@ -55,22 +55,21 @@
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80),
 		}})
 	}
-	beliefs := directory.New(time.Minute)
-	beliefs.Replace(0, listing)
-	return beliefs, address
+	dir := directory.New(time.Minute)
+	dir.Replace(0, listing)
+	return dir, address
 }
 
-// ending is the last packet of a flow.
+// flowEnd is the last packet of a flow.
 type flowEnd struct {
 	at     time.Duration
 	via    *Steerer
 	packet Packet
 }
 
-// TestManyBalancersDoNotCrowdOneBackEnd: all balancers of a large zone hear the same
-// loads, half a second old; if each sent its next flow to the least loaded back end, that
-// one would get a flow from all of them.
-func TestManyBalancersDoNotCrowdOneBackEnd(t *testing.T) {
+// All balancers of a large zone receive the same loads, half a second old. They must not all send
+// their next flows to the least loaded back end.
+func TestManyBalancersDoNotOverloadOneBackEnd(t *testing.T) {
 	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	taken := map[settings.BackendID]int{}
 	worst, total := 0.0, 0
@@ -84,12 +83,12 @@
 		worst = max(worst, float64(count*zoneServers)/float64(total))
 	}
 	if worst > 1.15 {
-		t.Errorf("the busiest back end takes %.2f times the mean", worst)
+		t.Errorf("the busiest back end gets %.2f times the mean", worst)
 	}
 }
 
-// playHerd lets callers open short flows through the balancers of a zone, drawn by chance, and
-// tells taken where each went. Balancers hear of each other's loads every herdHello.
+// simulateZone opens short flows through randomly chosen balancers of a zone and calls taken with
+// the back end of each. Balancers exchange loads every helloInterval.
 func simulateZone(t *testing.T, zone []*Steerer, address netip.AddrPort, rate time.Duration, taken func(now time.Duration, id settings.BackendID)) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -119,7 +118,7 @@
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
 		decision := s.Steer(now, &Packet{Flow: key, Kind: Open, Sequence: 1})
 		if decision.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", decision.Reason)
+			t.Fatalf("no back end was chosen: %v", decision.Reason)
 		}
 		tag := decision.Backend.Tag
 		s.Steer(now, &Packet{Flow: key, Kind: Established, Tag: tag, Sequence: 2, Acknowledged: 1, Payload: 100})
@@ -128,7 +127,7 @@
 	}
 }
 
-// shareAll tells each balancer what the others gave to each back end.
+// exchangeLoads passes each balancer the sum of the other balancers' loads.
 func exchangeLoads(zone []*Steerer, now time.Duration) {
 	sum := map[settings.BackendID]Load{}
 	own := make([]map[settings.BackendID]Load, len(zone))
@@ -149,14 +148,14 @@
 	}
 }
 
-// without returns the load less a part of it.
+// subtract returns the load less a part of it.
 func subtract(load, part Load) Load {
 	return load.Plus(Load{-part.Requests, -part.Steady, -part.Failures, -part.Answers, -part.Time})
 }
 
-// TestFlowsThatComeAtOnceAreSpread though no balancer has heard of the others' flows yet:
-// long flows that all callers open at the same moment stay where they are.
-func TestFlowsThatComeAtOnceAreSpread(t *testing.T) {
+// Long flows that are opened at the same moment must be spread, though no balancer has received
+// the others' loads yet.
+func TestSimultaneousFlowsAreSpread(t *testing.T) {
 	const flows = 320
 	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	for i, s := range zone {
@@ -170,12 +169,12 @@
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
 		decision := s.Steer(time.Second, &Packet{Flow: key, Kind: Open, Sequence: 1})
 		if decision.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", decision.Reason)
+			t.Fatalf("no back end was chosen: %v", decision.Reason)
 		}
 		taken[decision.Backend.ID]++
 		most = max(most, taken[decision.Backend.ID])
 	}
 	if mean := flows / zoneServers; most > mean*5/4 {
-		t.Errorf("one back end takes %d flows, the mean is %d", most, mean)
+		t.Errorf("one back end gets %d flows, the mean is %d", most, mean)
 	}
 }
--- a/internal/steering/memory_test.go
+++ b/internal/steering/memory_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// BenchmarkFlowMemory reports what a balancer keeps for each open flow, and what a
-// second's tick over them costs.
+// BenchmarkFlowMemory reports the memory for each open flow, and measures a tick over all of them.
 func BenchmarkFlowMemory(b *testing.B) {
 	const flows = 21700
 	f := newFleet(&testing.T{})
--- a/internal/steering/parts.go
+++ b/internal/steering/parts.go
@@ -12,6 +12,7 @@
 // different positions of the rotation; else all of them would send their first flows to the part
 // with the largest share. A part that cannot take a flow passes it to the others, which uses up
 // its place in the rotation: it gets its share again, and no more, as soon as it can take flows.
+// That is checked for each flow, without any state besides that of the back ends.
 
 const (
 	// rotationStep is the distance between consecutive positions on the unit circle of the shares.
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -11,9 +11,10 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestSharesHoldOverTheFleet where each of 70 balancers sees a handful of flows, and follow a new weight at once.
-func TestSharesHoldOverTheFleet(t *testing.T) {
-	// 350 flows alone lie up to 0.03 off by where the balancers begin.
+// The shares must hold over 70 balancers that place a few flows each, and follow new weights at
+// once.
+func TestSharesHoldAcrossBalancers(t *testing.T) {
+	// The starting positions alone account for a deviation of up to 0.03 with 350 flows.
 	within := map[int]float64{5: 0.03, 20: 0.02, 200: 0.02}
 	for _, flows := range []int{5, 20, 200} {
 		for _, small := range []float64{0.5, 0.1, 0.05} {
@@ -36,7 +37,7 @@
 						}
 					}
 					if got := float64(taken) / float64(70*flows); math.Abs(got-share) > within[flows] {
-						t.Errorf("the part with %v has %.3f", share, got)
+						t.Errorf("the part with share %v gets %.3f", share, got)
 					}
 				}
 			})
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestFlowsThatAskMoreOftenCorrectTheShares a little, never by more than mostCorrection.
-func TestFlowsThatAskMoreOftenCorrectTheShares(t *testing.T) {
+// Flows that send more requests than others change the shares, but by no more than maxCorrection.
+func TestRequestRatesCorrectShares(t *testing.T) {
 	s := newRotation(0)
 	s.update(&settings.Service{Groups: []settings.Group{{Path: "a", Share: 1}, {Path: "b", Share: 1}}})
 	flows := 0.0
@@ -58,11 +59,12 @@
 		}
 	}
 	if got := flows / 2000; got > 0.5-maxCorrection+0.01 || got < 0.5-maxCorrection-0.01 {
-		t.Errorf("the part whose flows ask ten times as often has %.3f of the flows", got)
+		t.Errorf("the part with ten times the request rate gets %.3f of the flows", got)
 	}
 }
 
-// partsOf counts to which part of the split service count flows go that open and rest, by reason.
+// countParts opens flows of the split service and counts them by part and reason, or by error
+// kind.
 func (f *fleet) countParts(first, count int) map[string]int {
 	f.Helper()
 	counts := map[string]int{}
@@ -78,8 +80,9 @@
 	return counts
 }
 
-// TestAPartThatCanTakeNoneGivesItsFlowsToTheOther and has its share again, and no more, once it can.
-func TestAPartThatCanTakeNoneGivesItsFlowsToTheOther(t *testing.T) {
+// Flows go to the other part while one can take none. Afterwards the part must get its share, and
+// no more.
+func TestUnavailablePartPassesItsFlowsOn(t *testing.T) {
 	evacuate := func(active bool) func(f *fleet) {
 		return func(f *fleet) {
 			f.revision++
@@ -134,14 +137,14 @@
 			}
 			c.back(f)
 			if counts := f.countParts(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
-				t.Errorf("again: %v", counts)
+				t.Errorf("after recovery: %v", counts)
 			}
 		})
 	}
 }
 
-// TestABusyPartKeepsItsShare: with few back ends a request in each slot is usual, and nobody turned one away.
-func TestABusyPartKeepsItsShare(t *testing.T) {
+// Requests in all slots must not take the share away from a part.
+func TestBusyPartKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
 	f.countParts(0, 100)
 	for id := settings.BackendID(11); id <= 12; id++ {
@@ -152,14 +155,14 @@
 	}
 }
 
-// TestASlowPartDoesNotRest: its requests take longer than a caller's patience, and are answered.
-func TestASlowPartDoesNotRest(t *testing.T) {
+// A part whose responses take longer than answerPatience must not enter a cooldown.
+func TestSlowPartEntersNoCooldown(t *testing.T) {
 	r := cooldown{}
 	for at := time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
 		r.noteAnswer(at)
 		r.noteUnanswered(at+50*time.Millisecond, at-500*time.Millisecond)
 		if r.blocks(at + 60*time.Millisecond) {
-			t.Fatalf("it rests at %v", at)
+			t.Fatalf("in cooldown at %v", at)
 		}
 	}
 	pool := poolState{usual: 0.5}
@@ -167,12 +170,12 @@
 		pool.noteVain(2*time.Second, time.Second)
 	}
 	if pool.rest.unanswered != 0 {
-		t.Errorf("requests of twice the usual time count: %+v", pool.rest)
+		t.Errorf("requests of twice the typical time count: %+v", pool.rest)
 	}
 }
 
-// TestASplitIsForgottenWithItsName, though another service stands at the address.
-func TestASplitIsForgottenWithItsName(t *testing.T) {
+// The rotation of a renamed service must be dropped, even though another service has its address.
+func TestRotationOfRenamedServiceIsDropped(t *testing.T) {
 	f := newFleet(t)
 	f.open(0, splitAddress, 0)
 	for _, known := range f.steerer.rotations {
@@ -187,8 +190,8 @@
 	}
 }
 
-// TestACopyGoesToTheOtherPart where no other back end of its own is left.
-func TestACopyGoesToTheOtherPart(t *testing.T) {
+// A copy goes to the other part if its own part has no other back end.
+func TestCopyGoesToOtherPart(t *testing.T) {
 	f := newFleet(t)
 	f.vanish(12)
 	caller := 0
@@ -205,8 +208,8 @@
 	}
 }
 
-// TestAColdPartGivesItsFlowsToTheOther when its rate allows none now.
-func TestAColdPartGivesItsFlowsToTheOther(t *testing.T) {
+// Flows go to the other part while the warm-up rate allows none.
+func TestWarmingUpPartPassesItsFlowsOn(t *testing.T) {
 	f := newFleet(t)
 	f.applySettings(map[string]string{"feed": "1", "upload": "1"}, "2")
 	for id := settings.BackendID(11); id <= 12; id++ {
@@ -220,14 +223,15 @@
 	}
 }
 
-// TestWeightZeroGetsNoFlow, also where no other part has a back end: all gone is refused at once.
+// A part with weight 0 must get no flow, even if no other part has a back end; flows are then
+// refused at once.
 func TestWeightZeroGetsNoFlow(t *testing.T) {
 	f := newFleet(t)
 	waiting := f.open(0, splitAddress, 0)
 	f.applySettings(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
 	f.pass(200 * time.Millisecond)
 	if copied := f.open(0, splitAddress, 1); copied.Part == nil || copied.Part.Discover == waiting.Part.Discover {
-		t.Errorf("a copy goes to the part without a weight: %+v", copied)
+		t.Errorf("a copy goes to the part with weight 0: %+v", copied)
 	}
 	f.applySettings(map[string]string{"feed": "0", "upload": "1"}, "0")
 	if counts := f.countParts(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
@@ -241,7 +245,7 @@
 	}
 }
 
-// settle puts settings in force where the split service has the shares, and a rate for back ends that warm up.
+// applySettings applies the shares of the split service and the warm-up rate.
 func (f *fleet) applySettings(shares map[string]string, warmUpRate string) {
 	f.Helper()
 	f.revision++
@@ -251,9 +255,9 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// TestAPartThatAnswersOtherwiseKeepsItsShare: a part of little weight whose answers are shorter and quicker
-// than those of the other one does not fail, and one that begins to fail by its own measure does.
-func TestAPartThatAnswersOtherwiseKeepsItsShare(t *testing.T) {
+// Shorter and faster responses than those of the other part are no failures; a part is judged by
+// its own baseline.
+func TestPartWithShorterResponsesKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
 	answer := func(caller int, failing bool) string {
 		decision := f.open(caller, splitAddress, 0)
@@ -283,17 +287,18 @@
 		return counts
 	}
 	if counts := count(0, 800, false); counts["upload turn"] < 190 || len(counts) != 2 {
-		t.Errorf("a part that answers otherwise: %v", counts)
+		t.Errorf("a part with shorter responses: %v", counts)
 	}
 	if counts := count(800, 160, true); counts["feed out_of_rotation"] < 10 {
-		t.Errorf("a part that fails: %v", counts)
+		t.Errorf("a failing part: %v", counts)
 	}
 }
 
-// TestAPartThatAnswersNoRequestRests, and one flow at a time tries it, until one is answered.
-func TestAPartThatAnswersNoRequestRests(t *testing.T) {
+// A part that answers no request enters a cooldown. One flow at a time probes it until one is
+// answered.
+func TestUnresponsivePartEntersCooldown(t *testing.T) {
 	f := newFleet(t)
-	ask := func(caller int, answered bool) string {
+	request := func(caller int, answered bool) string {
 		decision := f.open(caller, splitAddress, 0)
 		tag := decision.Backend.Tag
 		f.established(caller, splitAddress, tag, 1, 100)
@@ -305,7 +310,7 @@
 	}
 	counts := map[string]int{}
 	for caller := range 400 {
-		counts[ask(caller, false)]++
+		counts[request(caller, false)]++
 	}
 	if counts["feed dark"] < 60 || counts["upload turn"] > 35 {
 		t.Errorf("while it answers none: %v", counts)
@@ -313,15 +318,15 @@
 	f.pass(maxCooldown + time.Second)
 	clear(counts)
 	for caller := 400; caller < 600; caller++ {
-		counts[ask(caller, true)]++
+		counts[request(caller, true)]++
 	}
 	if counts["upload turn"] < 46 || counts["upload turn"] > 54 || counts["feed dark"] > 2 {
 		t.Errorf("when it answers again: %v", counts)
 	}
 }
 
-// TestARestIsNotRenewedByRequestsOfBefore: what was asked before a part rested comes to light while it does.
-func TestARestIsNotRenewedByRequestsOfBefore(t *testing.T) {
+// Requests that were sent before a cooldown began must not extend it.
+func TestEarlierRequestsDoNotExtendCooldown(t *testing.T) {
 	r := cooldown{}
 	for i := range 10 {
 		r.noteUnanswered(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
@@ -330,14 +335,14 @@
 		t.Errorf("%+v", r)
 	}
 	if !r.blocks(1700 * time.Millisecond) {
-		t.Error("a second flow tries it beside the first")
+		t.Error("a second flow probes the part beside the first")
 	}
 	r.noteUnanswered(1900*time.Millisecond, 1500*time.Millisecond)
 	if r.duration != 2*minCooldown || !r.blocks(2800*time.Millisecond) {
-		t.Errorf("after the trial failed: %+v", r)
+		t.Errorf("after a failed probe: %+v", r)
 	}
 	r.noteAnswer(2700 * time.Millisecond)
 	if r.blocks(2800 * time.Millisecond) {
-		t.Error("it rests after an answer")
+		t.Error("in cooldown after a response")
 	}
 }
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -8,7 +8,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// placementState holds the inputs of one placement, which filters and scorers read.
+// placementState holds what filters and scorers read for the placement of one flow.
 type placing struct {
 	now   time.Duration
 	hash  uint64
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -14,9 +14,9 @@
 	// retransmitted. It weighs as much as priorRequests requests.
 	priorRetransmitShare = 0.03
 	priorRequests        = 10
-	// retransmitMargin is the upper bound of that share above the estimate, in standard
-	// deviations: callers that lose a few packets by chance must not end flows at a healthy back
-	// end.
+	// retransmitMargin is how far the upper bound of that share lies above the estimate, in
+	// standard deviations: a few callers that lose packets by chance must not end flows at a
+	// healthy back end.
 	retransmitMargin = 2
 	// lossyShare is the share of retransmitted requests at healthy back ends from which a single
 	// unanswered packet is most likely a lost one. A suspect state is then not reported urgently,
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -7,10 +7,10 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestOpeningPacketsLeftUnansweredAreAMeasureOfLoss: where sound back ends answer one in four only when
-// it is sent again, a doubt of another balancer beside one more moves no copy, since the first back
-// end may well answer it; one flow in a hundred changes nothing.
-func TestOpeningPacketsLeftUnansweredAreAMeasureOfLoss(t *testing.T) {
+// Where healthy back ends answer one opening packet in four only after a retransmission, one
+// report of another balancer must not move copies, since the first back end may still answer. One
+// in a hundred changes nothing.
+func TestRetransmittedOpeningsIndicateLoss(t *testing.T) {
 	for _, test := range []struct {
 		every int
 		moves bool
@@ -30,36 +30,37 @@
 		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{first.Backend.ID})
 		copied := f.open(200, feedAddress, 1)
 		if moved := copied.Backend.ID != first.Backend.ID; moved != test.moves {
-			t.Errorf("one in %d is sent again: the copy moves: %v", test.every, moved)
+			t.Errorf("one in %d is retransmitted: the copy moves: %v", test.every, moved)
 		}
 	}
 }
 
-// TestTheFirstCopyOfAFlowThatIsNotKnownIsNotPlaced where answers to opening packets are lost: the back
-// end that another balancer may have chosen repeats its answer when the second copy comes.
-func TestTheFirstCopyOfAFlowThatIsNotKnownIsNotPlaced(t *testing.T) {
-	for _, vain := range []float64{1, 50} {
+// Where answers to opening packets are lost, the first copy of an unknown flow must not be placed:
+// the back end that another balancer chose repeats its answer when the second copy comes.
+func TestFirstCopyOfUnknownFlowIsNotPlacedUnderLoss(t *testing.T) {
+	for _, retransmitted := range []float64{1, 50} {
 		f := newFleet(t)
-		f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: vain}
+		f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: retransmitted}
 		want := Wait
-		if vain == 50 {
+		if retransmitted == 50 {
 			want = Drop
 		}
 		if decision := f.open(1, feedAddress, 1); decision.Action != want {
-			t.Errorf("%.0f of 100 are lost, the first copy: %+v", vain, decision)
+			t.Errorf("%.0f of 100 are lost, the first copy: %+v", retransmitted, decision)
 		}
 		if decision := f.open(1, feedAddress, 2); decision.Action != Wait {
-			t.Errorf("%.0f of 100 are lost, the second copy: %+v", vain, decision)
+			t.Errorf("%.0f of 100 are lost, the second copy: %+v", retransmitted, decision)
 		}
 		if decision := f.openWaited(1, feedAddress, 2); decision.Action != Forward {
-			t.Errorf("%.0f of 100 are lost, the second copy, later: %+v", vain, decision)
+			t.Errorf("%.0f of 100 are lost, the second copy, later: %+v", retransmitted, decision)
 		}
 	}
 }
 
-// TestABalancerThatHasJustStartedWantsOneFlowMore before it takes a back end for silent, unless another one
-// says so too, and one that has seen opening packets lost wants as many as chance leaves.
-func TestABalancerThatHasJustStartedWantsOneFlowMore(t *testing.T) {
+// A balancer that has just started needs one more unanswered flow before a back end counts as
+// silent, unless another balancer suspects it too. After lost opening packets, the number follows
+// from their probability.
+func TestUnansweredFlowsUntilSilent(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		now           time.Duration
@@ -68,7 +69,7 @@
 		silent, moves int
 	}{
 		{"just started", time.Second, repetitions{}, false, 3, 3},
-		{"just started, and another one doubts", time.Second, repetitions{}, true, 1, 1},
+		{"just started, and another balancer suspects it", time.Second, repetitions{}, true, 1, 1},
 		{"settled", 10 * time.Second, repetitions{asked: 100}, false, 2, 2},
 		{"one in 20 is lost", 10 * time.Second, repetitions{asked: 100, vain: 5}, false, 3, 3},
 	} {
@@ -79,15 +80,15 @@
 		}
 		for flows := 1; flows <= test.silent; flows++ {
 			b.noteSilence(test.now, test.now-time.Millisecond)
-			if suspected := b.suspected(test.now); suspected != (flows >= test.moves) {
-				t.Errorf("%s, after %d flows: suspected %v", test.name, flows, suspected)
+			if silent := b.suspected(test.now); silent != (flows >= test.moves) {
+				t.Errorf("%s, after %d flows: silent %v", test.name, flows, silent)
 			}
 		}
 	}
 }
 
-// TestADoubtForALostPacketIsNoWordForOthers: where packets get lost, only what several flows show is told.
-func TestADoubtForALostPacketIsNoWordForOthers(t *testing.T) {
+// Where packets are lost, a single unanswered opening packet must not be reported to others.
+func TestSuspectsAreNotReportedUnderLoss(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
 		b := f.state(1)
@@ -95,12 +96,12 @@
 		if lossy {
 			f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: 20}
 		}
-		if told := len(f.steerer.Doubted(f.now, 9)) > 0; told == lossy {
-			t.Errorf("packets are lost: %v, the doubt is told: %v", lossy, told)
+		if reported := len(f.steerer.Doubted(f.now, 9)) > 0; reported == lossy {
+			t.Errorf("packets are lost: %v, the suspect is reported: %v", lossy, reported)
 		}
 		b.suspectUntil = f.now + suspectTime
 		if len(f.steerer.Doubted(f.now, 9)) != 1 {
-			t.Errorf("packets are lost: %v, the suspicion is not told", lossy)
+			t.Errorf("packets are lost: %v, the silent back end is not reported", lossy)
 		}
 	}
 }
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -8,7 +8,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// startAs announces a start of back end 1 by its birth.
+// restartAs announces a start of back end 1 with the given birth.
 func (f *fleet) restartAs(birth directory.Birth) {
 	f.revision++
 	backend := f.directory.View().Member(1).Backend
@@ -18,26 +18,26 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// at opens a flow at back end 1 and returns its caller.
+// openAtFirst opens flows until one is placed at back end 1, and returns its caller.
 func (f *fleet) openAtFirst(first int) int {
 	for caller := first; caller < first+1000; caller++ {
 		if f.opened(caller, feedAddress).ID == 1 {
 			return caller
 		}
 	}
-	f.Fatal("no flow goes to the back end")
+	f.Fatal("no flow was placed at back end 1")
 	return 0
 }
 
-// TestAnotherStartHoldsNothingOfTheOneBefore: flows that are older than it end, those that may have opened
-// there since stay, and nothing that was learned counts.
-func TestAnotherStartHoldsNothingOfTheOneBefore(t *testing.T) {
+// A restart must end the flows that are older than it, keep those that may have opened since, and
+// discard all observations.
+func TestRestartDiscardsState(t *testing.T) {
 	f := newFleet(t)
 	f.directory.SetInterval(time.Second)
 	f.restartAs(100)
 	old := f.openAtFirst(1)
 	f.pass(10 * time.Second)
-	young := f.openAtFirst(2000)
+	recent := f.openAtFirst(2000)
 	before := f.state(1)
 	before.failures, before.slowness, before.others.Failures = 5, 4, 5
 	before.suspectUntil = f.now + time.Minute
@@ -45,57 +45,58 @@
 	f.restartAs(200)
 	resets := f.steerer.TakeResets()
 	if len(resets) == 0 {
-		t.Fatal("no flow ends")
+		t.Fatal("no flow was reset")
 	}
 	ended := map[int]bool{}
 	for _, reset := range resets {
 		ip := reset.Flow.Caller.Addr().As4()
 		ended[int(ip[2])<<8|int(ip[3])] = true
 		if reset.Backend != 1 {
-			t.Errorf("a flow at %x ends", reset.Backend)
+			t.Errorf("a flow at back end %x was reset", reset.Backend)
 		}
 	}
-	if !ended[old] || ended[young] {
-		t.Errorf("the old flow ends: %v, the young one: %v", ended[old], ended[young])
+	if !ended[old] || ended[recent] {
+		t.Errorf("the old flow was reset: %v, the recent one: %v", ended[old], ended[recent])
 	}
 	state := f.state(1)
 	if state.failures != 0 || state.slowness != 1 || state.suspected(f.now) || state.flows == 0 || state.flows >= before.flows+len(resets)+1 {
-		t.Errorf("it has inherited %+v", state)
+		t.Errorf("state of the previous start remains: %+v", state)
 	}
 	events := f.steerer.TakeEvents()
 	if len(events) != 1 || events[0].Observation != StartedAnew || events[0].Backend != 1 {
 		t.Errorf("events %+v", events)
 	}
-	// The young flow goes on.
-	if decision := f.established(young, feedAddress, directory.TagOf(1), 1, 100); decision.Action != Forward || decision.Backend.ID != 1 {
+	// The recent flow continues.
+	if decision := f.established(recent, feedAddress, directory.TagOf(1), 1, 100); decision.Action != Forward || decision.Backend.ID != 1 {
 		t.Errorf("its next packet: %+v", decision)
 	}
 }
 
-// TestWordsOfTheStartBeforeAreNotHeard for a while, since others learn of a start a moment later.
-func TestWordsOfTheStartBeforeAreNotHeard(t *testing.T) {
+// Reports of other balancers on a restarted back end are ignored until they have received the
+// news.
+func TestReportsAreIgnoredAfterRestart(t *testing.T) {
 	f := newFleet(t)
 	f.restartAs(100)
 	f.openAtFirst(1)
 	f.restartAs(200)
-	hear := func() {
+	receive := func() {
 		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1})
 		f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 9, Failures: 9}})
 	}
-	hear()
+	receive()
 	state := f.state(1)
 	if state.doubted(f.now) || state.others != (Load{}) {
-		t.Errorf("heard at once: %+v", state)
+		t.Errorf("reports are not ignored after the restart: %+v", state)
 	}
 	f.pass(ignoreReportsTime)
-	hear()
+	receive()
 	if !state.doubted(f.now) || state.others.Failures != 9 {
-		t.Errorf("not heard later: %+v", state)
+		t.Errorf("reports are still ignored later: %+v", state)
 	}
 }
 
-// TestAViewNeedNotFollowTheOneBefore: one that skips some has the same outcome, looked through whole.
-func TestAViewNeedNotFollowTheOneBefore(t *testing.T) {
+// Skipping views must have the same outcome as applying each.
+func TestViewsMayBeSkipped(t *testing.T) {
 	each, some := newFleet(t), newFleet(t)
 	for caller := range 40 {
 		each.opened(caller, feedAddress)
@@ -119,38 +120,38 @@
 	}
 	for _, f := range []*fleet{each, some} {
 		if len(f.steerer.departed) != 4 {
-			t.Errorf("departed are %v", f.steerer.departed)
+			t.Errorf("removed: %v", f.steerer.departed)
 		}
 		f.now += 2 * time.Minute
 		f.steerer.Tick(f.now)
 		f.directory.Forget(f.now)
 		f.steerer.SetView(f.directory.View())
 		if len(f.steerer.departed) != 0 || len(f.steerer.backends) != 0 {
-			t.Errorf("left are %v and %v", f.steerer.departed, f.steerer.backends)
+			t.Errorf("remaining removed back ends %v and states %v", f.steerer.departed, f.steerer.backends)
 		}
 	}
 }
 
-// TestOnlyWhatIsObservedIsKept: placing among many back ends keeps nothing of those that got no flow, and nothing of
-// the others once their flows are long over.
-func TestOnlyWhatIsObservedIsKept(t *testing.T) {
+// Back ends without flows must have no state, and states must be dropped once their flows have
+// ended.
+func TestUnobservedBackEndsHaveNoState(t *testing.T) {
 	f := newFleet(t)
 	for caller := range 3 {
 		f.opened(caller, feedAddress)
 	}
-	if kept := len(f.steerer.backends); kept > 3 {
-		t.Errorf("of %d back ends something is kept", kept)
+	if states := len(f.steerer.backends); states > 3 {
+		t.Errorf("%d back ends have a state", states)
 	}
 	for range 180 {
 		f.pass(time.Second)
 		f.steerer.Tick(f.now)
 	}
-	if kept := len(f.steerer.backends); kept > 0 {
-		t.Errorf("of %d back ends something is kept once all flows are over", kept)
+	if states := len(f.steerer.backends); states > 0 {
+		t.Errorf("%d back ends have a state after all flows have ended", states)
 	}
 	for _, pool := range f.steerer.pools {
 		if blank := pool.blank; blank != nil && (blank.recent != 0 || blank.flows != 0 || blank.doubt != 0 || blank.slowness != 1) {
-			t.Errorf("what stands for the rest was written: %+v", blank)
+			t.Errorf("the shared state of unobserved back ends was written to: %+v", blank)
 		}
 	}
 }
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -18,7 +18,7 @@
 	splitAddress = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// fleet is a directory with a steerer that follows it.
+// fleet is a directory and a steerer that follows it.
 type fleet struct {
 	*testing.T
 	directory *directory.Directory
@@ -27,12 +27,12 @@
 	now       time.Duration
 }
 
-// newFleet is a fleet whose flows may leave the zone when it has more than twice
-// the mean of all zones.
+// newFleet returns a fleet with a load factor of 2.
 func newFleet(t *testing.T) *fleet { return newFleetWith(t, "2") }
 
-// newFleetWith has feed servers 1 to 4 in zone a, 5 and 6 in zone b, and upload servers
-// 11 and 12 in zone a; one route leads to the feed, another is split 3 to 1.
+// newFleetWith returns a fleet with feed servers 1 to 4 in zone a, 5 and 6 in zone b, and upload
+// servers 11 and 12 in zone a. One service uses the feed, another is split 3 to 1 between feed and
+// upload.
 func newFleetWith(t *testing.T, loadFactor string) *fleet {
 	f := &fleet{T: t, directory: directory.New(time.Minute), now: time.Second}
 	f.steerer = New(Config{Zone: "a", FlowLife: time.Minute, LapseGrace: 1500 * time.Millisecond})
@@ -82,12 +82,12 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// state is what is observed of a back end.
+// state returns the state of a back end.
 func (f *fleet) state(id settings.BackendID) *backendState {
 	return f.steerer.stateOf(f.directory.View().Member(id))
 }
 
-// pass lets time pass in steps with pulses.
+// advance moves the time forward in steps with pulses.
 func (f *fleet) pass(length time.Duration) {
 	for end := f.now + length; f.now < end; {
 		f.now = min(end, f.now+PulseInterval)
@@ -105,7 +105,7 @@
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1})
 }
 
-// waited steers a copy of an opening packet that has waited.
+// openWaited steers a copy of an opening packet that has waited.
 func (f *fleet) openWaited(caller int, service netip.AddrPort, attempt uint32) Verdict {
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1, Waited: true})
 }
@@ -116,7 +116,7 @@
 	})
 }
 
-// unlimited lets back ends hold any number of flows.
+// unlimited removes the limits of flows.
 func (f *fleet) unlimited() {
 	for _, service := range f.steerer.view.Settings.Services {
 		for i := range service.Groups {
@@ -136,7 +136,7 @@
 	return decision.Backend
 }
 
-func TestNewFlowsStayInTheZoneAndAreEven(t *testing.T) {
+func TestNewFlowsStayInZoneEvenly(t *testing.T) {
 	f := newFleet(t)
 	counts := map[settings.BackendID]int{}
 	for caller := range 400 {
@@ -155,8 +155,7 @@
 	}
 }
 
-// TestALowLoadFactorEvensAllZones.
-func TestALowLoadFactorEvensAllZones(t *testing.T) {
+func TestLowLoadFactorBalancesAllZones(t *testing.T) {
 	f := newFleetWith(t, "1.05")
 	counts := map[settings.BackendID]int{}
 	for caller := range 600 {
@@ -172,25 +171,23 @@
 	}
 }
 
-// TestOthersLoadCounts: what other balancers gave to a back end is load too. They use three
-// of four, with 18 requests a second each.
-func TestOthersLoadCounts(t *testing.T) {
+// Loads that other balancers report count. Three of four back ends are busy with them.
+func TestReportedLoadCounts(t *testing.T) {
 	f := newFleet(t)
 	f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
 	for caller := range 40 {
 		f.pass(100 * time.Millisecond)
 		if member := f.opened(caller, feedAddress); member.ID != 4 {
-			t.Fatalf("flow %d goes to back end %d, which others use", caller, member.ID)
+			t.Fatalf("flow %d goes to back end %d, which others keep busy", caller, member.ID)
 		}
 	}
 }
 
-// TestFlowsAtOnceDoNotCrowdTheOnlyIdleBackEnd: if it went on so, 20 flows in no time would be
-// more than others have.
-func TestFlowsAtOnceDoNotCrowdTheOnlyIdleBackEnd(t *testing.T) {
+// Flows that open at once must not all go to the only idle back end.
+func TestSimultaneousFlowsDoNotOverloadIdleBackEnd(t *testing.T) {
 	f := newFleet(t)
 	for caller := range 40 {
-		// Each takes 50 ms.
+		// Each request takes 50 ms.
 		member := f.opened(1000+caller, feedAddress)
 		f.established(1000+caller, feedAddress, member.Tag, 1, 100)
 		f.pass(50 * time.Millisecond)
@@ -206,12 +203,12 @@
 		counts[f.open(caller, feedAddress, 0).Backend.ID]++
 	}
 	if counts[4] < 5 || counts[4] > 12 {
-		t.Errorf("the idle one has %d of 20 flows", counts[4])
+		t.Errorf("the idle back end gets %d of 20 flows", counts[4])
 	}
 }
 
-// TestSlowBackEndsLoseShare, and get it back when they are as fast as the others.
-func TestSlowBackEndsLoseShare(t *testing.T) {
+// Slow back ends get fewer flows, and their share again once they are as fast as the others.
+func TestSlowBackEndsGetFewerFlows(t *testing.T) {
 	f := newFleet(t)
 	ticked := f.now
 	work := func(from, to int, latency func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
@@ -244,8 +241,8 @@
 	}
 }
 
-// TestADoubtedBackEndGetsOneFlowAtATime until it shows a sign of life.
-func TestADoubtedBackEndGetsOneFlowAtATime(t *testing.T) {
+// A suspect back end gets one flow at a time until it responds.
+func TestSuspectBackEndGetsOneFlowAtATime(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
@@ -263,13 +260,13 @@
 	if tried == 0 || tried > 4 {
 		t.Errorf("a silent back end is tried %d times in 4 s", tried)
 	}
-	if doubted := f.steerer.Doubted(f.now, 5); len(doubted) != 1 || doubted[0] != silent.ID {
-		t.Errorf("others are told to doubt %v", doubted)
+	if suspects := f.steerer.Doubted(f.now, 5); len(suspects) != 1 || suspects[0] != silent.ID {
+		t.Errorf("reported suspects: %v", suspects)
 	}
 }
 
-// TestOthersDoubtsCount unless the back end has just answered here.
-func TestOthersDoubtsCount(t *testing.T) {
+// Back ends that other balancers suspect are avoided, unless they have just responded here.
+func TestReportedSuspectsAreAvoided(t *testing.T) {
 	f := newFleet(t)
 	f.opened(0, feedAddress)
 	first := f.opened(1, feedAddress)
@@ -279,14 +276,14 @@
 	for caller := 10; caller < 30; caller++ {
 		decision := f.open(caller, feedAddress, 0)
 		if decision.Backend.Zone == "a" && decision.Backend != first {
-			t.Fatalf("a flow goes to back end %d, which others doubt", decision.Backend.ID)
+			t.Fatalf("a flow goes to back end %d, which others suspect", decision.Backend.ID)
 		}
 	}
 }
 
-// TestAnAdoptedFlowIsNoSignOfLife: its first packet here may be a repetition that a
-// dead back end will never answer.
-func TestAnAdoptedFlowIsNoSignOfLife(t *testing.T) {
+// The first packet of an adopted flow may be a retransmission to a dead back end, and must not
+// clear its suspect state.
+func TestAdoptedFlowDoesNotClearSuspect(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
@@ -294,7 +291,7 @@
 	f.steerer.stateOf(silent).doubted(f.now)
 	f.established(700, feedAddress, silent.Tag, 900, 50)
 	if !f.steerer.stateOf(silent).doubted(f.now) {
-		t.Error("a repetition clears the doubt")
+		t.Error("a retransmission clears the suspect state")
 	}
 }
 
@@ -319,7 +316,7 @@
 			f.vanish(id)
 		}
 		if decision := f.open(1, feedAddress, 0); decision.Action != Forward || decision.Backend.Zone != "b" || !decision.Spilled {
-			t.Errorf("verdict %+v", decision)
+			t.Errorf("decision %+v", decision)
 		}
 	})
 }
@@ -337,21 +334,21 @@
 	for _, id := range []settings.BackendID{2, 5} {
 		decision := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
 		if decision.Action != Forward || decision.Backend.ID != id {
-			t.Errorf("back end %d, which has left: %+v", id, decision)
+			t.Errorf("back end %d, which is draining or removed: %+v", id, decision)
 		}
 	}
 	unknown := Packet{Flow: key(30, feedAddress), Kind: Established, Tag: 999, Sequence: 41, Acknowledged: 9, Payload: 10}
 	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Wait || len(f.steerer.TakeInquiries()) != 1 {
-		t.Errorf("a tag that nobody has, while others may know the flow: %+v", decision)
+		t.Errorf("an unknown tag, while others may know the flow: %+v", decision)
 	}
 	unknown.Waited = true
 	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Drop || decision.Reason != errkind.UnknownTag {
-		t.Errorf("a tag that nobody has: %+v", decision)
+		t.Errorf("an unknown tag: %+v", decision)
 	}
 }
 
-// TestAFlowStaysWhenItsRouteIsDropped: settings never move an open flow.
-func TestAFlowStaysWhenItsRouteIsDropped(t *testing.T) {
+// Settings must never move an open flow.
+func TestFlowStaysWhenItsServiceIsRemoved(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	f.revision++
@@ -366,11 +363,11 @@
 		t.Errorf("a new flow: %+v", decision)
 	}
 	if decision := f.open(3, splitAddress, 0); decision.Backend.Group != "upload" {
-		t.Errorf("a new flow of the changed route: %+v", decision)
+		t.Errorf("a new flow of the changed service: %+v", decision)
 	}
 }
 
-// TestCopiesOfAnOpeningPacket arrive in every order and after every change.
+// Copies may arrive in any order and after any change.
 func TestCopiesOfAnOpeningPacket(t *testing.T) {
 	t.Run("a copy goes where the first went", func(t *testing.T) {
 		f := newFleet(t)
@@ -387,7 +384,7 @@
 	t.Run("a copy before its original", func(t *testing.T) {
 		f := newFleet(t)
 		if copied := f.open(1, feedAddress, 1); copied.Action != Wait {
-			t.Fatalf("it is not awaited: %+v", copied)
+			t.Fatalf("it does not wait: %+v", copied)
 		}
 		first := f.open(1, feedAddress, 0)
 		if second := f.openWaited(1, feedAddress, 1); second.Backend == nil || first.Backend != second.Backend {
@@ -446,9 +443,9 @@
 	})
 }
 
-// TestASecondAnswerDoesNotMoveAnOpenFlow: a back end that answered a copy may change
-// the tag that the caller returns.
-func TestASecondAnswerDoesNotMoveAnOpenFlow(t *testing.T) {
+// A back end that answered a copy may change the tag that the caller returns, which must not move
+// the flow.
+func TestSecondAnswerDoesNotMoveOpenFlow(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	other := directory.TagOf(member.ID%4 + 1)
@@ -458,7 +455,7 @@
 	}
 }
 
-func TestSilentBackEndsLoseNewFlows(t *testing.T) {
+func TestSilentBackEndsGetNoNewFlows(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
@@ -472,7 +469,7 @@
 		}
 	}
 	if len(waiting) < silentFlows {
-		t.Fatalf("flows %v wait", waiting)
+		t.Fatalf("flows %v are unanswered", waiting)
 	}
 	for i, member := range answered {
 		if member != silent {
@@ -489,18 +486,18 @@
 		}
 	}
 	if moved := f.open(waiting[0], feedAddress, 2); !moved.Moved || moved.Backend == silent {
-		t.Errorf("the waiting flow does not move: %+v", moved)
+		t.Errorf("the unanswered flow does not move: %+v", moved)
 	}
 	f.established(500, feedAddress, silent.Tag, 1, 0)
 	f.established(500, feedAddress, silent.Tag, 2, 0)
 	if f.steerer.stateOf(silent).suspected(f.now) {
-		t.Error("a back end that answers again is still suspected")
+		t.Error("a back end that answers again still counts as silent")
 	}
 }
 
-// TestACopyOfAnUnknownFlowWaits: another balancer may have placed the flow, also where none is
-// known yet. If its caller shows meanwhile that it has opened, no second back end answers.
-func TestACopyOfAnUnknownFlowWaits(t *testing.T) {
+// A copy of an unknown flow waits, since another balancer may have placed the flow. If its caller
+// shows meanwhile that the flow has opened, no second back end may answer.
+func TestCopyOfUnknownFlowWaits(t *testing.T) {
 	f := newFleet(t)
 	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
 		t.Errorf("a first packet: %+v", decision)
@@ -520,8 +517,7 @@
 	}
 }
 
-// TestOneLostPacketRaisesNoSuspicion.
-func TestOneLostPacketRaisesNoSuspicion(t *testing.T) {
+func TestOneLostPacketDoesNotMarkSilent(t *testing.T) {
 	f := newFleet(t)
 	first := f.open(1, feedAddress, 0)
 	f.pass(200 * time.Millisecond)
@@ -529,12 +525,12 @@
 		t.Error("a flow moves after one copy")
 	}
 	if f.steerer.stateOf(first.Backend).suspected(f.now) {
-		t.Error("one copy raises suspicion")
+		t.Error("one copy marks the back end silent")
 	}
 }
 
-// TestCopiesThatWaitedInAQueueAreNoEvidence.
-func TestCopiesThatWaitedInAQueueAreNoEvidence(t *testing.T) {
+// Copies that arrive without delay were queued, and must not mark a back end silent.
+func TestQueuedCopiesDoNotMarkSilent(t *testing.T) {
 	f := newFleet(t)
 	for caller := range 20 {
 		f.open(caller, feedAddress, 0)
@@ -542,25 +538,25 @@
 	}
 	for _, state := range f.steerer.backends {
 		if state.suspected(f.now) {
-			t.Fatal("a back end had no time to answer and is suspected")
+			t.Fatal("a back end that had no time to answer counts as silent")
 		}
 	}
 }
 
-func TestOpeningPacketsThatWaitedInAStandstillAreDropped(t *testing.T) {
+func TestOpeningPacketsQueuedDuringPauseAreDropped(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	f.now += 3 * time.Second
 	stale := f.steerer.Steer(f.now, &Packet{Flow: key(2, feedAddress), Kind: Open})
 	if stale.Action != Drop || stale.Reason != errkind.Stale {
-		t.Errorf("an opening packet that waited: %+v", stale)
+		t.Errorf("an opening packet that was queued: %+v", stale)
 	}
 	if decision := f.established(1, feedAddress, member.Tag, 2, 5); decision.Action != Forward {
 		t.Errorf("a packet of an open flow: %+v", decision)
 	}
 	f.pass(200 * time.Millisecond)
 	if decision := f.open(3, feedAddress, 0); decision.Action != Forward {
-		t.Errorf("an opening packet after the standstill: %+v", decision)
+		t.Errorf("an opening packet after the pause: %+v", decision)
 	}
 }
 
@@ -575,9 +571,8 @@
 	}
 }
 
-// TestEntriesThatVanishByMistake: when every entry of a group vanishes, its back
-// ends are used for a moment longer, well within the drain bound.
-func TestEntriesThatVanishByMistake(t *testing.T) {
+// When all entries of a group are removed, its back ends are used for a moment longer.
+func TestRemovedEntriesStayUsableBriefly(t *testing.T) {
 	f := newFleet(t)
 	for id := settings.BackendID(1); id <= 6; id++ {
 		f.vanish(id)
@@ -587,7 +582,7 @@
 	}
 	f.pass(2 * time.Second)
 	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
-		t.Errorf("all together, after 2 s: %+v", decision)
+		t.Errorf("after 2 s: %+v", decision)
 	}
 	f.pass(600 * time.Millisecond)
 	if decision := f.open(3, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
@@ -614,13 +609,13 @@
 	}
 	for id, state := range f.steerer.backends {
 		if state.flows != 0 || state.opening != 0 || state.active != 0 {
-			t.Errorf("back end %d keeps counts: %+v", id, *state)
+			t.Errorf("back end %d still has counts: %+v", id, *state)
 		}
 	}
 }
 
-// TestAFloodOfFlowsIsBounded: what is not remembered is forwarded all the same.
-func TestAFloodOfFlowsIsBounded(t *testing.T) {
+// Packets of flows beyond MaxFlows are forwarded without a record.
+func TestRecordedFlowsAreBounded(t *testing.T) {
 	f := newFleet(t)
 	config := f.steerer.config
 	config.MaxFlows = 50
@@ -634,15 +629,15 @@
 	f.pass(answerTime)
 	for id, state := range f.steerer.backends {
 		if state.doubted(f.now) {
-			t.Errorf("back end %d, which answers, is doubted", id)
+			t.Errorf("back end %d, which answers, is suspect", id)
 		}
 	}
 	if f.steerer.Flows() != 50 {
-		t.Errorf("%d flows are remembered", f.steerer.Flows())
+		t.Errorf("%d flows are recorded", f.steerer.Flows())
 	}
 	for _, state := range f.steerer.backends {
 		if state.flows < 0 || state.opening < 0 || state.active < 0 {
-			t.Errorf("counts fall below nothing: %+v", *state)
+			t.Errorf("negative counts: %+v", *state)
 		}
 	}
 }
@@ -655,7 +650,7 @@
 	}
 }
 
-// BenchmarkEstablished is the path of nearly all packets.
+// BenchmarkEstablished measures the path of nearly all packets.
 func BenchmarkEstablished(b *testing.B) {
 	for _, flows := range []int{100, 20000} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
@@ -689,7 +684,7 @@
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
-			// As many flows a second as a balancer places at the size to come.
+			// The highest expected rate of new flows per second at one balancer.
 			const rate = 59
 			for i := range b.N {
 				f.now += time.Second / rate
@@ -703,15 +698,14 @@
 	}
 }
 
-// TestABackEndThatLeavesRequestsUnansweredGetsFewerFlows, is told of once, and gets
-// its share again when it has answered for a while.
-func TestABackEndThatLeavesRequestsUnansweredGetsFewerFlows(t *testing.T) {
+// Unanswered requests count as load and are logged once, until they have decayed.
+func TestUnansweredRequestsCountAsLoad(t *testing.T) {
 	s := New(Config{Zone: "a", FlowLife: time.Minute})
 	state := s.newState(&directory.Member{Backend: directory.Backend{ID: 7}})
 	known := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
 	known.noteUnanswered(time.Second + answerPatience/2)
 	if state.faults != 0 {
-		t.Fatal("a caller that has just asked counts as left without an answer")
+		t.Fatal("a request that was just sent counts as unanswered")
 	}
 	for range 3 {
 		known.noteUnanswered(time.Second + answerPatience)
@@ -727,13 +721,12 @@
 		state.decay(10 * time.Second)
 	}
 	if state.faulty || state.work() > 1 {
-		t.Errorf("after a while still faulty %v, work %v", state.faulty, state.work())
+		t.Errorf("after 20 s: faulty %v, work %v", state.faulty, state.work())
 	}
 }
 
-// TestOwnDelayIsNoSilenceOfOthers: a process that was short of processor reads answers
-// late, and must not take that for silence of back ends.
-func TestOwnDelayIsNoSilenceOfOthers(t *testing.T) {
+// A process that was short of CPU reads responses late, and must not suspect back ends for that.
+func TestOwnDelayDoesNotCauseSuspects(t *testing.T) {
 	for _, starved := range []bool{false, true} {
 		f := newFleet(t)
 		f.open(1, feedAddress, 0)
@@ -745,9 +738,9 @@
 		for caller := 2; caller < 12; caller++ {
 			f.open(caller, feedAddress, 0)
 		}
-		doubted := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Doubted })
-		if doubted == starved {
-			t.Errorf("short of processor: %v, doubts: %v", starved, doubted)
+		suspected := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Doubted })
+		if suspected == starved {
+			t.Errorf("short of CPU: %v, suspects: %v", starved, suspected)
 		}
 	}
 }
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -10,8 +10,9 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestAllThatMayPlaceStayWithinTheBound in any second, also where twice as many believe that they do.
-func TestAllThatMayPlaceStayWithinTheBound(t *testing.T) {
+// All balancers together must stay within the bound in any second, even if twice as many place
+// flows as intended.
+func TestWarmUpStaysWithinBound(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 2, 4, 8, 20, 200} {
 		for _, bounds := range []struct{ overshoot, slack float64 }{{1.5, 5}, {1, 0}, {2, 1}, {1, 20}} {
 			s := New(Config{Zone: "a", WarmUpOvershoot: bounds.overshoot, WarmUpSlack: bounds.slack})
@@ -22,23 +23,23 @@
 			if limit.placers == 0 {
 				continue
 			}
-			// With a first flow at the begin of the span, and the last at its end.
+			// Counts a first flow at the start of the second and a last one at its end.
 			each := 1 + int(time.Second/limit.interval)
 			if all, most := float64(each*limit.placers*warmUpOvercount), rate*bounds.overshoot+bounds.slack; all > most {
-				t.Errorf("rate %v, %+v: %v flows in a second, %v are allowed", rate, bounds, all, most)
+				t.Errorf("rate %v, %+v: %v flows in a second, the bound is %v", rate, bounds, all, most)
 			}
 		}
 	}
 	s := New(Config{Zone: "a"})
 	if limit := s.warmUpOf(&settings.Group{}); limit.limited {
-		t.Errorf("no rate is a limit: %+v", limit)
+		t.Errorf("a limit without a rate: %+v", limit)
 	}
 }
 
-// tableSize is how many neighbours each balancer of the test knows.
+// neighbourTableSize is how many neighbours each balancer of the test knows.
 const neighbourTableSize = 24
 
-// neighboursOf is what balancer i knows of those with the hashes: the nearest ones.
+// neighboursOf returns the neighbours that balancer i knows: the nearest ones.
 func neighboursOf(hashes []uint64, i int) Neighbours {
 	n := Neighbours{Own: hashes[i], Bounded: len(hashes) > neighbourTableSize}
 	for j, other := range hashes {
@@ -58,8 +59,9 @@
 	return n
 }
 
-// TestFewBalancersPlaceAtEachBackEnd, however many the zone has and however few of them each knows.
-func TestFewBalancersPlaceAtEachBackEnd(t *testing.T) {
+// Only few balancers place flows at each back end that is warming up, whatever the size of the
+// zone and the number that each knows.
+func TestFewBalancersPlaceAtWarmingUpBackEnds(t *testing.T) {
 	for _, count := range []int{1, 2, 5, 30, 100, 400} {
 		hashes := make([]uint64, count)
 		for i := range hashes {
@@ -88,19 +90,18 @@
 	}
 }
 
-// TestABalancerThatIsCutOffPlacesNothing at back ends that warm up: others do in its place.
-func TestABalancerThatIsCutOffPlacesNothing(t *testing.T) {
+// A partitioned balancer must not place flows at back ends that are warming up.
+func TestPartitionedBalancerIsNoPlacer(t *testing.T) {
 	n := Neighbours{Own: 5, Live: []uint64{1 << 60}, Silent: 12}
 	if n.isNearest(5, warmUpPlacers) {
-		t.Error("a balancer that hears one of thirteen others places flows")
+		t.Error("a balancer that receives from one of thirteen others places flows")
 	}
 	if n.Silent = 1; !n.isNearest(5, warmUpPlacers) {
-		t.Error("the nearest balancer of three places nothing")
+		t.Error("the nearest balancer of three places no flows")
 	}
 }
 
-// coldFleet has its feed limited to 4 new flows a second at back ends that warm up; back end 1, of
-// the own zone, has just started.
+// coldFleet limits the feed to 4 new flows per second for back ends that are warming up.
 func coldFleet(t *testing.T) *fleet {
 	f := newFleet(t)
 	f.steerer.Reconfigure(Config{Zone: "a", FlowLife: time.Minute, WarmUpOvershoot: 1.5, WarmUpSlack: 5})
@@ -114,8 +115,8 @@
 	return f
 }
 
-// restart lets the feed's back ends start anew, cold.
-func (f *fleet) warmUp(ids ...settings.BackendID) {
+// restartWarmingUp restarts back ends of the feed with a warm-up.
+func (f *fleet) restartWarmingUp(ids ...settings.BackendID) {
 	for _, id := range ids {
 		f.revision++
 		backend := f.directory.View().Tagged(directory.TagOf(id))[0].Backend
@@ -125,10 +126,10 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// TestALoadBeyondTheLimitGoesToWarmBackEnds: 100 new flows in a second, one back end of six cold.
-func TestALoadBeyondTheLimitGoesToWarmBackEnds(t *testing.T) {
+// Flows beyond the warm-up limit must go to the other back ends.
+func TestFlowsBeyondWarmUpLimitGoElsewhere(t *testing.T) {
 	f := coldFleet(t)
-	f.warmUp(1)
+	f.restartWarmingUp(1)
 	cold := 0
 	for caller := range 100 {
 		decision := f.open(caller, feedAddress, 0)
@@ -141,7 +142,7 @@
 		f.pass(10 * time.Millisecond)
 	}
 	if cold < 1 || cold > 3 {
-		t.Errorf("the cold back end gets %d flows of this balancer in a second, 1 to 3 are its part", cold)
+		t.Errorf("the back end that is warming up gets %d flows in a second, want 1 to 3", cold)
 	}
 	f.pass(8 * time.Second)
 	for caller := 200; caller < 300; caller++ {
@@ -149,17 +150,17 @@
 			return
 		}
 	}
-	t.Error("a back end that is warm gets no flow")
+	t.Error("a back end gets no flow after its warm-up")
 }
 
-// TestWhatNoBackEndMayTakeIsRefusedAtOnce: all are cold.
-func TestWhatNoBackEndMayTakeIsRefusedAtOnce(t *testing.T) {
+// Flows are refused at once if all back ends are warming up.
+func TestFlowsAreRefusedIfAllWarmUp(t *testing.T) {
 	f := coldFleet(t)
 	var ids []settings.BackendID
 	for _, member := range f.directory.View().Pool("feed").Open {
 		ids = append(ids, member.ID)
 	}
-	f.warmUp(ids...)
+	f.restartWarmingUp(ids...)
 	placed, refused := 0, 0
 	for caller := range 100 {
 		switch decision := f.open(caller, feedAddress, 0); {
@@ -176,11 +177,11 @@
 	}
 }
 
-// TestABalancerThatHasJustStartedLeavesColdBackEndsToOthers.
-func TestABalancerThatHasJustStartedLeavesColdBackEndsToOthers(t *testing.T) {
+// A balancer that has just started must not place flows at back ends that are warming up.
+func TestStartingBalancerIsNoPlacer(t *testing.T) {
 	f := coldFleet(t)
 	f.steerer.startedAt = f.now
-	f.warmUp(1)
+	f.restartWarmingUp(1)
 	for caller := range 50 {
 		if decision := f.open(caller, feedAddress, 0); decision.Action != Forward || decision.Backend.ID == 1 {
 			t.Fatalf("%+v", decision)
