--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -9,35 +9,35 @@
 
 // steerEstablished forwards a packet of a flow that a back end has answered.
 func (s *Steerer) steerEstablished(now time.Duration, packet *Packet) Verdict {
-	known := s.flows[packet.Flow]
-	if known == nil {
+	rec := s.flows[packet.Flow]
+	if rec == nil {
 		return s.adopt(now, packet)
 	}
 	decision := Verdict{Action: Forward}
-	if known.member.Tag != packet.Tag {
-		if s.opensElsewhere(now, known, packet) {
+	if rec.member.Tag != packet.Tag {
+		if s.opensElsewhere(now, rec, packet) {
 			if s.seek(now, packet) {
 				return Verdict{Action: Wait}
 			}
-			member := s.mayFollow(packet.Flow, s.named(packet, known.openSequence))
-			if member == nil || !known.isFirst(packet) {
+			member := s.mayFollow(packet.Flow, s.named(packet, rec.openSequence))
+			if member == nil || !rec.isFirst(packet) {
 				return drop(errkind.Undecided)
 			}
-			s.pinTo(known, member)
+			s.pinTo(rec, member)
 		} else {
-			decision.Repinned = s.reconcile(known, packet)
+			decision.Repinned = s.reconcile(rec, packet)
 		}
 	}
 	// The flow's back end is certain only now: a copy of its opening packet may have been placed
 	// here at a back end that is down, while another one has answered.
-	if s.givesUp(now, known.backend, packet) {
-		s.forget(known)
+	if s.givesUp(now, rec.backend, packet) {
+		s.forget(rec)
 		return refuse(errkind.BackendLost)
 	}
-	decision.Backend, decision.Tag = known.member, known.member.Tag
-	s.observe(now, known, packet)
+	decision.Backend, decision.Tag = rec.member, rec.member.Tag
+	s.observe(now, rec, packet)
 	if packet.Kind == Abort {
-		s.forget(known)
+		s.forget(rec)
 	}
 	return decision
 }
@@ -66,7 +66,7 @@
 	if s.givesUp(now, state, packet) {
 		return refuse(errkind.BackendLost)
 	}
-	known := &record{
+	rec := &record{
 		key:      packet.Flow,
 		member:   member,
 		backend:  state,
@@ -77,26 +77,26 @@
 		acknowledged: packet.Acknowledged,
 		sequence:     packet.Sequence,
 	}
-	if s.remember(known) {
-		s.observe(now, known, packet)
+	if s.remember(rec) {
+		s.observe(now, rec, packet)
 	}
 	return Verdict{Action: Forward, Backend: member, Tag: member.Tag}
 }
 
 // observe updates the state of a flow's back end from a packet.
-func (s *Steerer) observe(now time.Duration, known *record, packet *Packet) {
-	known.received(now, packet)
-	if known.answerTime > 0 && known.endsAnswer(packet) {
-		s.noteAnswer(now, known)
-	}
-	if known.sent(now, packet) {
-		s.noteStall(now, known)
-		if s.lost(now, known.backend) {
-			s.endFlows(now, known.backend)
+func (s *Steerer) observe(now time.Duration, rec *record, packet *Packet) {
+	rec.received(now, packet)
+	if rec.answerTime > 0 && rec.endsAnswer(packet) {
+		s.noteAnswer(now, rec)
+	}
+	if rec.sent(now, packet) {
+		s.noteStall(now, rec)
+		if s.lost(now, rec.backend) {
+			s.endFlows(now, rec.backend)
 		}
 	}
-	if known.waiting {
-		s.awaited.add(known)
+	if rec.waiting {
+		s.awaited.add(rec)
 	}
 }
 
@@ -104,25 +104,25 @@
 // opens, the tag shows which back end answered. Later a differing tag comes from a second back end
 // that answered a late copy of the opening packet; the flow stays pinned to the first, which alone
 // has its data.
-func (s *Steerer) reconcile(known *record, packet *Packet) (repinned bool) {
-	if !known.opening && !s.config.Mechanisms.NoPins {
-		return !known.opensBy(packet, known.member.Tag)
+func (s *Steerer) reconcile(rec *record, packet *Packet) (repinned bool) {
+	if !rec.opening && !s.config.Mechanisms.NoPins {
+		return !rec.opensBy(packet, rec.member.Tag)
 	}
-	member := s.named(packet, known.openSequence)
+	member := s.named(packet, rec.openSequence)
 	if member != nil {
-		s.pinTo(known, member)
+		s.pinTo(rec, member)
 	}
 	return false
 }
 
 // pinTo changes the recorded back end of a flow.
-func (s *Steerer) pinTo(known *record, member *directory.Member) {
-	if member == known.member {
+func (s *Steerer) pinTo(rec *record, member *directory.Member) {
+	if member == rec.member {
 		return
 	}
-	known.backend.leave(known)
-	known.member, known.backend = member, s.stateOf(member)
-	known.backend.join(known)
+	rec.backend.leave(rec)
+	rec.member, rec.backend = member, s.stateOf(member)
+	rec.backend.join(rec)
 }
 
 // namedBackend returns the back end that the packet's tag names, as the tag of an opening packet
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -17,16 +17,16 @@
 	// The starting positions alone account for a deviation of up to 0.03 with 350 flows.
 	within := map[int]float64{5: 0.03, 20: 0.02, 200: 0.02}
 	for _, flows := range []int{5, 20, 200} {
-		for _, small := range []float64{0.5, 0.1, 0.05} {
-			t.Run(fmt.Sprintf("%d flows, %v", flows, small), func(t *testing.T) {
-				splits := make([]*rotation, 70)
-				for i := range splits {
-					splits[i] = newRotation(key(i, splitAddress).Hash())
+		for _, smallShare := range []float64{0.5, 0.1, 0.05} {
+			t.Run(fmt.Sprintf("%d flows, %v", flows, smallShare), func(t *testing.T) {
+				rotations := make([]*rotation, 70)
+				for i := range rotations {
+					rotations[i] = newRotation(key(i, splitAddress).Hash())
 				}
-				for _, share := range []float64{small, 1 - small, small} {
+				for _, share := range []float64{smallShare, 1 - smallShare, smallShare} {
 					service := &settings.Service{Groups: []settings.Group{{Path: "a", Share: 1 - share}, {Path: "b", Share: share}, {Path: "c"}}}
 					taken := 0
-					for _, s := range splits {
+					for _, s := range rotations {
 						s.update(service)
 						for range flows {
 							p := s.next(nil)[0]
@@ -98,8 +98,8 @@
 		}
 	}
 	cases := map[string]struct {
-		gone, back func(f *fleet)
-		why        PartReason
+		disable, restore func(f *fleet)
+		reason           PartReason
 	}{
 		"empty": {
 			func(f *fleet) { f.vanish(11); f.vanish(12) },
@@ -110,19 +110,19 @@
 			func(f *fleet) { f.announce(11, "upload", "a", false); f.announce(12, "upload", "a", false) }, PartEmpty,
 		},
 		"evacuated": {evacuate(true), evacuate(false), PartEmpty},
-		"suspected": {
+		"silent": {
 			uploads(func(f *fleet, state *backendState) { state.suspectUntil = f.now + time.Hour }),
 			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"lost": {
+		"down": {
 			uploads(func(f *fleet, state *backendState) { state.lostUntil = f.now + time.Hour }),
 			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"doubted": {
+		"suspect": {
 			uploads(func(f *fleet, state *backendState) { state.doubtUntil = f.now + time.Hour }),
 			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"out of rotation": {
+		"ejected": {
 			uploads(func(_ *fleet, state *backendState) { state.failures = 10 }),
 			uploads(func(_ *fleet, state *backendState) { state.failures = 0 }), PartEjected,
 		},
@@ -131,11 +131,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			f.countParts(0, 100)
-			c.gone(f)
-			if counts := f.countParts(100, 100); counts["feed turn"] < 70 || counts["feed "+c.why.String()] < 20 || len(counts) != 2 {
+			c.disable(f)
+			if counts := f.countParts(100, 100); counts["feed turn"] < 70 || counts["feed "+c.reason.String()] < 20 || len(counts) != 2 {
 				t.Errorf("while it can take none: %v", counts)
 			}
-			c.back(f)
+			c.restore(f)
 			if counts := f.countParts(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
 				t.Errorf("after recovery: %v", counts)
 			}
@@ -178,11 +178,11 @@
 func TestRotationOfRenamedServiceIsDropped(t *testing.T) {
 	f := newFleet(t)
 	f.open(0, splitAddress, 0)
-	for _, known := range f.steerer.rotations {
-		old := *known.service
+	for _, r := range f.steerer.rotations {
+		old := *r.service
 		old.Name = "renamed"
-		known.service = &old
-		f.steerer.rotations["renamed"] = known
+		r.service = &old
+		f.steerer.rotations["renamed"] = r
 	}
 	f.steerer.Tick(f.now)
 	if len(f.steerer.rotations) != 1 || f.steerer.rotations["renamed"] != nil {
@@ -214,8 +214,8 @@
 	f.applySettings(map[string]string{"feed": "1", "upload": "1"}, "2")
 	for id := settings.BackendID(11); id <= 12; id++ {
 		f.revision++
-		cold := directory.Backend{ID: id, Group: "upload", Zone: "a", Slots: 2, WarmUp: time.Hour}
-		f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: cold, Revision: f.revision}}})
+		warming := directory.Backend{ID: id, Group: "upload", Zone: "a", Slots: 2, WarmUp: time.Hour}
+		f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: warming, Revision: f.revision}}})
 	}
 	f.steerer.SetView(f.directory.View())
 	if counts := f.countParts(0, 40); counts["feed cold"] < 18 || counts["feed turn"] < 18 || counts["no_backend"] > 0 {
--- a/internal/steering/rush_test.go
+++ b/internal/steering/rush_test.go
@@ -16,8 +16,8 @@
 	const (
 		balancers, servers = 3, 5
 		rate               = 150
-		joins              = 8 * time.Second
-		part               = 500 * time.Millisecond
+		joinTime           = 8 * time.Second
+		interval           = 500 * time.Millisecond
 	)
 	dir, address := zoneDirectory(t, servers)
 	zone := steerersOf(dir, balancers)
@@ -25,7 +25,7 @@
 	joined := false
 	counts := map[time.Duration]int{}
 	simulateZone(t, zone, address, rate, func(now time.Duration, id settings.BackendID) {
-		if now >= joins && !joined {
+		if now >= joinTime && !joined {
 			joined = true
 			addBackend(dir, newcomer, 0)
 			for _, s := range zone {
@@ -33,16 +33,16 @@
 			}
 		}
 		if id == newcomer {
-			counts[now/part]++
+			counts[now/interval]++
 		}
 	})
-	mean := float64(rate) / (servers + 1) * part.Seconds()
+	mean := float64(rate) / (servers + 1) * interval.Seconds()
 	for at, count := range counts {
 		if most := 2 * mean; float64(count) > most {
-			t.Errorf("%d flows from %v on, its share is %v", count, at*part, mean)
+			t.Errorf("%d flows from %v on, its share is %v", count, at*interval, mean)
 		}
 	}
-	if last := counts[(simulatedTime-part)/part]; float64(last) < mean/2 {
+	if last := counts[(simulatedTime-interval)/interval]; float64(last) < mean/2 {
 		t.Errorf("%d flows at the end, its share is %v", last, mean)
 	}
 }
@@ -69,13 +69,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			const servers = 5
 			dir, address := zoneDirectory(t, servers)
-			const cold = settings.BackendID(servers + 1)
-			addBackend(dir, cold, time.Minute)
+			const warming = settings.BackendID(servers + 1)
+			addBackend(dir, warming, time.Minute)
 			s := New(Config{Zone: "a", FlowLife: time.Minute})
 			s.SetView(dir.View())
 			taken := 0
 			simulateZone(t, []*Steerer{s}, address, test.rate, func(now time.Duration, id settings.BackendID) {
-				if id == cold && now > simulatedTime/4 {
+				if id == warming && now > simulatedTime/4 {
 					taken++
 				}
 			})
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -20,7 +20,7 @@
 // handleRestarts looks for back ends that restarted under their identifiers, among those that
 // changed in the new view. It discards the observations of the previous start and ends the flows
 // that are older than the restart: their next request would be lost, and a caller that may not
-// repeat it would not know. Flows that may have opened since stay.
+// repeat it would not notice. Flows that may have opened since stay.
 func (s *Steerer) handleRestarts(changed []settings.BackendID) {
 	restarted := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
@@ -42,15 +42,15 @@
 		b.deafUntil = s.pulse + ignoreReportsTime
 		b.note(StartedAnew, s.pulse-previous.progress, b.deafUntil)
 	}
-	for _, known := range s.flows {
-		if member := restarted[known.backend.id]; member != nil {
-			known.backend.leave(known)
-			known.member, known.backend = member, s.backends[member.ID]
-			known.backend.join(known)
+	for _, rec := range s.flows {
+		if member := restarted[rec.backend.id]; member != nil {
+			rec.backend.leave(rec)
+			rec.member, rec.backend = member, s.backends[member.ID]
+			rec.backend.join(rec)
 		}
 	}
-	s.resetAll(func(known *record) bool {
-		member := restarted[known.backend.id]
-		return member != nil && known.started < member.StartedAfter
+	s.resetAll(func(rec *record) bool {
+		member := restarted[rec.backend.id]
+		return member != nil && rec.started < member.StartedAfter
 	})
 }
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -35,8 +35,8 @@
 	view     *directory.View
 	flows    map[flow.Key]*record
 	backends map[settings.BackendID]*backendState
-	// removed are those of backends whose entries were removed. They are few, so that views are
-	// searched for these only.
+	// removed holds the states in backends whose entries were removed. They are few, so that each
+	// view is checked for these only.
 	departed map[settings.BackendID]*backendState
 	// rotations are by service name.
 	rotations map[string]*rotation
@@ -69,7 +69,7 @@
 	awaited  awaited
 	lastScan time.Duration
 	// searches are for flows that may be pinned to another back end than their tags name, and
-	// inquiries those that the driver has not taken yet.
+	// inquiries are those to other balancers that the driver has not taken yet.
 	searches  map[flow.Key]search
 	inquiries []Inquiry
 	// searchTokens is how many more searches were allowed at searchTokensAt.
@@ -194,34 +194,34 @@
 	if service == nil {
 		return refuse(errkind.NoRoute)
 	}
-	known := s.flows[packet.Flow]
+	rec := s.flows[packet.Flow]
 	switch {
-	case known == nil && packet.hasBeenCopied():
+	case rec == nil && packet.hasBeenCopied():
 		return drop(errkind.Stale)
-	case known == nil && packet.Attempt > 0 && s.isSought(now, packet.Flow):
+	case rec == nil && packet.Attempt > 0 && s.isSought(now, packet.Flow):
 		return drop(errkind.Undecided)
-	case known == nil && s.mayBePlacedElsewhere(packet):
+	case rec == nil && s.mayBePlacedElsewhere(packet):
 		if packet.Attempt == 1 && s.losesAnswers() {
 			return drop(errkind.Undecided)
 		}
 		return Verdict{Action: Wait}
-	case known == nil || s.config.Mechanisms.NoCopyMemory:
-		s.forget(known)
+	case rec == nil || s.config.Mechanisms.NoCopyMemory:
+		s.forget(rec)
 		return s.place(now, packet, service, nil)
-	case known.isOpenFor(now, packet):
+	case rec.isOpenFor(now, packet):
 		return drop(errkind.Unexpected)
-	case !known.opening || known.openSequence != packet.Sequence:
-		s.forget(known)
+	case !rec.opening || rec.openSequence != packet.Sequence:
+		s.forget(rec)
 		return s.place(now, packet, service, nil)
 	}
-	known.noteCopy(now, packet.Attempt)
-	if s.acceptsCopy(now, service, known) {
-		known.lastSeen = now
-		return Verdict{Action: Forward, Backend: known.member, Tag: openingTag(known.member.Tag, packet.Sequence)}
+	rec.noteCopy(now, packet.Attempt)
+	if s.acceptsCopy(now, service, rec) {
+		rec.lastSeen = now
+		return Verdict{Action: Forward, Backend: rec.member, Tag: openingTag(rec.member.Tag, packet.Sequence)}
 	}
-	s.forget(known)
-	decision := s.place(now, packet, service, known)
-	decision.Moved, decision.Previous = true, known.member
+	s.forget(rec)
+	decision := s.place(now, packet, service, rec)
+	decision.Moved, decision.Previous = true, rec.member
 	return decision
 }
 
@@ -249,8 +249,8 @@
 
 // acceptsCopy reports whether the back end of a flow that is still opening may take it by the
 // newest view.
-func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, known *record) bool {
-	if known.backend.suspected(now) && !s.config.Mechanisms.NoSuspicion {
+func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, rec *record) bool {
+	if rec.backend.suspected(now) && !s.config.Mechanisms.NoSuspicion {
 		return false
 	}
 	for i := range service.Groups {
@@ -259,11 +259,11 @@
 		}
 		pool := s.view.Pool(service.Groups[i].Discover)
 		for _, member := range pool.Open {
-			if member.ID == known.member.ID {
+			if member.ID == rec.member.ID {
 				return true
 			}
 		}
-		if s.keepsLapsed(now, pool, known.member.ID) {
+		if s.keepsLapsed(now, pool, rec.member.ID) {
 			return true
 		}
 	}
@@ -278,7 +278,7 @@
 		return refuse(choice.refusal)
 	}
 	state := s.stateOf(choice.member)
-	known := &record{
+	rec := &record{
 		key:          packet.Flow,
 		member:       choice.member,
 		backend:      state,
@@ -291,9 +291,9 @@
 		askedAt:      now,
 	}
 	if previous != nil {
-		known.left = previous.member.Tag
+		rec.left = previous.member.Tag
 	}
-	if s.remember(known) {
+	if s.remember(rec) {
 		// Without a record no answer would ever be noticed.
 		state.asked(now)
 	}
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -702,14 +702,14 @@
 func TestUnansweredRequestsCountAsLoad(t *testing.T) {
 	s := New(Config{Zone: "a", FlowLife: time.Minute})
 	state := s.newState(&directory.Member{Backend: directory.Backend{ID: 7}})
-	known := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
-	known.noteUnanswered(time.Second + answerPatience/2)
+	rec := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
+	rec.noteUnanswered(time.Second + answerPatience/2)
 	if state.faults != 0 {
 		t.Fatal("a request that was just sent counts as unanswered")
 	}
 	for range 3 {
-		known.noteUnanswered(time.Second + answerPatience)
-		known.unanswered = false
+		rec.noteUnanswered(time.Second + answerPatience)
+		rec.unanswered = false
 	}
 	if state.faults != 3 || state.work() != 3*faultCost {
 		t.Errorf("%v faults, work %v", state.faults, state.work())
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -102,7 +102,7 @@
 }
 
 // coldFleet limits the feed to 4 new flows per second for back ends that are warming up.
-func coldFleet(t *testing.T) *fleet {
+func newWarmUpFleet(t *testing.T) *fleet {
 	f := newFleet(t)
 	f.steerer.Reconfigure(Config{Zone: "a", FlowLife: time.Minute, WarmUpOvershoot: 1.5, WarmUpSlack: 5})
 	f.revision++
@@ -128,21 +128,21 @@
 
 // Flows beyond the warm-up limit must go to the other back ends.
 func TestFlowsBeyondWarmUpLimitGoElsewhere(t *testing.T) {
-	f := coldFleet(t)
+	f := newWarmUpFleet(t)
 	f.restartWarmingUp(1)
-	cold := 0
+	warming := 0
 	for caller := range 100 {
 		decision := f.open(caller, feedAddress, 0)
 		if decision.Action != Forward {
 			t.Fatalf("a flow is not placed: %+v", decision)
 		}
 		if decision.Backend.ID == 1 {
-			cold++
+			warming++
 		}
 		f.pass(10 * time.Millisecond)
 	}
-	if cold < 1 || cold > 3 {
-		t.Errorf("the back end that is warming up gets %d flows in a second, want 1 to 3", cold)
+	if warming < 1 || warming > 3 {
+		t.Errorf("the back end that is warming up gets %d flows in a second, want 1 to 3", warming)
 	}
 	f.pass(8 * time.Second)
 	for caller := 200; caller < 300; caller++ {
@@ -155,7 +155,7 @@
 
 // Flows are refused at once if all back ends are warming up.
 func TestFlowsAreRefusedIfAllWarmUp(t *testing.T) {
-	f := coldFleet(t)
+	f := newWarmUpFleet(t)
 	var ids []settings.BackendID
 	for _, member := range f.directory.View().Pool("feed").Open {
 		ids = append(ids, member.ID)
@@ -179,7 +179,7 @@
 
 // A balancer that has just started must not place flows at back ends that are warming up.
 func TestStartingBalancerIsNoPlacer(t *testing.T) {
-	f := coldFleet(t)
+	f := newWarmUpFleet(t)
 	f.steerer.startedAt = f.now
 	f.restartWarmingUp(1)
 	for caller := range 50 {
