--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// loadSlack is the load above the bound that does not yet move new flows out of the zone, in
-	// requests per slot, so that single requests do not count.
+	// loadSlack is how far the load, in requests per slot, may exceed the bound before flows leave
+	// the zone.
 	loadSlack = 1.5
 )
 
@@ -21,17 +21,17 @@
 	local  bool
 	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
 	score float64
-	// load is the work at the back end relative to its slots, and expectedLoad the same with the
-	// flows placed in the last moments counted in.
+	// load is the work relative to slots, and expectedLoad includes flows placed in the last
+	// moments.
 	load, soon float64
-	// balanceLoad is compared where a request hardly waits: load, or in a large zone the rate of
-	// work over a longer time, relative to slots.
+	// balanceLoad is compared where requests hardly wait: load, or in a large zone the longer-term
+	// rate per slot.
 	even float64
-	// failures counts its recent failed requests, through all balancers.
+	// failures counts recent failed requests, through all balancers.
 	failures float64
-	// slowdown is the time of a request there relative to the typical one, at least 1.
+	// slowdown is the response time relative to the typical one, at least 1.
 	pace float64
-	// expectedTime is the expected time of a request there, in typical times.
+	// expectedTime is in multiples of the typical response time.
 	time float64
 	// probe is set where the flow would test whether a slow back end has recovered.
 	trial bool
@@ -43,8 +43,8 @@
 	part   *part
 	// refusal is the reason where member is nil.
 	refusal errkind.Kind
-	// scheduled is the part that the rotation named, and reason why the flow went to that part or
-	// to another one.
+	// scheduled is the part that the rotation named, and reason why the flow went to it or
+	// elsewhere.
 	scheduled *part
 	reason    PartReason
 	spilled   bool
@@ -54,17 +54,16 @@
 
 // pass is one round over the parts of a service.
 type pass struct {
-	// tier is an index into tiers.
 	tier int
-	// skipFailing skips a part whose back ends are all ejected, or that is in cooldown.
+	// skipFailing skips parts in cooldown or with all back ends ejected.
 	skipFailing bool
 }
 
-// passes are in order of preference. A service with one part has no pass that skips.
+// passes are in order of preference. Services with one part use only those without skipFailing.
 var passes = []pass{{tier: 0, skipFailing: true}, {tier: 0}, {tier: 1}, {tier: 2}, {tier: 3}}
 
-// choose picks the back end of a new flow. The scheduled part is tried first, and the others where
-// it can take none. A flow that moves away from previous keeps the part it was scheduled for.
+// choose picks the back end of a new flow, from the scheduled part if possible. A flow that moves
+// away from previous keeps its scheduled part.
 func (s *Steerer) choose(now time.Duration, hash uint64, service *settings.Service, previous *record) choice {
 	var avoid *backendState
 	var previousPart *part
@@ -99,7 +98,7 @@
 	return choice{refusal: s.refusal(parts)}
 }
 
-// refusal returns the reason why no back end of the parts may take a flow.
+// refusal returns why no back end of the parts may take a flow.
 func (s *Steerer) refusal(parts []*part) errkind.Kind {
 	for _, p := range parts {
 		for _, member := range s.view.Pool(p.group.Discover).Open {
@@ -111,8 +110,7 @@
 	return errkind.NoBackend
 }
 
-// evaluate gathers and scores the candidates of a part, and reports whether they can take the
-// flow, or why not.
+// evaluate gathers and scores the candidates of a part, and reports whether it can take the flow.
 func (s *Steerer) evaluate(p *part, pass pass) (usable bool, reason PartReason) {
 	if !s.gatherCandidates(pass.tier) {
 		return false, s.unavailableReason()
@@ -121,8 +119,7 @@
 	if !pass.skipFailing {
 		return true, PartScheduled
 	}
-	// A part that is merely busy keeps its share: with few back ends a request in each slot is
-	// normal.
+	// Being busy is no failure: with few back ends a request in each slot is normal.
 	allEjected := true
 	for i := range s.candidates {
 		allEjected = allEjected && s.candidates[i].state.out
@@ -154,9 +151,9 @@
 	return reason
 }
 
-// pick returns the best of the scored candidates in the own zone, unless its load exceeds the mean
-// of all zones by more than the load factor. Ties are broken by the flow's hash, so that balancers
-// without any load reports agree and do not overload one back end.
+// pick returns the best candidate of the own zone, or of another one if shouldSpill. Ties are
+// broken by the flow's hash, so that balancers without load reports agree and do not overload one
+// back end.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
 	typicalLatency := s.placing.typicalLatency
 	pool := s.poolOf(p.group.Discover)
@@ -172,8 +169,8 @@
 	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.trial}
 }
 
-// shouldSpill reports whether a new flow is better placed in another zone: the own zone has more
-// than its share of load, or a request would wait here and not there.
+// shouldSpill reports whether another zone is better: the own one exceeds the load factor, or a
+// request would wait here and not there.
 func (s *Steerer) shouldSpill(local, remote *candidate, service *settings.Service) bool {
 	if local.busy() && !remote.busy() {
 		return true
@@ -186,7 +183,7 @@
 	return c.state.active >= max(c.member.Slots, 1)
 }
 
-// meanLoad returns the mean load over all zones.
+// meanLoad is over all zones.
 func meanLoad(candidates []candidate) float64 {
 	sum := 0.0
 	for i := range candidates {
@@ -196,7 +193,7 @@
 }
 
 // best returns the best candidate inside or outside the own zone, or nil. In a large zone it
-// compares only the current subset, unless the best of that is busy or ejected.
+// compares the current subset only, unless the best of that is busy or ejected.
 func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
 	if s.own.Count < manyBalancers {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -28,8 +28,8 @@
 			decision.Repinned = s.reconcile(rec, packet)
 		}
 	}
-	// The flow's back end is certain only now: a copy of its opening packet may have been placed
-	// here at a back end that is down, while another one has answered.
+	// Only now is the back end certain: a copy of the opening packet may have been placed here at
+	// one that is down, while another one has answered.
 	if s.givesUp(now, rec.backend, packet) {
 		s.forget(rec)
 		return refuse(errkind.BackendLost)
@@ -100,10 +100,9 @@
 	}
 }
 
-// reconcile handles a packet whose tag differs from the flow's recorded back end. While a flow
-// opens, the tag shows which back end answered. Later a differing tag comes from a second back end
-// that answered a late copy of the opening packet; the flow stays pinned to the first, which alone
-// has its data.
+// reconcile handles a tag that differs from the recorded back end. While a flow opens, the tag
+// shows which back end answered. Later it comes from a second back end that answered a late copy
+// of the opening packet; the flow stays pinned to the first, which alone has its data.
 func (s *Steerer) reconcile(rec *record, packet *Packet) (repinned bool) {
 	if !rec.opening && !s.config.Mechanisms.NoPins {
 		return !rec.opensBy(packet, rec.member.Tag)
@@ -126,7 +125,7 @@
 }
 
 // namedBackend returns the back end that the packet's tag names, as the tag of an opening packet
-// with the sequence or of a later packet; nil for none.
+// with the sequence or of a later packet, or nil.
 func (s *Steerer) named(packet *Packet, openSequence uint32) *directory.Member {
 	if member := s.taggedBackend(packet, packet.Tag); member != nil {
 		return member
@@ -134,8 +133,8 @@
 	return s.taggedBackend(packet, openingTag(packet.Tag, openSequence))
 }
 
-// taggedBackend returns the back end that a tag names for the packet's flow, or nil. Where two
-// share a tag, it is the one that the packet's service uses.
+// taggedBackend returns the back end of a tag for the packet's flow, or nil. Where two share a
+// tag, the one that the packet's service uses is meant.
 func (s *Steerer) taggedBackend(packet *Packet, tag directory.Tag) *directory.Member {
 	members := s.view.Tagged(tag)
 	if len(members) == 0 {
--- a/internal/steering/parts.go
+++ b/internal/steering/parts.go
@@ -8,21 +8,19 @@
 )
 
 // A service may be split into parts, groups with a share each. Each balancer keeps the shares of
-// its own new flows without exchanging counts. Since each sees few flows, balancers start at
-// different positions of the rotation; else all of them would send their first flows to the part
-// with the largest share. A part that cannot take a flow passes it to the others, which uses up
-// its place in the rotation: it gets its share again, and no more, as soon as it can take flows.
-// That is checked for each flow, without any state besides that of the back ends.
+// its own new flows. Balancers start at different positions of the rotation, since otherwise all
+// would send their few first flows to the largest part. A part that cannot take a flow passes it
+// on and loses its place in the rotation, so that it gets no more than its share once it recovers.
 
 const (
-	// rotationStep is the distance between consecutive positions on the unit circle of the shares.
-	// The golden ratio spreads the positions of each part evenly, wherever the first one is.
+	// rotationStep is the distance between positions on the unit circle of the shares. The golden
+	// ratio spreads the positions of each part evenly, wherever the first one is.
 	rotationStep = 0.6180339887498949
-	// maxCorrection limits how far the share of new flows may deviate to correct for flows that
-	// send more requests than others. It is small since operators weigh new flows.
+	// maxCorrection is how far shares of new flows may deviate to correct for different request
+	// rates. It is small since operators weigh new flows.
 	maxCorrection = 0.05
-	// priorShareRequests is the number of requests, divided by the shares, that is added to the
-	// counts so that a few requests cause no correction.
+	// priorShareRequests is added to the counts, divided by the shares, so that few requests cause
+	// no correction.
 	priorShareRequests = 50
 	// partCountDecay is the factor per second for the request count of a part.
 	partCountDecay = 0.97
@@ -41,8 +39,8 @@
 	PartEmpty
 	// PartUnresponsive means that no back end answers opening packets or requests.
 	PartUnresponsive
-	// PartWarmingUp means that its back ends are warming up and get their flows from other
-	// balancers now.
+	// PartWarmingUp means that its back ends are warming up and get no flow from this balancer
+	// now.
 	PartWarmingUp
 	// PartFull means that all are near their limit of flows, PartEjected that all are ejected.
 	PartFull
@@ -79,8 +77,7 @@
 // part is a group of a split service.
 type part struct {
 	group *settings.Group
-	// share is its share of new flows, and requests the decaying number of requests on flows that
-	// were scheduled for it.
+	// share is its share of new flows, and requests the decaying count on flows scheduled for it.
 	share, count float64
 }
 
@@ -89,7 +86,7 @@
 	return &rotation{position: float64(hash>>11) / (1 << 53)}
 }
 
-// update reads the shares of a service. Counts are reset where the shares have changed.
+// update reads the shares of a service, and resets the counts if these have changed.
 func (r *rotation) update(service *settings.Service) {
 	if r.service == service {
 		return
@@ -129,9 +126,9 @@
 	return &part{group: group}
 }
 
-// next returns the parts in the order in which they are tried for a flow: the scheduled one, then
-// the others, divided by their shares. previous is the part that the flow was scheduled for
-// before, which is scheduled again; nil for a new flow. The list is valid until the next call.
+// next returns the parts in the order in which they are tried: the scheduled one, then the others
+// by their shares. previous is the part that the flow was scheduled for before and comes first
+// again, or nil. The result is valid until the next call.
 func (r *rotation) next(previous *part) []*part {
 	if len(r.parts) < 2 {
 		return r.parts
@@ -165,8 +162,8 @@
 	}
 }
 
-// selectPart moves the part whose range contains the position to the front, and returns the
-// position within that range, which orders the other parts.
+// selectPart moves the part at the position to the front, and returns the position within its
+// range, which orders the other parts.
 func selectPart(parts []*part, targets []float64, position float64) float64 {
 	sum := 0.0
 	for _, target := range targets {
@@ -186,7 +183,7 @@
 }
 
 // rotationOf returns the rotation of the service. The hash of the first flow differs between
-// balancers, also before they have received anything from each other.
+// balancers.
 func (s *Steerer) rotationOf(service *settings.Service, hash uint64) *rotation {
 	r := s.rotations[service.Name]
 	if r == nil {
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -38,8 +38,8 @@
 	includeExpired bool
 }
 
-// tiers are in order of preference: healthy back ends, back ends near their limit of flows,
-// unresponsive ones, and back ends whose entries were removed recently, perhaps by mistake.
+// tiers are in order of preference: healthy back ends, those near their limit of flows,
+// unresponsive ones, and those whose entries were removed recently, perhaps by mistake.
 var tiers = []tier{
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterConnections}, true},
 	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterFull}, true},
@@ -47,28 +47,27 @@
 	{removedMembers, []filter{filterLapsed, filterCold, filterFull}, false},
 }
 
-// scorers compute the load of each candidate first, then what makes the same load slower there.
+// scorers set the load first, then what makes the same load slower.
 var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreTypicalLatency, scoreSlowness, scoreTime}
 
 func openMembers(pool *directory.Pool) []*directory.Member { return pool.Open }
 
 func removedMembers(pool *directory.Pool) []*directory.Member { return pool.Left }
 
-// gatherCandidates collects the back ends of a tier that pass its filters, and reports whether
-// there are any.
+// gatherCandidates collects the back ends of a tier, and reports whether there are any.
 func (s *Steerer) gatherCandidates(tier int) bool {
 	s.candidates = s.candidates[:0]
-	from := &tiers[tier]
-	for _, member := range from.members(s.placing.pool) {
-		s.addCandidate(member, from.filters)
+	t := &tiers[tier]
+	for _, member := range t.members(s.placing.pool) {
+		s.addCandidate(member, t.filters)
 	}
-	if from.includeExpired {
-		s.addLapsed(from.filters)
+	if t.includeExpired {
+		s.addLapsed(t.filters)
 	}
 	return len(s.candidates) > 0
 }
 
-// addCandidate adds a back end to the candidates if it passes the filters.
+// addCandidate adds a back end if it passes the filters.
 func (s *Steerer) addCandidate(member *directory.Member, filters []filter) {
 	state := s.observed(member)
 	if s.filtered(filters, member, state) {
@@ -84,8 +83,8 @@
 }
 
 func (s *Steerer) filtered(filters []filter, member *directory.Member, state *backendState) bool {
-	for _, leavesOut := range filters {
-		if leavesOut(s, &s.placing, member, state) {
+	for _, excludes := range filters {
+		if excludes(s, &s.placing, member, state) {
 			return true
 		}
 	}
@@ -94,7 +93,7 @@
 
 // scoreCandidates runs all scorers.
 func (s *Steerer) scoreCandidates() {
-	for _, weigh := range scorers {
-		weigh(s, &s.placing)
+	for _, score := range scorers {
+		score(s, &s.placing)
 	}
 }
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -6,26 +6,24 @@
 )
 
 const (
-	// initialWarmUpSlowdown is the assumed slowdown of a back end that is warming up until
-	// responses have been measured, and warmUpSlowdownGain the weight of each response.
+	// initialWarmUpSlowdown is assumed for back ends that are warming up until it is measured, and
+	// warmUpSlowdownGain is the weight of each response.
 	initialWarmUpSlowdown = 1.6
 	warmUpSlowdownGain    = 0.1
-	// priorRetransmitShare is the assumed share of requests to healthy back ends that are
-	// retransmitted. It weighs as much as priorRequests requests.
+	// priorRetransmitShare is the assumed share of retransmitted requests at healthy back ends,
+	// with the weight of priorRequests requests.
 	priorRetransmitShare = 0.03
 	priorRequests        = 10
-	// retransmitMargin is how far the upper bound of that share lies above the estimate, in
-	// standard deviations: a few callers that lose packets by chance must not end flows at a
-	// healthy back end.
+	// retransmitMargin is the upper bound's distance from the estimate in standard deviations. It
+	// keeps a few lost packets from ending flows at a healthy back end.
 	retransmitMargin = 2
-	// lossyShare is the share of retransmitted requests at healthy back ends from which a single
-	// unanswered packet is most likely a lost one. A suspect state is then not reported urgently,
-	// since that costs a datagram to every known balancer, and is no confirmation of another one.
+	// lossyShare is the share of retransmitted requests at healthy back ends from which an
+	// unanswered packet is most likely lost. Suspects are then not reported urgently, which costs
+	// a datagram per balancer, and do not confirm each other.
 	lossyShare = 0.04
-	// lossyOpeningShare is the same for opening packets that healthy back ends answered only after
-	// a retransmission. Their answers may be lost where nothing else is; a report that counted as
-	// a confirmation would then move copies to a second back end, which answers as well. It is
-	// high enough that a single retransmission among few flows does not reach it.
+	// lossyOpeningShare is the same for opening packets, whose answers may be lost where nothing
+	// else is: copies that moved would be answered by two back ends. A single retransmission among
+	// few flows does not reach it.
 	lossyOpeningShare = 0.1
 	// longDecay is the factor per second for counts over about half a minute.
 	longDecay = 0.97
@@ -44,12 +42,10 @@
 	usual float64
 	// warmUpSlowdown is the measured slowdown of back ends that are warming up.
 	warmUpSlowdown float64
-	// cooldown keeps flows of split services away from the pool while none of its back ends
-	// answers requests.
+	// cooldown keeps flows of split services away while no back end answers requests.
 	rest cooldown
-	// retransmits and retransmitsLong count requests that callers retransmitted though their back
-	// end was healthy: over the last seconds, which follows a change quickly, and over half a
-	// minute, which varies less.
+	// retransmits and retransmitsLong count requests retransmitted though the back end was
+	// healthy: over seconds, which follows changes, and over half a minute, which varies less.
 	repeated, repeatedLong repetitions
 	// openingRetransmits counts retransmitted opening packets over half a minute.
 	openingRetransmits repetitions
@@ -65,14 +61,12 @@
 	return pool
 }
 
-// lossy reports whether packets to healthy back ends are lost often enough to explain a single
-// unanswered one.
+// lossy reports whether loss at healthy back ends may explain a single unanswered packet.
 func (p *poolState) lossy() bool {
 	return p.repeatedLong.highest() >= lossyShare || p.losesAnswers()
 }
 
-// losesAnswers reports whether answers to opening packets are lost so often that two in a row are
-// likely.
+// losesAnswers reports whether two lost answers to opening packets in a row are likely.
 func (p *poolState) losesAnswers() bool { return p.openingRetransmits.highest() >= lossyOpeningShare }
 
 // minSilentFlows returns how many flows in a row must go unanswered before a back end counts as
@@ -81,12 +75,11 @@
 	return max(silentFlows, byChance(silentByChance, p.openingRetransmits.highest()))
 }
 
-// justStarted reports whether the balancer has observed too little to estimate the loss of
-// packets.
+// justStarted reports whether too little was observed to estimate packet loss.
 func (p *poolState) young(now time.Duration) bool { return now-p.startedAt < settleTime }
 
-// minRunLength returns the smallest number of consecutive events whose joint probability is at
-// most maxProbability, where each has the given probability.
+// minRunLength returns the smallest number of consecutive events, each with the given probability,
+// that has a joint probability of at most maxProbability.
 func byChance(maxProbability, probability float64) int {
 	if probability >= 1 {
 		return math.MaxInt
@@ -94,8 +87,7 @@
 	return int(math.Ceil(math.Log(maxProbability) / math.Log(probability)))
 }
 
-// noteOpened counts a flow that has opened; copied is set if that took a copy of its opening
-// packet.
+// noteOpened counts an opened flow; copied is set if that took a copy of its opening packet.
 func (p *poolState) noteOpened(copied bool) {
 	p.openingRetransmits.asked++
 	if copied {
@@ -103,8 +95,7 @@
 	}
 }
 
-// noteUnanswered counts an unanswered request towards the cooldown if it has waited much longer
-// than is typical.
+// noteUnanswered counts an unanswered request that has waited much longer than is typical.
 func (p *poolState) noteVain(now, askedAt time.Duration) {
 	if (now - askedAt).Seconds() >= overdueFactor*p.usual {
 		p.rest.noteUnanswered(now, askedAt)
@@ -124,7 +115,7 @@
 	p.repeatedLong.asked++
 }
 
-// noteRetransmits counts requests that callers retransmitted though their back end was healthy.
+// noteRetransmits counts requests that were retransmitted though the back end was healthy.
 func (p *poolState) noteRepeated(count int) {
 	p.repeated.vain += float64(count)
 	p.repeatedLong.vain += float64(count)
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -31,8 +31,8 @@
 	recent, steady float64
 }
 
-// DecayOver returns the factors for an age. It costs two exponentiations and is meant to be
-// computed once for all loads of a hello.
+// DecayOver returns the factors for an age. Compute them once for all loads of a hello: they cost
+// two exponentiations.
 func FadingOver(age time.Duration) Decay {
 	return Decay{math.Pow(recentDecay, age.Seconds()), math.Pow(steadyDecay, age.Seconds())}
 }
@@ -75,9 +75,9 @@
 	}
 }
 
-// Suspects returns at most count back ends that this balancer itself found unresponsive. Where
-// packets are lost, a single unanswered opening packet is not reported: a receiver that has just
-// started does not know of the loss, and would count it as a confirmation.
+// Suspects returns at most count back ends that this balancer itself found unresponsive. Under
+// packet loss a single unanswered opening packet is left out: a receiver that does not know of the
+// loss would count it as a confirmation.
 func (s *Steerer) Doubted(now time.Duration, count int) []settings.BackendID {
 	var suspects []settings.BackendID
 	for id, state := range s.backends {
@@ -89,7 +89,7 @@
 	return suspects[:min(count, len(suspects))]
 }
 
-// RecentLoad returns the recent work of this balancer at each back end, the largest first, at most
+// RecentLoad returns the recent work of this balancer at each back end, largest first, at most
 // count.
 func (s *Steerer) RecentLoad(count int) []BackendLoad {
 	var loads []BackendLoad
@@ -104,8 +104,8 @@
 	return loads[:min(count, len(loads))]
 }
 
-// Failures returns the recent failures of each back end through this balancer, the most first, at
-// most count. They are reported to other balancers at once.
+// Failures returns the recent failures of each back end through this balancer, largest first, at
+// most count. They are reported at once.
 func (s *Steerer) Failures(count int) []BackendLoad {
 	var failing []BackendLoad
 	for id, state := range s.backends {
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -9,18 +9,16 @@
 	"gaugeyard/internal/settings"
 )
 
-// ignoreReportsTime is how long after a back end restarted under the same identifier reports of
-// other balancers may still concern its previous start: until they have received the news and the
-// loads that they reported earlier have decayed.
+// ignoreReportsTime is how long after a restart reports of other balancers may still concern the
+// previous start: until they have received the news and their earlier loads have decayed.
 const ignoreReportsTime = 6 * time.Second
 
 // ignoresReports reports whether reports on the back end may concern its previous start.
 func (b *backendState) deaf(now time.Duration) bool { return now < b.deafUntil }
 
-// handleRestarts looks for back ends that restarted under their identifiers, among those that
-// changed in the new view. It discards the observations of the previous start and ends the flows
-// that are older than the restart: their next request would be lost, and a caller that may not
-// repeat it would not notice. Flows that may have opened since stay.
+// handleRestarts discards the observations of back ends that restarted under their identifiers,
+// and ends the flows that are older than the restart. Their next request would be lost, and a
+// caller that may not repeat it would not notice. Flows that may have opened since stay.
 func (s *Steerer) handleRestarts(changed []settings.BackendID) {
 	restarted := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -97,28 +97,28 @@
 
 // Skipping views must have the same outcome as applying each.
 func TestViewsMayBeSkipped(t *testing.T) {
-	each, some := newFleet(t), newFleet(t)
+	complete, skipping := newFleet(t), newFleet(t)
 	for caller := range 40 {
-		each.opened(caller, feedAddress)
-		some.opened(caller, feedAddress)
+		complete.opened(caller, feedAddress)
+		skipping.opened(caller, feedAddress)
 	}
-	step := func(f *fleet, see bool, change directory.Changes) {
+	step := func(f *fleet, apply bool, change directory.Changes) {
 		f.revision++
 		change.Revision = f.revision
 		for i := range change.Gone {
 			change.Gone[i].Revision = f.revision
 		}
 		f.directory.Apply(f.now, &change)
-		if view := f.directory.View(); see {
+		if view := f.directory.View(); apply {
 			f.steerer.SetView(view)
 		}
 	}
 	for i, id := range []settings.BackendID{2, 3, 1, 4} {
 		gone := directory.Changes{Gone: []directory.Gone{{ID: id}}}
-		step(each, true, gone)
-		step(some, i%2 == 1, directory.Changes{Gone: []directory.Gone{{ID: id}}})
+		step(complete, true, gone)
+		step(skipping, i%2 == 1, directory.Changes{Gone: []directory.Gone{{ID: id}}})
 	}
-	for _, f := range []*fleet{each, some} {
+	for _, f := range []*fleet{complete, skipping} {
 		if len(f.steerer.departed) != 4 {
 			t.Errorf("removed: %v", f.steerer.departed)
 		}
@@ -150,8 +150,8 @@
 		t.Errorf("%d back ends have a state after all flows have ended", states)
 	}
 	for _, pool := range f.steerer.pools {
-		if blank := pool.blank; blank != nil && (blank.recent != 0 || blank.flows != 0 || blank.doubt != 0 || blank.slowness != 1) {
-			t.Errorf("the shared state of unobserved back ends was written to: %+v", blank)
+		if unobserved := pool.blank; unobserved != nil && (unobserved.recent != 0 || unobserved.flows != 0 || unobserved.doubt != 0 || unobserved.slowness != 1) {
+			t.Errorf("the shared state of unobserved back ends was written to: %+v", unobserved)
 		}
 	}
 }
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// steadyDecay is the factor per second for the steady count of requests, which thus covers
-	// about 14 seconds. Large zones balance by this count, since each balancer receives only some
-	// of the others' loads every few seconds, and long flows differ in their request rates. Small
-	// zones balance by the recent count: all of their balancers receive each other's loads twice a
-	// second, and by the steady count all of them would choose the same back end in between.
+	// steadyDecay is the factor per second for the steady count of requests, which covers about 14
+	// seconds. Large zones balance by it, since loads arrive only every few seconds and long flows
+	// differ in their request rates. In small zones it would send all flows to one back end
+	// between two reports, which are frequent there; these use the recent count.
 	steadyDecay = 0.93
 	// steadyOffset is added to the seconds that the count of a new back end covers, so that it
-	// catches up with the rate of the others within about a second and not at once.
+	// catches up within about a second and not at once.
 	steadyOffset = 1
-	// settleTime is how long after its own start a balancer assumes that back ends it first sees
-	// have been running for long.
+	// settleTime is how long after its own start a balancer assumes that back ends have been
+	// running for long.
 	settleTime = 5 * time.Second
 )
 
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -13,16 +13,16 @@
 
 const (
 	// CopyWait is how long a copy of an opening packet waits if another balancer may have placed
-	// the flow: a few times what a back end's answer and the caller's next packet need, and short
-	// compared to the interval after which callers retransmit.
+	// the flow: a few times what an answer and the caller's next packet need, and much less than
+	// the interval of retransmissions.
 	CopyWait = 20 * time.Millisecond
 	// PulseInterval is how often a driver calls Pulse.
 	PulseInterval = 125 * time.Millisecond
-	// pauseThreshold is the time without a pulse after which the process counts as having been
-	// paused. Routers take longer to reroute a caller's copies.
+	// pauseThreshold is the time without a pulse after which the process counts as paused. Routers
+	// take longer to reroute copies.
 	pauseThreshold = 400 * time.Millisecond
 	// pulseSlack is how late a pulse may be before the process counts as short of CPU. For lagTime
-	// after a late pulse, missing responses may be due to its own delay.
+	// after that, missing responses may be its own delay.
 	pulseSlack = 30 * time.Millisecond
 	lagTime    = 150 * time.Millisecond
 	// resumeTime is how long after a pause arriving packets may have been queued.
@@ -179,15 +179,15 @@
 	return s.steerEstablished(now, packet)
 }
 
-// steerOpen places an opening packet. A copy goes to the back end of the flow's earlier packet, so
-// that two back ends do not answer it, unless that one may take no new flow any more or is silent.
+// steerOpen places an opening packet. A copy goes to the back end of the earlier packet, so that
+// only one answers, unless that one may take no new flow or is silent.
 func (s *Steerer) steerOpen(now time.Duration, packet *Packet) Verdict {
 	if s.view.Settings == nil {
 		return drop(errkind.NotReady)
 	}
 	if now-s.resumed < resumeTime && !s.config.Mechanisms.NoStandstill {
 		// The packet was queued while the process was paused, and a copy has gone through another
-		// balancer since. A second back end must not answer now.
+		// balancer. A second back end must not answer.
 		return drop(errkind.Stale)
 	}
 	service := s.view.Settings.ServiceAt(packet.Flow.Service)
@@ -226,18 +226,16 @@
 }
 
 // mayBePlacedElsewhere reports whether another balancer, or this one before a restart, may have
-// placed the flow of an opening packet without a record: callers send copies when the first packet
-// is not answered. If only the answer was lost, the back end repeats it about now, and the
-// caller's next packet will show that the flow has opened. A second back end must not answer as
-// well.
+// placed the flow of an opening packet without a record. If only the answer was lost, the back end
+// repeats it about now, and the caller's next packet shows that the flow has opened. A second back
+// end must not answer.
 func (s *Steerer) mayBePlacedElsewhere(packet *Packet) bool {
 	return packet.Attempt > 0 && !packet.Waited && !s.config.Mechanisms.NoCopyWait
 }
 
-// losesAnswers reports whether answers to opening packets are lost so often that a repeated answer
-// may well be lost too. The flow is then placed with the caller's second copy only. The loss is a
-// property of links, not services, and a balancer that has just started knows few pools, so any
-// pool counts.
+// losesAnswers reports whether a repeated answer to an opening packet may well be lost too. The
+// flow is then placed with the caller's second copy only. Loss is a property of links, so that any
+// pool counts: a balancer that has just started knows few.
 func (s *Steerer) losesAnswers() bool {
 	for _, pool := range s.pools {
 		if pool.losesAnswers() {
--- a/internal/steering/subset.go
+++ b/internal/steering/subset.go
@@ -19,9 +19,9 @@
 func (p Place) fleetSize() int { return max(p.Fleet, p.FleetSize) }
 
 const (
-	// minBalancersForSubsets is the size of a zone from which balancers compare only a subset of
-	// the back ends. All receive the same loads half a second late, and many balancers would
-	// overload the least loaded back end before they see each other's flows.
+	// minBalancersForSubsets is the zone size from which balancers compare only subsets. All
+	// receive the same loads half a second late, and many would overload the least loaded back
+	// end.
 	manyBalancers = 8
 	// balancersPerBackend is how many balancers compare each back end at a time, on average, and
 	// minSubset the least number of back ends that one compares.
@@ -34,9 +34,8 @@
 	first, length, total int
 }
 
-// subset returns the range to compare at a rotation, out of total back ends. Balancers start at
-// even distances on the ring and advance with each flow, which spreads flows that are placed
-// before balancers receive each other's loads.
+// subset returns the range of back ends to compare at a rotation. Balancers start at even
+// distances on the ring and advance with each flow, which spreads flows until loads are exchanged.
 func (p Place) subset(total, rotation int) subset {
 	if total == 0 {
 		return subset{}
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -8,21 +8,20 @@
 	"gaugeyard/internal/settings"
 )
 
-// A service may limit the new flows per second that a back end gets while it warms up, over all
-// balancers, whether these receive each other's reports or not. Loads are reported too late to
-// enforce it, and an even share of the limit for each balancer would be less than one flow. So
-// only the few balancers of the zone that are nearest to the back end by hash place flows there,
-// at a minimum interval each. All others use back ends that are warm, here or in other zones. A
-// flow that no back end may take is refused at once.
+// A service may limit the new flows per second that a back end gets from all balancers while it
+// warms up, even if these receive no reports from each other. An even share of the limit would be
+// less than one flow for each balancer, so only the few of the zone that are nearest to the back
+// end by hash place flows there, at a minimum interval. Others use warm back ends of any zone, and
+// a flow that no back end may take is refused at once.
 const (
-	// warmUpPlacers is how many balancers place flows at a back end that is warming up. It is two
-	// since one may have died without being noticed yet.
+	// warmUpPlacers is how many balancers place flows at a back end that is warming up: two, since
+	// one may have died unnoticed.
 	warmUpPlacers = 2
-	// warmUpOvercount is by what factor more balancers may place flows there at a time: a zone may
-	// be partitioned, or only some may have noticed that a balancer died.
+	// warmUpOvercount is how many times more may do so in a partition, or when only some have
+	// noticed that a balancer died.
 	warmUpOvercount = 2
-	// minBoundForTwo is the bound, in flows per second, from which there are two of them. Below it
-	// the first flow of each would already exhaust the bound.
+	// minBoundForTwo is the bound, in flows per second, for two placers. Below it the first flow
+	// of each would exhaust the bound.
 	minBoundForTwo = 8.0
 )
 
@@ -36,8 +35,8 @@
 	interval time.Duration
 }
 
-// warmUpOf computes the limit from the group's rate. Within any second each placer may send one
-// flow more than its rate; all of them together, the overcount included, stay within the bound.
+// warmUpOf computes the limit from the group's rate. In any second each placer may send one flow
+// more than its rate; all together, the overcount included, stay within the bound.
 func (s *Steerer) warmUpOf(group *settings.Group) warmUp {
 	if group.WarmUpRate <= 0 || s.config.Mechanisms.NoWarmUpLimit {
 		return warmUp{}
@@ -62,8 +61,8 @@
 	return time.Duration(count * float64(time.Second))
 }
 
-// warmUpBlocks reports whether this balancer must not send a new flow to the back end now, because
-// other balancers place flows there while it warms up, or this one has just done so.
+// warmUpBlocks reports whether this balancer must not send a new flow to a back end that is
+// warming up: other balancers do, or this one has just done so.
 func (s *Steerer) withholds(now time.Duration, limit warmUp, member *directory.Member, state *backendState) bool {
 	if !limit.limited || now >= member.ColdUntil {
 		return false
