--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -9,71 +9,71 @@
 )
 
 const (
-	// loadSlack is how much load above the bound is no reason to leave the zone,
-	// in requests a slot: single requests do not count.
+	// loadSlack is how far the load, in requests per slot, may exceed the bound before flows leave
+	// the zone.
 	loadSlack = 1.5
 )
 
-// candidate is a back end that may take a new flow, with what the scorers found of it.
+// candidate is a back end that may take a new flow, with the values that the scorers fill in.
 type candidate struct {
 	member *directory.Member
 	state  *backendState
 	local  bool
-	// score is by the flow's hash, and decides between equals.
+	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
 	score float64
-	// load is the work at the back end relative to its slots, and soon what it will be, counting
-	// flows of the last moments.
+	// load is the work relative to slots, and expectedLoad includes flows placed in the last
+	// moments.
 	load, soon float64
-	// even is what is kept even where a request hardly waits: the load, or in a large zone the
-	// rate of work over a longer time, relative to slots.
+	// balanceLoad is compared where requests hardly wait: load, or in a large zone the longer-term
+	// rate per slot.
 	even float64
-	// failures counts the requests that it failed lately, through all balancers.
+	// failures counts recent failed requests, through all balancers.
 	failures float64
-	// pace is how many times longer than usual a request takes there, 1 at the least.
+	// slowdown is the response time relative to the typical one, at least 1.
 	pace float64
-	// time is how long a request is expected to take there, in usual times.
+	// expectedTime is in multiples of the typical response time.
 	time float64
-	// trial is set where a flow finds out whether the back end is still slow.
+	// probe is set where the flow would test whether a slow back end has recovered.
 	trial bool
 }
 
-// choice is the result of choose; member is nil where no back end may take the flow.
+// choice is the result of choose. member is nil where no back end may take the flow.
 type choice struct {
 	member *directory.Member
 	part   *part
-	// refusal is why none may.
+	// refusal is the reason where member is nil.
 	refusal errkind.Kind
-	// turn is the part whose turn it was, and reason why the flow went to the other one.
-	turn    *part
-	reason  PartReason
-	spilled bool
-	load    float64
-	trial   bool
+	// scheduled is the part that the rotation named, and reason why the flow went to it or
+	// elsewhere.
+	scheduled *part
+	reason    PartReason
+	spilled   bool
+	load      float64
+	probe     bool
 }
 
-// pass is one look at the parts of a service.
+// pass is one round over the parts of a service.
 type pass struct {
-	// tier is an index of tiers.
 	tier int
-	// skipFailing leaves out a part whose back ends are all out of rotation, or that rests.
+	// skipFailing skips parts in cooldown or with all back ends ejected.
 	skipFailing bool
 }
 
-// passes are in order of preference. A service with one part has none that skips.
+// passes are in order of preference. Services with one part use only those without skipFailing.
 var passes = []pass{{tier: 0, skipFailing: true}, {tier: 0}, {tier: 1}, {tier: 2}, {tier: 3}}
 
-// choose picks the back end of a new flow. The part whose turn it is goes first, and another one where it
-// can take none. A flow that leaves an earlier place has had its turn.
-func (s *Steerer) choose(now time.Duration, hash uint64, service *settings.Service, left *record) choice {
+// choose picks the back end of a new flow, from the scheduled part if possible. A flow that moves
+// away from previous keeps its scheduled part.
+func (s *Steerer) choose(now time.Duration, hash uint64, service *settings.Service, previous *record) choice {
 	var avoid *backendState
-	var had *part
-	if left != nil {
-		avoid, had = left.backend, left.turn
+	var previousPart *part
+	if previous != nil {
+		avoid, previousPart = previous.backend, previous.turn
 	}
-	parts := s.split(service, hash).turn(had)
-	reason, usual := PartTurn, PartTurn
+	parts := s.rotationOf(service, hash).next(previousPart)
+	reason, scheduledReason := PartScheduled, PartScheduled
 	if len(parts) < 2 {
-		usual = PartOnly
+		scheduledReason = PartOnly
 	}
 	for i, pass := range passes {
 		if len(parts) < 2 && pass.skipFailing {
@@ -81,24 +81,24 @@
 		}
 		for _, p := range parts {
 			s.placing = placing{now: now, hash: hash, group: p.group, pool: s.view.Pool(p.group.Discover), limit: s.warmUpOf(p.group), avoid: avoid}
-			able, why := s.weigh(p, pass)
-			if able {
+			usable, unusableReason := s.evaluate(p, pass)
+			if usable {
 				if p == parts[0] {
-					reason = usual
+					reason = scheduledReason
 				}
 				picked := s.pick(p, service)
-				picked.turn, picked.reason = parts[0], reason
+				picked.scheduled, picked.reason = parts[0], reason
 				return picked
 			}
 			if i == 0 && p == parts[0] {
-				reason = why
+				reason = unusableReason
 			}
 		}
 	}
 	return choice{refusal: s.refusal(parts)}
 }
 
-// refusal is why no back end of the parts may take a flow.
+// refusal returns why no back end of the parts may take a flow.
 func (s *Steerer) refusal(parts []*part) errkind.Kind {
 	for _, p := range parts {
 		for _, member := range s.view.Pool(p.group.Discover).Open {
@@ -110,40 +110,40 @@
 	return errkind.NoBackend
 }
 
-// weigh gathers and scores candidates, and tells whether they can take the flow, or why not.
-func (s *Steerer) weigh(p *part, pass pass) (able bool, why PartReason) {
-	if !s.gather(pass.tier) {
-		return false, s.whyNone()
+// evaluate gathers and scores the candidates of a part, and reports whether it can take the flow.
+func (s *Steerer) evaluate(p *part, pass pass) (usable bool, reason PartReason) {
+	if !s.gatherCandidates(pass.tier) {
+		return false, s.unavailableReason()
 	}
-	s.score()
+	s.scoreCandidates()
 	if !pass.skipFailing {
-		return true, PartTurn
+		return true, PartScheduled
 	}
-	// A part that is merely busy keeps its share: with few back ends a request in each slot is usual.
-	out := true
+	// Being busy is no failure: with few back ends a request in each slot is normal.
+	allEjected := true
 	for i := range s.candidates {
-		out = out && s.candidates[i].state.out
+		allEjected = allEjected && s.candidates[i].state.out
 	}
 	switch {
-	case out:
-		return false, PartOut
-	case s.poolOf(p.group.Discover).rest.keeps(s.placing.now):
-		return false, PartDark
+	case allEjected:
+		return false, PartEjected
+	case s.poolOf(p.group.Discover).rest.blocks(s.placing.now):
+		return false, PartUnresponsive
 	}
-	return true, PartTurn
+	return true, PartScheduled
 }
 
-// whyNone tells why a part has no candidate.
-func (s *Steerer) whyNone() PartReason {
+// unavailableReason returns why a part has no candidate.
+func (s *Steerer) unavailableReason() PartReason {
 	p := &s.placing
 	if len(p.pool.Open) == 0 {
 		return PartEmpty
 	}
-	reason := PartDark
+	reason := PartUnresponsive
 	for _, member := range p.pool.Open {
 		switch state := s.observed(member); {
 		case s.withholds(p.now, p.limit, member, state):
-			return PartCold
+			return PartWarmingUp
 		case s.connectionsOf(p.group, member).Avoids(state.flows):
 			reason = PartFull
 		}
@@ -151,40 +151,39 @@
 	return reason
 }
 
-// pick returns the best of the candidates, which were scored: the one with the least work in the own
-// zone, unless even that has more than the load factor allows above the mean of all zones. Where back
-// ends are equal the flow's hash decides, so that balancers that know nothing yet agree and do not
-// crowd one.
+// pick returns the best candidate of the own zone, or of another one if shouldSpill. Ties are
+// broken by the flow's hash, so that balancers without load reports agree and do not overload one
+// back end.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
-	usual := s.placing.usual
-	known := s.poolOf(p.group.Discover)
-	known.usual = usual
-	turn := known.turn
-	known.turn++
-	local := s.best(usual, true, turn)
-	remote := s.best(usual, false, turn)
+	typicalLatency := s.placing.typicalLatency
+	pool := s.poolOf(p.group.Discover)
+	pool.usual = typicalLatency
+	rotation := pool.rotation
+	pool.rotation++
+	local := s.best(typicalLatency, true, rotation)
+	remote := s.best(typicalLatency, false, rotation)
 	best, spilled := local, false
-	if local == nil || remote != nil && remote.load < local.load && s.leavesZone(local, remote, service) {
+	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
 	}
-	return choice{member: best.member, part: p, spilled: spilled, load: best.load, trial: best.trial}
+	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.trial}
 }
 
-// leavesZone tells whether a new flow is better off in another zone: the own one has
-// more than its share, or a request would wait there and not elsewhere.
-func (s *Steerer) leavesZone(local, remote *candidate, service *settings.Service) bool {
-	if local.full() && !remote.full() {
+// shouldSpill reports whether another zone is better: the own one exceeds the load factor, or a
+// request would wait here and not there.
+func (s *Steerer) shouldSpill(local, remote *candidate, service *settings.Service) bool {
+	if local.busy() && !remote.busy() {
 		return true
 	}
 	return local.load > service.LoadFactor*meanLoad(s.candidates)+loadSlack
 }
 
-// full tells whether this balancer alone has a request under way in each slot.
-func (c *candidate) full() bool {
+// busy reports whether this balancer alone has a request in progress in each slot.
+func (c *candidate) busy() bool {
 	return c.state.active >= max(c.member.Slots, 1)
 }
 
-// meanLoad is the mean over all zones.
+// meanLoad is over all zones.
 func meanLoad(candidates []candidate) float64 {
 	sum := 0.0
 	for i := range candidates {
@@ -193,11 +192,11 @@
 	return sum / float64(len(candidates))
 }
 
-// best returns the least loaded candidate in or outside the own zone, nil for none. In a
-// large zone it compares those alone whose turn it is, unless all of them are full or out of rotation.
-func (s *Steerer) best(usual float64, local bool, turn int) *candidate {
+// best returns the best candidate inside or outside the own zone, or nil. In a large zone it
+// compares the current subset only, unless the best of that is busy or ejected.
+func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
 	if s.own.Count < manyBalancers {
-		return least(s.candidates, usual, local, span{})
+		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	total := 0
 	for i := range s.candidates {
@@ -205,17 +204,16 @@
 			total++
 		}
 	}
-	best := least(s.candidates, usual, local, s.own.span(total, turn))
-	if best != nil && (best.full() || best.state.out) {
-		return least(s.candidates, usual, local, span{})
+	best := bestIn(s.candidates, typicalLatency, local, s.own.subset(total, rotation))
+	if best != nil && (best.busy() || best.state.out) {
+		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	return best
 }
 
-// least returns the candidate in or outside the own zone and in the span where a request
-// is expected to take the least time, nil for none.
-func least(candidates []candidate, usual float64, local bool, within span) *candidate {
-	var least *candidate
+// bestIn returns the best candidate of the subset, inside or outside the own zone, or nil.
+func bestIn(candidates []candidate, typicalLatency float64, local bool, within subset) *candidate {
+	var best *candidate
 	position := 0
 	for i := range candidates {
 		c := &candidates[i]
@@ -223,12 +221,12 @@
 			continue
 		}
 		position++
-		if !within.has(position - 1) {
+		if !within.contains(position - 1) {
 			continue
 		}
-		if least == nil || c.before(least, usual) {
-			least = c
+		if best == nil || c.before(best, typicalLatency) {
+			best = c
 		}
 	}
-	return least
+	return best
 }
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -8,9 +8,9 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestBackEndsAtTheirLimitOfFlows are avoided while others have room, also in another part; where none has, flows
-// are refused at once, and taken again when one ends.
-func TestBackEndsAtTheirLimitOfFlows(t *testing.T) {
+// Back ends near their limit of flows are avoided while others have room, also in another part.
+// Where none has room, flows are refused at once until one ends.
+func TestBackEndsNearTheirLimitAreAvoided(t *testing.T) {
 	f := newFleet(t)
 	f.steerer.SetPlace(Place{Count: 10, Fleet: 20})
 	for _, s := range f.steerer.view.Settings.Services {
@@ -18,7 +18,8 @@
 			s.Groups[i].Connections = 40
 		}
 	}
-	// A balancer's part is 3 in its zone and half a flow elsewhere; it refuses from 12 and 4 on.
+	// A balancer's share is 3 flows in its zone and half a flow elsewhere; it refuses from 12 and
+	// 4 on.
 	for caller := range 4*3 + 2*1 {
 		f.opened(caller, feedAddress)
 	}
@@ -27,28 +28,28 @@
 			t.Errorf("back end %d has %d flows, want %d", id, flows, want)
 		}
 	}
-	if counts := f.partsOf(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
+	if counts := f.countParts(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
 		t.Errorf("a split service: %v", counts)
 	}
-	caller, verdict := 200, Verdict{}
+	caller, decision := 200, Verdict{}
 	for ; caller < 400; caller++ {
-		if verdict = f.open(caller, feedAddress, 0); verdict.Action != Forward {
+		if decision = f.open(caller, feedAddress, 0); decision.Action != Forward {
 			break
 		}
-		f.established(caller, feedAddress, verdict.Backend.Tag, 1, 0)
+		f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 	}
-	if verdict.Action != Refuse || verdict.Reason != errkind.ConnectionsFull {
-		t.Fatalf("after %d flows: %+v", caller-200, verdict)
+	if decision.Action != Refuse || decision.Reason != errkind.ConnectionsFull {
+		t.Fatalf("after %d flows: %+v", caller-200, decision)
 	}
 	f.steerer.Steer(f.now, &Packet{Flow: key(200, feedAddress), Kind: Close, Tag: f.steerer.flows[key(200, feedAddress)].member.Tag, Acknowledged: 2})
-	if verdict := f.open(500, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("after one has ended: %+v", verdict)
+	if decision := f.open(500, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("after one has ended: %+v", decision)
 	}
 }
 
-// TestTheLimitHoldsAcrossBalancers that meet flows by chance and tell each other nothing: at nine tenths of what
-// all back ends hold, none has more than its limit, and no flow is refused.
-func TestTheLimitHoldsAcrossBalancers(t *testing.T) {
+// Balancers that do not exchange reports must neither exceed the limit of a back end nor refuse
+// flows while a tenth of the capacity is free.
+func TestLimitHoldsAcrossBalancers(t *testing.T) {
 	const limit, balancers = 120, 6
 	var all []*fleet
 	for range balancers {
@@ -71,26 +72,26 @@
 	}
 }
 
-// TestALimitIsDividedByTheWholeZone, of which a balancer knows 24 others: 198 of them with 8 a balancer hold no more
-// than 2,000 flows at a back end.
-func TestALimitIsDividedByTheWholeZone(t *testing.T) {
+// A limit must be divided by the estimated size of the zone, of which a balancer knows only a
+// part.
+func TestLimitIsDividedByEstimatedZoneSize(t *testing.T) {
 	const limit, zone = 2000, 198
 	f := newFleet(t)
 	f.steerer.SetPlace(Place{Count: 25, Fleet: 33, ZoneSize: zone, FleetSize: 5 * zone})
 	group := &settings.Group{Connections: limit}
 	local, remote := f.directory.View().Member(1), f.directory.View().Member(5)
 	held := 0
-	for _, each := range []struct{ balancers, own int }{{zone, f.mostAt(group, local)}, {4 * zone, f.mostAt(group, remote)}} {
+	for _, each := range []struct{ balancers, own int }{{zone, f.flowLimit(group, local)}, {4 * zone, f.flowLimit(group, remote)}} {
 		held += each.balancers * each.own
 	}
-	// Each balancer elsewhere may hold a part of a flow more.
+	// Each balancer of other zones may round its share up by less than a flow.
 	if held > limit+5*zone {
-		t.Errorf("all together hold %d flows there", held)
+		t.Errorf("all balancers together place %d flows there", held)
 	}
 }
 
-// mostAt is how many flows this balancer holds at a back end before it avoids it.
-func (f *fleet) mostAt(group *settings.Group, member *directory.Member) int {
+// flowLimit returns how many flows this balancer places at a back end before it avoids it.
+func (f *fleet) flowLimit(group *settings.Group, member *directory.Member) int {
 	own := 0
 	for !f.steerer.connectionsOf(group, member).Avoids(own) {
 		own++
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -9,48 +9,48 @@
 
 // steerEstablished forwards a packet of a flow that a back end has answered.
 func (s *Steerer) steerEstablished(now time.Duration, packet *Packet) Verdict {
-	known := s.flows[packet.Flow]
-	if known == nil {
+	rec := s.flows[packet.Flow]
+	if rec == nil {
 		return s.adopt(now, packet)
 	}
-	verdict := Verdict{Action: Forward}
-	if known.member.Tag != packet.Tag {
-		if s.opensElsewhere(now, known, packet) {
+	decision := Verdict{Action: Forward}
+	if rec.member.Tag != packet.Tag {
+		if s.opensElsewhere(now, rec, packet) {
 			if s.seek(now, packet) {
 				return Verdict{Action: Wait}
 			}
-			member := s.mayFollow(packet.Flow, s.named(packet, known.openSequence))
-			if member == nil || !known.isFirst(packet) {
+			member := s.mayFollow(packet.Flow, s.named(packet, rec.openSequence))
+			if member == nil || !rec.isFirst(packet) {
 				return drop(errkind.Undecided)
 			}
-			s.restAt(known, member)
+			s.pinTo(rec, member)
 		} else {
-			verdict.Repinned = s.reconcile(known, packet)
+			decision.Repinned = s.reconcile(rec, packet)
 		}
 	}
-	// Only now is it known where the flow rests: a copy of its opening packet may have been placed
-	// here at a back end that is lost, while another one has answered.
-	if s.givesUp(now, known.backend, packet) {
-		s.forget(known)
+	// Only now is the back end certain: a copy of the opening packet may have been placed here at
+	// one that is down, while another one has answered.
+	if s.givesUp(now, rec.backend, packet) {
+		s.forget(rec)
 		return refuse(errkind.BackendLost)
 	}
-	verdict.Backend, verdict.Tag = known.member, known.member.Tag
-	s.observe(now, known, packet)
+	decision.Backend, decision.Tag = rec.member, rec.member.Tag
+	s.observe(now, rec, packet)
 	if packet.Kind == Abort {
-		s.forget(known)
+		s.forget(rec)
 	}
-	return verdict
+	return decision
 }
 
-// adopt learns from its tag a flow that came from another balancer. The tag of an opening packet is good for the
-// caller's first packet, and only if no other balancer knows better.
+// adopt records a flow from another balancer by its tag. The tag of an opening packet is valid for
+// the caller's first packet, and only if no other balancer knows better.
 func (s *Steerer) adopt(now time.Duration, packet *Packet) Verdict {
-	member := s.tagged(packet, packet.Tag)
+	member := s.taggedBackend(packet, packet.Tag)
 	if member == nil {
 		if s.seek(now, packet) {
 			return Verdict{Action: Wait}
 		}
-		named := s.tagged(packet, openingTag(packet.Tag, openingSequence(packet)))
+		named := s.taggedBackend(packet, openingTag(packet.Tag, openingSequence(packet)))
 		member = s.mayFollow(packet.Flow, named)
 		if member == nil && named != nil {
 			return drop(errkind.Undecided)
@@ -66,77 +66,76 @@
 	if s.givesUp(now, state, packet) {
 		return refuse(errkind.BackendLost)
 	}
-	known := &record{
+	rec := &record{
 		key:      packet.Flow,
 		member:   member,
 		backend:  state,
 		begun:    true,
 		started:  now,
 		lastSeen: now,
-		// What the caller has received before is no sign of life now.
+		// Data that the caller received earlier does not show that the back end responds now.
 		acknowledged: packet.Acknowledged,
 		sequence:     packet.Sequence,
 	}
-	if s.remember(known) {
-		s.observe(now, known, packet)
+	if s.remember(rec) {
+		s.observe(now, rec, packet)
 	}
 	return Verdict{Action: Forward, Backend: member, Tag: member.Tag}
 }
 
-// observe learns from a packet of a flow what its back end does.
-func (s *Steerer) observe(now time.Duration, known *record, packet *Packet) {
-	known.received(now, packet)
-	if known.answerTime > 0 && known.endsAnswer(packet) {
-		s.noteAnswer(now, known)
-	}
-	if known.sent(now, packet) {
-		s.noteStall(now, known)
-		if s.lost(now, known.backend) {
-			s.endFlows(now, known.backend)
+// observe updates the state of a flow's back end from a packet.
+func (s *Steerer) observe(now time.Duration, rec *record, packet *Packet) {
+	rec.received(now, packet)
+	if rec.answerTime > 0 && rec.endsAnswer(packet) {
+		s.noteAnswer(now, rec)
+	}
+	if rec.sent(now, packet) {
+		s.noteStall(now, rec)
+		if s.lost(now, rec.backend) {
+			s.endFlows(now, rec.backend)
 		}
 	}
-	if known.waiting {
-		s.awaited.add(known)
+	if rec.waiting {
+		s.awaited.add(rec)
 	}
 }
 
-// reconcile decides between the tag of a packet and the back end that the flow is
-// remembered at. While a flow opens, the tag tells which back end answered. Later
-// a differing tag comes from a second back end that answered a late copy of the
-// opening packet; the flow rests on the first, which alone holds its data.
-func (s *Steerer) reconcile(known *record, packet *Packet) (repinned bool) {
-	if !known.opening && !s.config.Mechanisms.NoPins {
-		return !known.opensBy(packet, known.member.Tag)
-	}
-	member := s.named(packet, known.openSequence)
+// reconcile handles a tag that differs from the recorded back end. While a flow opens, the tag
+// shows which back end answered. Later it comes from a second back end that answered a late copy
+// of the opening packet; the flow stays pinned to the first, which alone has its data.
+func (s *Steerer) reconcile(rec *record, packet *Packet) (repinned bool) {
+	if !rec.opening && !s.config.Mechanisms.NoPins {
+		return !rec.opensBy(packet, rec.member.Tag)
+	}
+	member := s.named(packet, rec.openSequence)
 	if member != nil {
-		s.restAt(known, member)
+		s.pinTo(rec, member)
 	}
 	return false
 }
 
-// restAt notes that a flow rests at a back end.
-func (s *Steerer) restAt(known *record, member *directory.Member) {
-	if member == known.member {
+// pinTo changes the recorded back end of a flow.
+func (s *Steerer) pinTo(rec *record, member *directory.Member) {
+	if member == rec.member {
 		return
 	}
-	known.backend.leave(known)
-	known.member, known.backend = member, s.stateOf(member)
-	known.backend.join(known)
+	rec.backend.leave(rec)
+	rec.member, rec.backend = member, s.stateOf(member)
+	rec.backend.join(rec)
 }
 
-// named returns the back end that the packet's tag names, as that of an opening packet with the sequence or of later
-// ones; nil for none.
+// namedBackend returns the back end that the packet's tag names, as the tag of an opening packet
+// with the sequence or of a later packet, or nil.
 func (s *Steerer) named(packet *Packet, openSequence uint32) *directory.Member {
-	if member := s.tagged(packet, packet.Tag); member != nil {
+	if member := s.taggedBackend(packet, packet.Tag); member != nil {
 		return member
 	}
-	return s.tagged(packet, openingTag(packet.Tag, openSequence))
+	return s.taggedBackend(packet, openingTag(packet.Tag, openSequence))
 }
 
-// tagged returns the back end that a tag names for the packet's flow, nil for none. Where
-// two share a tag, the one that the packet's service uses is meant.
-func (s *Steerer) tagged(packet *Packet, tag directory.Tag) *directory.Member {
+// taggedBackend returns the back end of a tag for the packet's flow, or nil. Where two share a
+// tag, the one that the packet's service uses is meant.
+func (s *Steerer) taggedBackend(packet *Packet, tag directory.Tag) *directory.Member {
 	members := s.view.Tagged(tag)
 	if len(members) == 0 {
 		return nil
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	herdBalancers = 28
-	herdServers   = 40
-	herdRate      = 350 // flows a second in the zone
-	herdLength    = 20 * time.Second
-	herdHello     = 500 * time.Millisecond
-	herdAnswer    = 20 * time.Millisecond
+	zoneBalancers = 28
+	zoneServers   = 40
+	zoneRate      = 350 // flows a second in the zone
+	simulatedTime = 20 * time.Second
+	helloInterval = 500 * time.Millisecond
+	answerLatency = 20 * time.Millisecond
 )
 
-// zoneOf returns the balancers of one zone with one view, and the service's address.
+// zoneOf returns the balancers of one zone with the same view, and the service's address.
 func zoneOf(t testing.TB, balancers, servers int) ([]*Steerer, netip.AddrPort) {
 	t.Helper()
-	beliefs, address := zoneBeliefs(t, servers)
-	return steerersOf(beliefs, balancers), address
+	dir, address := zoneDirectory(t, servers)
+	return steerersOf(dir, balancers), address
 }
 
-// steerersOf returns the balancers of one zone that have these beliefs.
-func steerersOf(beliefs *directory.Directory, balancers int) []*Steerer {
+// steerersOf returns balancers of one zone with the view of the directory.
+func steerersOf(dir *directory.Directory, balancers int) []*Steerer {
 	var zone []*Steerer
 	for range balancers {
 		s := New(Config{Zone: "a", FlowLife: time.Minute})
-		s.SetView(beliefs.View())
+		s.SetView(dir.View())
 		zone = append(zone, s)
 	}
 	return zone
 }
 
-// zoneBeliefs returns what balancers of one zone believe of its servers.
-func zoneBeliefs(t testing.TB, servers int) (*directory.Directory, netip.AddrPort) {
+// zoneDirectory returns a directory with the servers of one zone.
+func zoneDirectory(t testing.TB, servers int) (*directory.Directory, netip.AddrPort) {
 	t.Helper()
 	address := netip.MustParseAddrPort("198.18.0.1:443")
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: "1.5"}, "feed/any": settings.Values{}}
@@ -55,53 +55,52 @@
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80),
 		}})
 	}
-	beliefs := directory.New(time.Minute)
-	beliefs.Replace(0, listing)
-	return beliefs, address
+	dir := directory.New(time.Minute)
+	dir.Replace(0, listing)
+	return dir, address
 }
 
-// ending is the last packet of a flow.
-type ending struct {
+// flowEnd is the last packet of a flow.
+type flowEnd struct {
 	at     time.Duration
 	via    *Steerer
 	packet Packet
 }
 
-// TestManyBalancersDoNotCrowdOneBackEnd: all balancers of a large zone hear the same
-// loads, half a second old; if each sent its next flow to the least loaded back end, that
-// one would get a flow from all of them.
-func TestManyBalancersDoNotCrowdOneBackEnd(t *testing.T) {
-	zone, address := zoneOf(t, herdBalancers, herdServers)
+// All balancers of a large zone receive the same loads, half a second old. They must not all send
+// their next flows to the least loaded back end.
+func TestManyBalancersDoNotOverloadOneBackEnd(t *testing.T) {
+	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	taken := map[settings.BackendID]int{}
 	worst, total := 0.0, 0
-	playHerd(t, zone, address, herdRate, func(now time.Duration, id settings.BackendID) {
-		if now > herdLength/4 {
+	simulateZone(t, zone, address, zoneRate, func(now time.Duration, id settings.BackendID) {
+		if now > simulatedTime/4 {
 			taken[id]++
 			total++
 		}
 	})
 	for _, count := range taken {
-		worst = max(worst, float64(count*herdServers)/float64(total))
+		worst = max(worst, float64(count*zoneServers)/float64(total))
 	}
 	if worst > 1.15 {
-		t.Errorf("the busiest back end takes %.2f times the mean", worst)
+		t.Errorf("the busiest back end gets %.2f times the mean", worst)
 	}
 }
 
-// playHerd lets callers open short flows through the balancers of a zone, drawn by chance, and
-// tells taken where each went. Balancers hear of each other's loads every herdHello.
-func playHerd(t *testing.T, zone []*Steerer, address netip.AddrPort, rate time.Duration, taken func(now time.Duration, id settings.BackendID)) {
+// simulateZone opens short flows through randomly chosen balancers of a zone and calls taken with
+// the back end of each. Balancers exchange loads every helloInterval.
+func simulateZone(t *testing.T, zone []*Steerer, address netip.AddrPort, rate time.Duration, taken func(now time.Duration, id settings.BackendID)) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
-	var ends []ending
-	next, second := herdHello, time.Second
-	for now, caller := time.Second, 0; now < herdLength; now += time.Second / rate {
+	var ends []flowEnd
+	next, second := helloInterval, time.Second
+	for now, caller := time.Second, 0; now < simulatedTime; now += time.Second / rate {
 		for _, s := range zone {
 			s.Pulse(now)
 		}
 		if now >= next {
-			next += herdHello
-			shareAll(zone, now)
+			next += helloInterval
+			exchangeLoads(zone, now)
 		}
 		if now >= second {
 			second += time.Second
@@ -117,24 +116,24 @@
 		caller++
 		s := zone[random.IntN(len(zone))]
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
-		verdict := s.Steer(now, &Packet{Flow: key, Kind: Open, Sequence: 1})
-		if verdict.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", verdict.Reason)
+		decision := s.Steer(now, &Packet{Flow: key, Kind: Open, Sequence: 1})
+		if decision.Backend == nil {
+			t.Fatalf("no back end was chosen: %v", decision.Reason)
 		}
-		tag := verdict.Backend.Tag
+		tag := decision.Backend.Tag
 		s.Steer(now, &Packet{Flow: key, Kind: Established, Tag: tag, Sequence: 2, Acknowledged: 1, Payload: 100})
-		ends = append(ends, ending{now + herdAnswer, s, Packet{Flow: key, Kind: Close, Tag: tag, Sequence: 102, Acknowledged: 600}})
-		taken(now, verdict.Backend.ID)
+		ends = append(ends, flowEnd{now + answerLatency, s, Packet{Flow: key, Kind: Close, Tag: tag, Sequence: 102, Acknowledged: 600}})
+		taken(now, decision.Backend.ID)
 	}
 }
 
-// shareAll tells each balancer what the others gave to each back end.
-func shareAll(zone []*Steerer, now time.Duration) {
+// exchangeLoads passes each balancer the sum of the other balancers' loads.
+func exchangeLoads(zone []*Steerer, now time.Duration) {
 	sum := map[settings.BackendID]Load{}
 	own := make([]map[settings.BackendID]Load, len(zone))
 	for i, s := range zone {
 		own[i] = map[settings.BackendID]Load{}
-		for _, load := range s.RecentLoad(herdServers) {
+		for _, load := range s.RecentLoad(zoneServers) {
 			own[i][load.Backend] = load.Load
 			sum[load.Backend] = sum[load.Backend].Plus(load.Load)
 		}
@@ -142,23 +141,23 @@
 	for i, s := range zone {
 		others := map[directory.Tag]Load{}
 		for id, load := range sum {
-			others[directory.TagOf(id)] = without(load, own[i][id])
+			others[directory.TagOf(id)] = subtract(load, own[i][id])
 		}
 		s.SetOthersLoad(others)
 		s.SetPlace(Place{Index: i, Count: len(zone)})
 	}
 }
 
-// without returns the load less a part of it.
-func without(load, part Load) Load {
+// subtract returns the load less a part of it.
+func subtract(load, part Load) Load {
 	return load.Plus(Load{-part.Requests, -part.Steady, -part.Failures, -part.Answers, -part.Time})
 }
 
-// TestFlowsThatComeAtOnceAreSpread though no balancer has heard of the others' flows yet:
-// long flows that all callers open at the same moment stay where they are.
-func TestFlowsThatComeAtOnceAreSpread(t *testing.T) {
+// Long flows that are opened at the same moment must be spread, though no balancer has received
+// the others' loads yet.
+func TestSimultaneousFlowsAreSpread(t *testing.T) {
 	const flows = 320
-	zone, address := zoneOf(t, herdBalancers, herdServers)
+	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	for i, s := range zone {
 		s.SetPlace(Place{Index: i, Count: len(zone)})
 	}
@@ -168,14 +167,14 @@
 	for caller := range flows {
 		s := zone[random.IntN(len(zone))]
 		key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)}), 1024), Service: address}
-		verdict := s.Steer(time.Second, &Packet{Flow: key, Kind: Open, Sequence: 1})
-		if verdict.Backend == nil {
-			t.Fatalf("no back end is chosen: %v", verdict.Reason)
+		decision := s.Steer(time.Second, &Packet{Flow: key, Kind: Open, Sequence: 1})
+		if decision.Backend == nil {
+			t.Fatalf("no back end was chosen: %v", decision.Reason)
 		}
-		taken[verdict.Backend.ID]++
-		most = max(most, taken[verdict.Backend.ID])
+		taken[decision.Backend.ID]++
+		most = max(most, taken[decision.Backend.ID])
 	}
-	if mean := flows / herdServers; most > mean*5/4 {
-		t.Errorf("one back end takes %d flows, the mean is %d", most, mean)
+	if mean := flows / zoneServers; most > mean*5/4 {
+		t.Errorf("one back end gets %d flows, the mean is %d", most, mean)
 	}
 }
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -11,24 +11,25 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestSharesHoldOverTheFleet where each of 70 balancers sees a handful of flows, and follow a new weight at once.
-func TestSharesHoldOverTheFleet(t *testing.T) {
-	// 350 flows alone lie up to 0.03 off by where the balancers begin.
+// The shares must hold over 70 balancers that place a few flows each, and follow new weights at
+// once.
+func TestSharesHoldAcrossBalancers(t *testing.T) {
+	// The starting positions alone account for a deviation of up to 0.03 with 350 flows.
 	within := map[int]float64{5: 0.03, 20: 0.02, 200: 0.02}
 	for _, flows := range []int{5, 20, 200} {
-		for _, small := range []float64{0.5, 0.1, 0.05} {
-			t.Run(fmt.Sprintf("%d flows, %v", flows, small), func(t *testing.T) {
-				splits := make([]*split, 70)
-				for i := range splits {
-					splits[i] = newSplit(key(i, splitAddress).Hash())
+		for _, smallShare := range []float64{0.5, 0.1, 0.05} {
+			t.Run(fmt.Sprintf("%d flows, %v", flows, smallShare), func(t *testing.T) {
+				rotations := make([]*rotation, 70)
+				for i := range rotations {
+					rotations[i] = newRotation(key(i, splitAddress).Hash())
 				}
-				for _, share := range []float64{small, 1 - small, small} {
+				for _, share := range []float64{smallShare, 1 - smallShare, smallShare} {
 					service := &settings.Service{Groups: []settings.Group{{Path: "a", Share: 1 - share}, {Path: "b", Share: share}, {Path: "c"}}}
 					taken := 0
-					for _, s := range splits {
-						s.take(service)
+					for _, s := range rotations {
+						s.update(service)
 						for range flows {
-							p := s.turn(nil)[0]
+							p := s.next(nil)[0]
 							p.count++
 							if p.group.Path == "b" {
 								taken++
@@ -36,7 +37,7 @@
 						}
 					}
 					if got := float64(taken) / float64(70*flows); math.Abs(got-share) > within[flows] {
-						t.Errorf("the part with %v has %.3f", share, got)
+						t.Errorf("the part with share %v gets %.3f", share, got)
 					}
 				}
 			})
@@ -44,42 +45,44 @@
 	}
 }
 
-// TestFlowsThatAskMoreOftenCorrectTheShares a little, never by more than mostCorrection.
-func TestFlowsThatAskMoreOftenCorrectTheShares(t *testing.T) {
-	s := newSplit(0)
-	s.take(&settings.Service{Groups: []settings.Group{{Path: "a", Share: 1}, {Path: "b", Share: 1}}})
+// Flows that send more requests than others change the shares, but by no more than maxCorrection.
+func TestRequestRatesCorrectShares(t *testing.T) {
+	s := newRotation(0)
+	s.update(&settings.Service{Groups: []settings.Group{{Path: "a", Share: 1}, {Path: "b", Share: 1}}})
 	flows := 0.0
 	for range 2000 {
-		p := s.turn(nil)[0]
+		p := s.next(nil)[0]
 		p.count++
 		if p.group.Path == "a" {
 			p.count += 9
 			flows++
 		}
 	}
-	if got := flows / 2000; got > 0.5-mostCorrection+0.01 || got < 0.5-mostCorrection-0.01 {
-		t.Errorf("the part whose flows ask ten times as often has %.3f of the flows", got)
+	if got := flows / 2000; got > 0.5-maxCorrection+0.01 || got < 0.5-maxCorrection-0.01 {
+		t.Errorf("the part with ten times the request rate gets %.3f of the flows", got)
 	}
 }
 
-// partsOf counts to which part of the split service count flows go that open and rest, by reason.
-func (f *fleet) partsOf(first, count int) map[string]int {
+// countParts opens flows of the split service and counts them by part and reason, or by error
+// kind.
+func (f *fleet) countParts(first, count int) map[string]int {
 	f.Helper()
 	counts := map[string]int{}
 	for caller := first; caller < first+count; caller++ {
-		verdict := f.open(caller, splitAddress, 0)
-		if verdict.Action != Forward {
-			counts[verdict.Reason.String()]++
+		decision := f.open(caller, splitAddress, 0)
+		if decision.Action != Forward {
+			counts[decision.Reason.String()]++
 			continue
 		}
-		f.established(caller, splitAddress, verdict.Backend.Tag, 1, 0)
-		counts[verdict.Part.Discover+" "+verdict.PartReason.String()]++
+		f.established(caller, splitAddress, decision.Backend.Tag, 1, 0)
+		counts[decision.Part.Discover+" "+decision.PartReason.String()]++
 	}
 	return counts
 }
 
-// TestAPartThatCanTakeNoneGivesItsFlowsToTheOther and has its share again, and no more, once it can.
-func TestAPartThatCanTakeNoneGivesItsFlowsToTheOther(t *testing.T) {
+// Flows go to the other part while one can take none. Afterwards the part must get its share, and
+// no more.
+func TestUnavailablePartPassesItsFlowsOn(t *testing.T) {
 	evacuate := func(active bool) func(f *fleet) {
 		return func(f *fleet) {
 			f.revision++
@@ -95,8 +98,8 @@
 		}
 	}
 	cases := map[string]struct {
-		gone, back func(f *fleet)
-		why        PartReason
+		disable, restore func(f *fleet)
+		reason           PartReason
 	}{
 		"empty": {
 			func(f *fleet) { f.vanish(11); f.vanish(12) },
@@ -107,142 +110,143 @@
 			func(f *fleet) { f.announce(11, "upload", "a", false); f.announce(12, "upload", "a", false) }, PartEmpty,
 		},
 		"evacuated": {evacuate(true), evacuate(false), PartEmpty},
-		"suspected": {
+		"silent": {
 			uploads(func(f *fleet, state *backendState) { state.suspectUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"lost": {
+		"down": {
 			uploads(func(f *fleet, state *backendState) { state.lostUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"doubted": {
+		"suspect": {
 			uploads(func(f *fleet, state *backendState) { state.doubtUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartDark,
+			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
 		},
-		"out of rotation": {
+		"ejected": {
 			uploads(func(_ *fleet, state *backendState) { state.failures = 10 }),
-			uploads(func(_ *fleet, state *backendState) { state.failures = 0 }), PartOut,
+			uploads(func(_ *fleet, state *backendState) { state.failures = 0 }), PartEjected,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			f.partsOf(0, 100)
-			c.gone(f)
-			if counts := f.partsOf(100, 100); counts["feed turn"] < 70 || counts["feed "+c.why.String()] < 20 || len(counts) != 2 {
+			f.countParts(0, 100)
+			c.disable(f)
+			if counts := f.countParts(100, 100); counts["feed turn"] < 70 || counts["feed "+c.reason.String()] < 20 || len(counts) != 2 {
 				t.Errorf("while it can take none: %v", counts)
 			}
-			c.back(f)
-			if counts := f.partsOf(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
-				t.Errorf("again: %v", counts)
+			c.restore(f)
+			if counts := f.countParts(200, 40); counts["upload turn"] < 8 || counts["upload turn"] > 14 || len(counts) != 2 {
+				t.Errorf("after recovery: %v", counts)
 			}
 		})
 	}
 }
 
-// TestABusyPartKeepsItsShare: with few back ends a request in each slot is usual, and nobody turned one away.
-func TestABusyPartKeepsItsShare(t *testing.T) {
+// Requests in all slots must not take the share away from a part.
+func TestBusyPartKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
-	f.partsOf(0, 100)
+	f.countParts(0, 100)
 	for id := settings.BackendID(11); id <= 12; id++ {
 		f.state(id).active += 2
 	}
-	if counts := f.partsOf(100, 100); counts["upload turn"] < 22 || counts["upload turn"] > 28 || len(counts) != 2 {
+	if counts := f.countParts(100, 100); counts["upload turn"] < 22 || counts["upload turn"] > 28 || len(counts) != 2 {
 		t.Errorf("%v", counts)
 	}
 }
 
-// TestASlowPartDoesNotRest: its requests take longer than a caller's patience, and are answered.
-func TestASlowPartDoesNotRest(t *testing.T) {
-	r := rest{}
+// A part whose responses take longer than answerPatience must not enter a cooldown.
+func TestSlowPartEntersNoCooldown(t *testing.T) {
+	r := cooldown{}
 	for at := time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
 		r.noteAnswer(at)
-		r.noteVain(at+50*time.Millisecond, at-500*time.Millisecond)
-		if r.keeps(at + 60*time.Millisecond) {
-			t.Fatalf("it rests at %v", at)
+		r.noteUnanswered(at+50*time.Millisecond, at-500*time.Millisecond)
+		if r.blocks(at + 60*time.Millisecond) {
+			t.Fatalf("in cooldown at %v", at)
 		}
 	}
 	pool := poolState{usual: 0.5}
-	for range 2 * restFrom {
+	for range 2 * cooldownThreshold {
 		pool.noteVain(2*time.Second, time.Second)
 	}
-	if pool.rest.vain != 0 {
-		t.Errorf("requests of twice the usual time count: %+v", pool.rest)
+	if pool.rest.unanswered != 0 {
+		t.Errorf("requests of twice the typical time count: %+v", pool.rest)
 	}
 }
 
-// TestASplitIsForgottenWithItsName, though another service stands at the address.
-func TestASplitIsForgottenWithItsName(t *testing.T) {
+// The rotation of a renamed service must be dropped, even though another service has its address.
+func TestRotationOfRenamedServiceIsDropped(t *testing.T) {
 	f := newFleet(t)
 	f.open(0, splitAddress, 0)
-	for _, known := range f.steerer.splits {
-		old := *known.service
+	for _, r := range f.steerer.rotations {
+		old := *r.service
 		old.Name = "renamed"
-		known.service = &old
-		f.steerer.splits["renamed"] = known
+		r.service = &old
+		f.steerer.rotations["renamed"] = r
 	}
 	f.steerer.Tick(f.now)
-	if len(f.steerer.splits) != 1 || f.steerer.splits["renamed"] != nil {
-		t.Errorf("%v", f.steerer.splits)
+	if len(f.steerer.rotations) != 1 || f.steerer.rotations["renamed"] != nil {
+		t.Errorf("%v", f.steerer.rotations)
 	}
 }
 
-// TestACopyGoesToTheOtherPart where no other back end of its own is left.
-func TestACopyGoesToTheOtherPart(t *testing.T) {
+// A copy goes to the other part if its own part has no other back end.
+func TestCopyGoesToOtherPart(t *testing.T) {
 	f := newFleet(t)
 	f.vanish(12)
 	caller := 0
-	verdict := f.open(caller, splitAddress, 0)
-	for ; verdict.Part.Discover != "upload"; verdict = f.open(caller, splitAddress, 0) {
-		f.established(caller, splitAddress, verdict.Backend.Tag, 1, 0)
+	decision := f.open(caller, splitAddress, 0)
+	for ; decision.Part.Discover != "upload"; decision = f.open(caller, splitAddress, 0) {
+		f.established(caller, splitAddress, decision.Backend.Tag, 1, 0)
 		caller++
 	}
 	f.pass(200 * time.Millisecond)
 	f.state(11).suspectUntil = f.now + time.Second
 	copied := f.open(caller, splitAddress, 1)
-	if copied.Action != Forward || !copied.Moved || copied.Part.Discover != "feed" || copied.PartReason != PartDark {
+	if copied.Action != Forward || !copied.Moved || copied.Part.Discover != "feed" || copied.PartReason != PartUnresponsive {
 		t.Errorf("the copy: %+v", copied)
 	}
 }
 
-// TestAColdPartGivesItsFlowsToTheOther when its rate allows none now.
-func TestAColdPartGivesItsFlowsToTheOther(t *testing.T) {
+// Flows go to the other part while the warm-up rate allows none.
+func TestWarmingUpPartPassesItsFlowsOn(t *testing.T) {
 	f := newFleet(t)
-	f.settle(map[string]string{"feed": "1", "upload": "1"}, "2")
+	f.applySettings(map[string]string{"feed": "1", "upload": "1"}, "2")
 	for id := settings.BackendID(11); id <= 12; id++ {
 		f.revision++
-		cold := directory.Backend{ID: id, Group: "upload", Zone: "a", Slots: 2, WarmUp: time.Hour}
-		f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: cold, Revision: f.revision}}})
+		warming := directory.Backend{ID: id, Group: "upload", Zone: "a", Slots: 2, WarmUp: time.Hour}
+		f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: warming, Revision: f.revision}}})
 	}
 	f.steerer.SetView(f.directory.View())
-	if counts := f.partsOf(0, 40); counts["feed cold"] < 18 || counts["feed turn"] < 18 || counts["no_backend"] > 0 {
+	if counts := f.countParts(0, 40); counts["feed cold"] < 18 || counts["feed turn"] < 18 || counts["no_backend"] > 0 {
 		t.Errorf("%v", counts)
 	}
 }
 
-// TestWeightZeroGetsNoFlow, also where no other part has a back end: all gone is refused at once.
+// A part with weight 0 must get no flow, even if no other part has a back end; flows are then
+// refused at once.
 func TestWeightZeroGetsNoFlow(t *testing.T) {
 	f := newFleet(t)
 	waiting := f.open(0, splitAddress, 0)
-	f.settle(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
+	f.applySettings(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
 	f.pass(200 * time.Millisecond)
 	if copied := f.open(0, splitAddress, 1); copied.Part == nil || copied.Part.Discover == waiting.Part.Discover {
-		t.Errorf("a copy goes to the part without a weight: %+v", copied)
+		t.Errorf("a copy goes to the part with weight 0: %+v", copied)
 	}
-	f.settle(map[string]string{"feed": "0", "upload": "1"}, "0")
-	if counts := f.partsOf(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
+	f.applySettings(map[string]string{"feed": "0", "upload": "1"}, "0")
+	if counts := f.countParts(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
 		t.Errorf("%v", counts)
 	}
 	f.vanish(11)
 	f.vanish(12)
 	f.pass(3 * time.Second)
-	if verdict := f.open(200, splitAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoBackend {
-		t.Errorf("%+v", verdict)
+	if decision := f.open(200, splitAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
+		t.Errorf("%+v", decision)
 	}
 }
 
-// settle puts settings in force where the split service has the shares, and a rate for back ends that warm up.
-func (f *fleet) settle(shares map[string]string, warmUpRate string) {
+// applySettings applies the shares of the split service and the warm-up rate.
+func (f *fleet) applySettings(shares map[string]string, warmUpRate string) {
 	f.Helper()
 	f.revision++
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: "2", settings.KeyWarmUpRate: warmUpRate}}
@@ -251,20 +255,20 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// TestAPartThatAnswersOtherwiseKeepsItsShare: a part of little weight whose answers are shorter and quicker
-// than those of the other one does not fail, and one that begins to fail by its own measure does.
-func TestAPartThatAnswersOtherwiseKeepsItsShare(t *testing.T) {
+// Shorter and faster responses than those of the other part are no failures; a part is judged by
+// its own baseline.
+func TestPartWithShorterResponsesKeepsItsShare(t *testing.T) {
 	f := newFleet(t)
 	answer := func(caller int, failing bool) string {
-		verdict := f.open(caller, splitAddress, 0)
+		decision := f.open(caller, splitAddress, 0)
 		length, took := 4000, 60*time.Millisecond
-		if verdict.Part.Discover == "upload" {
+		if decision.Part.Discover == "upload" {
 			length, took = 600, 8*time.Millisecond
 			if failing {
 				length, took = 100, time.Millisecond
 			}
 		}
-		tag := verdict.Backend.Tag
+		tag := decision.Backend.Tag
 		f.established(caller, splitAddress, tag, 1, 100)
 		f.now += took
 		f.established(caller, splitAddress, tag, uint32(length), 0)
@@ -273,7 +277,7 @@
 		if caller%16 == 0 {
 			f.steerer.Tick(f.now)
 		}
-		return verdict.Part.Discover + " " + verdict.PartReason.String()
+		return decision.Part.Discover + " " + decision.PartReason.String()
 	}
 	count := func(first, number int, failing bool) map[string]int {
 		counts := map[string]int{}
@@ -283,61 +287,62 @@
 		return counts
 	}
 	if counts := count(0, 800, false); counts["upload turn"] < 190 || len(counts) != 2 {
-		t.Errorf("a part that answers otherwise: %v", counts)
+		t.Errorf("a part with shorter responses: %v", counts)
 	}
 	if counts := count(800, 160, true); counts["feed out_of_rotation"] < 10 {
-		t.Errorf("a part that fails: %v", counts)
+		t.Errorf("a failing part: %v", counts)
 	}
 }
 
-// TestAPartThatAnswersNoRequestRests, and one flow at a time tries it, until one is answered.
-func TestAPartThatAnswersNoRequestRests(t *testing.T) {
+// A part that answers no request enters a cooldown. One flow at a time probes it until one is
+// answered.
+func TestUnresponsivePartEntersCooldown(t *testing.T) {
 	f := newFleet(t)
-	ask := func(caller int, answered bool) string {
-		verdict := f.open(caller, splitAddress, 0)
-		tag := verdict.Backend.Tag
+	request := func(caller int, answered bool) string {
+		decision := f.open(caller, splitAddress, 0)
+		tag := decision.Backend.Tag
 		f.established(caller, splitAddress, tag, 1, 100)
-		if answered || verdict.Part.Discover == "feed" {
+		if answered || decision.Part.Discover == "feed" {
 			f.established(caller, splitAddress, tag, 500, 0)
 		}
 		f.pass(25 * time.Millisecond)
-		return verdict.Part.Discover + " " + verdict.PartReason.String()
+		return decision.Part.Discover + " " + decision.PartReason.String()
 	}
 	counts := map[string]int{}
 	for caller := range 400 {
-		counts[ask(caller, false)]++
+		counts[request(caller, false)]++
 	}
 	if counts["feed dark"] < 60 || counts["upload turn"] > 35 {
 		t.Errorf("while it answers none: %v", counts)
 	}
-	f.pass(longestRest + time.Second)
+	f.pass(maxCooldown + time.Second)
 	clear(counts)
 	for caller := 400; caller < 600; caller++ {
-		counts[ask(caller, true)]++
+		counts[request(caller, true)]++
 	}
 	if counts["upload turn"] < 46 || counts["upload turn"] > 54 || counts["feed dark"] > 2 {
 		t.Errorf("when it answers again: %v", counts)
 	}
 }
 
-// TestARestIsNotRenewedByRequestsOfBefore: what was asked before a part rested comes to light while it does.
-func TestARestIsNotRenewedByRequestsOfBefore(t *testing.T) {
-	r := rest{}
+// Requests that were sent before a cooldown began must not extend it.
+func TestEarlierRequestsDoNotExtendCooldown(t *testing.T) {
+	r := cooldown{}
 	for i := range 10 {
-		r.noteVain(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
+		r.noteUnanswered(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
 	}
-	if r.length != firstRest || r.keeps(time.Second+40*time.Millisecond+firstRest) {
+	if r.duration != minCooldown || r.blocks(time.Second+40*time.Millisecond+minCooldown) {
 		t.Errorf("%+v", r)
 	}
-	if !r.keeps(1700 * time.Millisecond) {
-		t.Error("a second flow tries it beside the first")
+	if !r.blocks(1700 * time.Millisecond) {
+		t.Error("a second flow probes the part beside the first")
 	}
-	r.noteVain(1900*time.Millisecond, 1500*time.Millisecond)
-	if r.length != 2*firstRest || !r.keeps(2800*time.Millisecond) {
-		t.Errorf("after the trial failed: %+v", r)
+	r.noteUnanswered(1900*time.Millisecond, 1500*time.Millisecond)
+	if r.duration != 2*minCooldown || !r.blocks(2800*time.Millisecond) {
+		t.Errorf("after a failed probe: %+v", r)
 	}
 	r.noteAnswer(2700 * time.Millisecond)
-	if r.keeps(2800 * time.Millisecond) {
-		t.Error("it rests after an answer")
+	if r.blocks(2800 * time.Millisecond) {
+		t.Error("in cooldown after a response")
 	}
 }
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -9,49 +9,46 @@
 	"gaugeyard/internal/settings"
 )
 
-// deafTime is how long after a start under a known identifier the words of other balancers on the back end
-// may be of the start before: until they have heard of it (0.6 s along the longest chains) and what they told
-// earlier has faded (a tenth of a load is left after 6 s). A back end that has just started is slow for
-// about as long anyway, and draws no rush by that.
-const deafTime = 6 * time.Second
+// ignoreReportsTime is how long after a restart reports of other balancers may still concern the
+// previous start: until they have received the news and their earlier loads have decayed.
+const ignoreReportsTime = 6 * time.Second
 
-// deaf tells whether what others say of the back end may be of the start before.
+// ignoresReports reports whether reports on the back end may concern its previous start.
 func (b *backendState) deaf(now time.Duration) bool { return now < b.deafUntil }
 
-// noteStarts looks in a new view, of which these have changed, for back ends that started anew under their identifiers. Whatever was
-// learned of one is of no worth then, and of its flows those are ended that are older than the start: their
-// next request would be lost there, and a caller that may not repeat it would not know. Others may have
-// opened there since and stay.
-func (s *Steerer) noteStarts(changed []settings.BackendID) {
-	anew := map[settings.BackendID]*directory.Member{}
+// handleRestarts discards the observations of back ends that restarted under their identifiers,
+// and ends the flows that are older than the restart. Their next request would be lost, and a
+// caller that may not repeat it would not notice. Flows that may have opened since stay.
+func (s *Steerer) handleRestarts(changed []settings.BackendID) {
+	restarted := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
 		b, member := s.backends[id], s.view.Member(id)
 		switch {
 		case b == nil, member == nil:
 		case member.Born.Differs(b.born):
-			anew[id] = member
+			restarted[id] = member
 		case b.born == 0:
 			b.born = member.Born
 		}
 	}
-	if len(anew) == 0 {
+	if len(restarted) == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(anew)) {
-		before, member := s.backends[id], anew[id]
+	for _, id := range slices.Sorted(maps.Keys(restarted)) {
+		previous, member := s.backends[id], restarted[id]
 		b := s.newState(member)
-		b.deafUntil = s.pulse + deafTime
-		b.note(StartedAnew, s.pulse-before.progress, b.deafUntil)
+		b.deafUntil = s.pulse + ignoreReportsTime
+		b.note(StartedAnew, s.pulse-previous.progress, b.deafUntil)
 	}
-	for _, known := range s.flows {
-		if member := anew[known.backend.id]; member != nil {
-			known.backend.leave(known)
-			known.member, known.backend = member, s.backends[member.ID]
-			known.backend.join(known)
+	for _, rec := range s.flows {
+		if member := restarted[rec.backend.id]; member != nil {
+			rec.backend.leave(rec)
+			rec.member, rec.backend = member, s.backends[member.ID]
+			rec.backend.join(rec)
 		}
 	}
-	s.resetAll(func(known *record) bool {
-		member := anew[known.backend.id]
-		return member != nil && known.started < member.StartedAfter
+	s.resetAll(func(rec *record) bool {
+		member := restarted[rec.backend.id]
+		return member != nil && rec.started < member.StartedAfter
 	})
 }
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -18,7 +18,7 @@
 	splitAddress = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// fleet is a directory with a steerer that follows it.
+// fleet is a directory and a steerer that follows it.
 type fleet struct {
 	*testing.T
 	directory *directory.Directory
@@ -27,12 +27,12 @@
 	now       time.Duration
 }
 
-// newFleet is a fleet whose flows may leave the zone when it has more than twice
-// the mean of all zones.
+// newFleet returns a fleet with a load factor of 2.
 func newFleet(t *testing.T) *fleet { return newFleetWith(t, "2") }
 
-// newFleetWith has feed servers 1 to 4 in zone a, 5 and 6 in zone b, and upload servers
-// 11 and 12 in zone a; one route leads to the feed, another is split 3 to 1.
+// newFleetWith returns a fleet with feed servers 1 to 4 in zone a, 5 and 6 in zone b, and upload
+// servers 11 and 12 in zone a. One service uses the feed, another is split 3 to 1 between feed and
+// upload.
 func newFleetWith(t *testing.T, loadFactor string) *fleet {
 	f := &fleet{T: t, directory: directory.New(time.Minute), now: time.Second}
 	f.steerer = New(Config{Zone: "a", FlowLife: time.Minute, LapseGrace: 1500 * time.Millisecond})
@@ -82,12 +82,12 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// state is what is observed of a back end.
+// state returns the state of a back end.
 func (f *fleet) state(id settings.BackendID) *backendState {
 	return f.steerer.stateOf(f.directory.View().Member(id))
 }
 
-// pass lets time pass in steps with pulses.
+// advance moves the time forward in steps with pulses.
 func (f *fleet) pass(length time.Duration) {
 	for end := f.now + length; f.now < end; {
 		f.now = min(end, f.now+PulseInterval)
@@ -105,8 +105,8 @@
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1})
 }
 
-// waited steers a copy of an opening packet that has waited.
-func (f *fleet) waited(caller int, service netip.AddrPort, attempt uint32) Verdict {
+// openWaited steers a copy of an opening packet that has waited.
+func (f *fleet) openWaited(caller int, service netip.AddrPort, attempt uint32) Verdict {
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1, Waited: true})
 }
 
@@ -116,7 +116,7 @@
 	})
 }
 
-// unlimited lets back ends hold any number of flows.
+// unlimited removes the limits of flows.
 func (f *fleet) unlimited() {
 	for _, service := range f.steerer.view.Settings.Services {
 		for i := range service.Groups {
@@ -128,15 +128,15 @@
 // opened opens a flow and returns its back end.
 func (f *fleet) opened(caller int, service netip.AddrPort) *directory.Member {
 	f.Helper()
-	verdict := f.open(caller, service, 0)
-	if verdict.Action != Forward {
-		f.Fatalf("flow %d is not placed: %+v", caller, verdict)
+	decision := f.open(caller, service, 0)
+	if decision.Action != Forward {
+		f.Fatalf("flow %d is not placed: %+v", caller, decision)
 	}
-	f.established(caller, service, verdict.Backend.Tag, 1, 0)
-	return verdict.Backend
+	f.established(caller, service, decision.Backend.Tag, 1, 0)
+	return decision.Backend
 }
 
-func TestNewFlowsStayInTheZoneAndAreEven(t *testing.T) {
+func TestNewFlowsStayInZoneEvenly(t *testing.T) {
 	f := newFleet(t)
 	counts := map[settings.BackendID]int{}
 	for caller := range 400 {
@@ -155,8 +155,7 @@
 	}
 }
 
-// TestALowLoadFactorEvensAllZones.
-func TestALowLoadFactorEvensAllZones(t *testing.T) {
+func TestLowLoadFactorBalancesAllZones(t *testing.T) {
 	f := newFleetWith(t, "1.05")
 	counts := map[settings.BackendID]int{}
 	for caller := range 600 {
@@ -172,25 +171,23 @@
 	}
 }
 
-// TestOthersLoadCounts: what other balancers gave to a back end is load too. They use three
-// of four, with 18 requests a second each.
-func TestOthersLoadCounts(t *testing.T) {
+// Loads that other balancers report count. Three of four back ends are busy with them.
+func TestReportedLoadCounts(t *testing.T) {
 	f := newFleet(t)
 	f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
 	for caller := range 40 {
 		f.pass(100 * time.Millisecond)
 		if member := f.opened(caller, feedAddress); member.ID != 4 {
-			t.Fatalf("flow %d goes to back end %d, which others use", caller, member.ID)
+			t.Fatalf("flow %d goes to back end %d, which others keep busy", caller, member.ID)
 		}
 	}
 }
 
-// TestFlowsAtOnceDoNotCrowdTheOnlyIdleBackEnd: if it went on so, 20 flows in no time would be
-// more than others have.
-func TestFlowsAtOnceDoNotCrowdTheOnlyIdleBackEnd(t *testing.T) {
+// Flows that open at once must not all go to the only idle back end.
+func TestSimultaneousFlowsDoNotOverloadIdleBackEnd(t *testing.T) {
 	f := newFleet(t)
 	for caller := range 40 {
-		// Each takes 50 ms.
+		// Each request takes 50 ms.
 		member := f.opened(1000+caller, feedAddress)
 		f.established(1000+caller, feedAddress, member.Tag, 1, 100)
 		f.pass(50 * time.Millisecond)
@@ -206,12 +203,12 @@
 		counts[f.open(caller, feedAddress, 0).Backend.ID]++
 	}
 	if counts[4] < 5 || counts[4] > 12 {
-		t.Errorf("the idle one has %d of 20 flows", counts[4])
+		t.Errorf("the idle back end gets %d of 20 flows", counts[4])
 	}
 }
 
-// TestSlowBackEndsLoseShare, and get it back when they are as fast as the others.
-func TestSlowBackEndsLoseShare(t *testing.T) {
+// Slow back ends get fewer flows, and their share again once they are as fast as the others.
+func TestSlowBackEndsGetFewerFlows(t *testing.T) {
 	f := newFleet(t)
 	ticked := f.now
 	work := func(from, to int, latency func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
@@ -244,32 +241,32 @@
 	}
 }
 
-// TestADoubtedBackEndGetsOneFlowAtATime until it shows a sign of life.
-func TestADoubtedBackEndGetsOneFlowAtATime(t *testing.T) {
+// A suspect back end gets one flow at a time until it responds.
+func TestSuspectBackEndGetsOneFlowAtATime(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
 	f.pass(answerTime)
 	tried := 0
 	for caller := 1; caller < 400; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		if verdict.Backend == silent {
+		decision := f.open(caller, feedAddress, 0)
+		if decision.Backend == silent {
 			tried++
 		} else {
-			f.established(caller, feedAddress, verdict.Backend.Tag, 1, 0)
+			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
 		f.pass(10 * time.Millisecond)
 	}
 	if tried == 0 || tried > 4 {
 		t.Errorf("a silent back end is tried %d times in 4 s", tried)
 	}
-	if doubted := f.steerer.Doubted(f.now, 5); len(doubted) != 1 || doubted[0] != silent.ID {
-		t.Errorf("others are told to doubt %v", doubted)
+	if suspects := f.steerer.Doubted(f.now, 5); len(suspects) != 1 || suspects[0] != silent.ID {
+		t.Errorf("reported suspects: %v", suspects)
 	}
 }
 
-// TestOthersDoubtsCount unless the back end has just answered here.
-func TestOthersDoubtsCount(t *testing.T) {
+// Back ends that other balancers suspect are avoided, unless they have just responded here.
+func TestReportedSuspectsAreAvoided(t *testing.T) {
 	f := newFleet(t)
 	f.opened(0, feedAddress)
 	first := f.opened(1, feedAddress)
@@ -277,16 +274,16 @@
 	f.established(1, feedAddress, first.Tag, 5, 0)
 	f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1, 2, 3, 4})
 	for caller := 10; caller < 30; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		if verdict.Backend.Zone == "a" && verdict.Backend != first {
-			t.Fatalf("a flow goes to back end %d, which others doubt", verdict.Backend.ID)
+		decision := f.open(caller, feedAddress, 0)
+		if decision.Backend.Zone == "a" && decision.Backend != first {
+			t.Fatalf("a flow goes to back end %d, which others suspect", decision.Backend.ID)
 		}
 	}
 }
 
-// TestAnAdoptedFlowIsNoSignOfLife: its first packet here may be a repetition that a
-// dead back end will never answer.
-func TestAnAdoptedFlowIsNoSignOfLife(t *testing.T) {
+// The first packet of an adopted flow may be a retransmission to a dead back end, and must not
+// clear its suspect state.
+func TestAdoptedFlowDoesNotClearSuspect(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
@@ -294,7 +291,7 @@
 	f.steerer.stateOf(silent).doubted(f.now)
 	f.established(700, feedAddress, silent.Tag, 900, 50)
 	if !f.steerer.stateOf(silent).doubted(f.now) {
-		t.Error("a repetition clears the doubt")
+		t.Error("a retransmission clears the suspect state")
 	}
 }
 
@@ -303,9 +300,9 @@
 		f := newFleet(t)
 		spilled := 0
 		for caller := range 60 {
-			verdict := f.open(caller, feedAddress, 0)
-			f.established(caller, feedAddress, verdict.Backend.Tag, 1, 100)
-			if verdict.Spilled {
+			decision := f.open(caller, feedAddress, 0)
+			f.established(caller, feedAddress, decision.Backend.Tag, 1, 100)
+			if decision.Spilled {
 				spilled++
 			}
 		}
@@ -318,8 +315,8 @@
 		for id := settings.BackendID(1); id <= 4; id++ {
 			f.vanish(id)
 		}
-		if verdict := f.open(1, feedAddress, 0); verdict.Action != Forward || verdict.Backend.Zone != "b" || !verdict.Spilled {
-			t.Errorf("verdict %+v", verdict)
+		if decision := f.open(1, feedAddress, 0); decision.Action != Forward || decision.Backend.Zone != "b" || !decision.Spilled {
+			t.Errorf("decision %+v", decision)
 		}
 	})
 }
@@ -327,31 +324,31 @@
 func TestEstablishedPacketsFollowTheirTag(t *testing.T) {
 	f := newFleet(t)
 	for _, id := range []settings.BackendID{2, 5} {
-		verdict := f.established(int(id), feedAddress, directory.TagOf(id), 9, 10)
-		if verdict.Action != Forward || verdict.Backend.ID != id {
-			t.Errorf("back end %d: %+v", id, verdict)
+		decision := f.established(int(id), feedAddress, directory.TagOf(id), 9, 10)
+		if decision.Action != Forward || decision.Backend.ID != id {
+			t.Errorf("back end %d: %+v", id, decision)
 		}
 	}
 	f.announce(2, "feed", "a", true)
 	f.vanish(5)
 	for _, id := range []settings.BackendID{2, 5} {
-		verdict := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
-		if verdict.Action != Forward || verdict.Backend.ID != id {
-			t.Errorf("back end %d, which has left: %+v", id, verdict)
+		decision := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
+		if decision.Action != Forward || decision.Backend.ID != id {
+			t.Errorf("back end %d, which is draining or removed: %+v", id, decision)
 		}
 	}
 	unknown := Packet{Flow: key(30, feedAddress), Kind: Established, Tag: 999, Sequence: 41, Acknowledged: 9, Payload: 10}
-	if verdict := f.steerer.Steer(f.now, &unknown); verdict.Action != Wait || len(f.steerer.TakeInquiries()) != 1 {
-		t.Errorf("a tag that nobody has, while others may know the flow: %+v", verdict)
+	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Wait || len(f.steerer.TakeInquiries()) != 1 {
+		t.Errorf("an unknown tag, while others may know the flow: %+v", decision)
 	}
 	unknown.Waited = true
-	if verdict := f.steerer.Steer(f.now, &unknown); verdict.Action != Drop || verdict.Reason != errkind.UnknownTag {
-		t.Errorf("a tag that nobody has: %+v", verdict)
+	if decision := f.steerer.Steer(f.now, &unknown); decision.Action != Drop || decision.Reason != errkind.UnknownTag {
+		t.Errorf("an unknown tag: %+v", decision)
 	}
 }
 
-// TestAFlowStaysWhenItsRouteIsDropped: settings never move an open flow.
-func TestAFlowStaysWhenItsRouteIsDropped(t *testing.T) {
+// Settings must never move an open flow.
+func TestFlowStaysWhenItsServiceIsRemoved(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	f.revision++
@@ -359,18 +356,18 @@
 	f.route(tree, "split", splitAddress, map[string]string{"upload": "1"})
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Settings: &directory.Settings{Version: 2, Revision: f.revision, Tree: tree}})
 	f.steerer.SetView(f.directory.View())
-	if verdict := f.established(1, feedAddress, member.Tag, 5, 10); verdict.Action != Forward || verdict.Backend.ID != member.ID {
-		t.Errorf("the open flow: %+v", verdict)
+	if decision := f.established(1, feedAddress, member.Tag, 5, 10); decision.Action != Forward || decision.Backend.ID != member.ID {
+		t.Errorf("the open flow: %+v", decision)
 	}
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoRoute {
-		t.Errorf("a new flow: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoRoute {
+		t.Errorf("a new flow: %+v", decision)
 	}
-	if verdict := f.open(3, splitAddress, 0); verdict.Backend.Group != "upload" {
-		t.Errorf("a new flow of the changed route: %+v", verdict)
+	if decision := f.open(3, splitAddress, 0); decision.Backend.Group != "upload" {
+		t.Errorf("a new flow of the changed service: %+v", decision)
 	}
 }
 
-// TestCopiesOfAnOpeningPacket arrive in every order and after every change.
+// Copies may arrive in any order and after any change.
 func TestCopiesOfAnOpeningPacket(t *testing.T) {
 	t.Run("a copy goes where the first went", func(t *testing.T) {
 		f := newFleet(t)
@@ -387,16 +384,16 @@
 	t.Run("a copy before its original", func(t *testing.T) {
 		f := newFleet(t)
 		if copied := f.open(1, feedAddress, 1); copied.Action != Wait {
-			t.Fatalf("it is not awaited: %+v", copied)
+			t.Fatalf("it does not wait: %+v", copied)
 		}
 		first := f.open(1, feedAddress, 0)
-		if second := f.waited(1, feedAddress, 1); second.Backend == nil || first.Backend != second.Backend {
+		if second := f.openWaited(1, feedAddress, 1); second.Backend == nil || first.Backend != second.Backend {
 			t.Errorf("%+v and %+v", first, second)
 		}
 	})
 	t.Run("a copy that waited before its original", func(t *testing.T) {
 		f := newFleet(t)
-		second := f.waited(1, feedAddress, 1)
+		second := f.openWaited(1, feedAddress, 1)
 		if first := f.open(1, feedAddress, 0); second.Backend == nil || first.Backend != second.Backend {
 			t.Errorf("%+v and %+v", first, second)
 		}
@@ -446,33 +443,33 @@
 	})
 }
 
-// TestASecondAnswerDoesNotMoveAnOpenFlow: a back end that answered a copy may change
-// the tag that the caller returns.
-func TestASecondAnswerDoesNotMoveAnOpenFlow(t *testing.T) {
+// A back end that answered a copy may change the tag that the caller returns, which must not move
+// the flow.
+func TestSecondAnswerDoesNotMoveOpenFlow(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	other := directory.TagOf(member.ID%4 + 1)
-	verdict := f.established(1, feedAddress, other, 5, 10)
-	if verdict.Backend.ID != member.ID || !verdict.Repinned {
-		t.Errorf("%+v", verdict)
+	decision := f.established(1, feedAddress, other, 5, 10)
+	if decision.Backend.ID != member.ID || !decision.Repinned {
+		t.Errorf("%+v", decision)
 	}
 }
 
-func TestSilentBackEndsLoseNewFlows(t *testing.T) {
+func TestSilentBackEndsGetNoNewFlows(t *testing.T) {
 	f := newFleet(t)
 	f.pass(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
 	waiting := []int{0}
 	var answered []*directory.Member
 	for caller := 1; caller < 8; caller++ {
-		verdict := f.open(caller, feedAddress, 0)
-		answered = append(answered, verdict.Backend)
-		if verdict.Backend == silent {
+		decision := f.open(caller, feedAddress, 0)
+		answered = append(answered, decision.Backend)
+		if decision.Backend == silent {
 			waiting = append(waiting, caller)
 		}
 	}
 	if len(waiting) < silentFlows {
-		t.Fatalf("flows %v wait", waiting)
+		t.Fatalf("flows %v are unanswered", waiting)
 	}
 	for i, member := range answered {
 		if member != silent {
@@ -484,44 +481,43 @@
 		f.open(caller, feedAddress, 1)
 	}
 	for caller := range 40 {
-		if verdict := f.open(100+caller, feedAddress, 0); verdict.Backend == silent {
+		if decision := f.open(100+caller, feedAddress, 0); decision.Backend == silent {
 			t.Fatalf("flow %d goes to a silent back end", caller)
 		}
 	}
 	if moved := f.open(waiting[0], feedAddress, 2); !moved.Moved || moved.Backend == silent {
-		t.Errorf("the waiting flow does not move: %+v", moved)
+		t.Errorf("the unanswered flow does not move: %+v", moved)
 	}
 	f.established(500, feedAddress, silent.Tag, 1, 0)
 	f.established(500, feedAddress, silent.Tag, 2, 0)
 	if f.steerer.stateOf(silent).suspected(f.now) {
-		t.Error("a back end that answers again is still suspected")
+		t.Error("a back end that answers again still counts as silent")
 	}
 }
 
-// TestACopyOfAnUnknownFlowWaits: another balancer may have placed the flow, also where none is
-// known yet. If its caller shows meanwhile that it has opened, no second back end answers.
-func TestACopyOfAnUnknownFlowWaits(t *testing.T) {
+// A copy of an unknown flow waits, since another balancer may have placed the flow. If its caller
+// shows meanwhile that the flow has opened, no second back end may answer.
+func TestCopyOfUnknownFlowWaits(t *testing.T) {
 	f := newFleet(t)
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("a first packet: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("a first packet: %+v", decision)
 	}
 	for caller, opens := range map[int]bool{3: true, 4: false} {
-		if verdict := f.open(caller, feedAddress, 1); verdict.Action != Wait {
-			t.Fatalf("a copy: %+v", verdict)
+		if decision := f.open(caller, feedAddress, 1); decision.Action != Wait {
+			t.Fatalf("a copy: %+v", decision)
 		}
 		if opens {
 			f.established(caller, feedAddress, 2, 1, 0)
 		}
 		f.now += CopyWait
-		verdict := f.waited(caller, feedAddress, 1)
-		if want := map[bool]Action{true: Drop, false: Forward}[opens]; verdict.Action != want {
-			t.Errorf("after the wait, opened %v: %+v", opens, verdict)
+		decision := f.openWaited(caller, feedAddress, 1)
+		if want := map[bool]Action{true: Drop, false: Forward}[opens]; decision.Action != want {
+			t.Errorf("after the wait, opened %v: %+v", opens, decision)
 		}
 	}
 }
 
-// TestOneLostPacketRaisesNoSuspicion.
-func TestOneLostPacketRaisesNoSuspicion(t *testing.T) {
+func TestOneLostPacketDoesNotMarkSilent(t *testing.T) {
 	f := newFleet(t)
 	first := f.open(1, feedAddress, 0)
 	f.pass(200 * time.Millisecond)
@@ -529,12 +525,12 @@
 		t.Error("a flow moves after one copy")
 	}
 	if f.steerer.stateOf(first.Backend).suspected(f.now) {
-		t.Error("one copy raises suspicion")
+		t.Error("one copy marks the back end silent")
 	}
 }
 
-// TestCopiesThatWaitedInAQueueAreNoEvidence.
-func TestCopiesThatWaitedInAQueueAreNoEvidence(t *testing.T) {
+// Copies that arrive without delay were queued, and must not mark a back end silent.
+func TestQueuedCopiesDoNotMarkSilent(t *testing.T) {
 	f := newFleet(t)
 	for caller := range 20 {
 		f.open(caller, feedAddress, 0)
@@ -542,25 +538,25 @@
 	}
 	for _, state := range f.steerer.backends {
 		if state.suspected(f.now) {
-			t.Fatal("a back end had no time to answer and is suspected")
+			t.Fatal("a back end that had no time to answer counts as silent")
 		}
 	}
 }
 
-func TestOpeningPacketsThatWaitedInAStandstillAreDropped(t *testing.T) {
+func TestOpeningPacketsQueuedDuringPauseAreDropped(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	f.now += 3 * time.Second
 	stale := f.steerer.Steer(f.now, &Packet{Flow: key(2, feedAddress), Kind: Open})
 	if stale.Action != Drop || stale.Reason != errkind.Stale {
-		t.Errorf("an opening packet that waited: %+v", stale)
+		t.Errorf("an opening packet that was queued: %+v", stale)
 	}
-	if verdict := f.established(1, feedAddress, member.Tag, 2, 5); verdict.Action != Forward {
-		t.Errorf("a packet of an open flow: %+v", verdict)
+	if decision := f.established(1, feedAddress, member.Tag, 2, 5); decision.Action != Forward {
+		t.Errorf("a packet of an open flow: %+v", decision)
 	}
 	f.pass(200 * time.Millisecond)
-	if verdict := f.open(3, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("an opening packet after the standstill: %+v", verdict)
+	if decision := f.open(3, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("an opening packet after the pause: %+v", decision)
 	}
 }
 
@@ -575,23 +571,22 @@
 	}
 }
 
-// TestEntriesThatVanishByMistake: when every entry of a group vanishes, its back
-// ends are used for a moment longer, well within the drain bound.
-func TestEntriesThatVanishByMistake(t *testing.T) {
+// When all entries of a group are removed, its back ends are used for a moment longer.
+func TestRemovedEntriesStayUsableBriefly(t *testing.T) {
 	f := newFleet(t)
 	for id := settings.BackendID(1); id <= 6; id++ {
 		f.vanish(id)
 	}
-	if verdict := f.open(1, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("at once: %+v", verdict)
+	if decision := f.open(1, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("at once: %+v", decision)
 	}
 	f.pass(2 * time.Second)
-	if verdict := f.open(2, feedAddress, 0); verdict.Action != Forward {
-		t.Errorf("all together, after 2 s: %+v", verdict)
+	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
+		t.Errorf("after 2 s: %+v", decision)
 	}
 	f.pass(600 * time.Millisecond)
-	if verdict := f.open(3, feedAddress, 0); verdict.Action != Refuse || verdict.Reason != errkind.NoBackend {
-		t.Errorf("later: %+v", verdict)
+	if decision := f.open(3, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
+		t.Errorf("later: %+v", decision)
 	}
 }
 
@@ -614,48 +609,48 @@
 	}
 	for id, state := range f.steerer.backends {
 		if state.flows != 0 || state.opening != 0 || state.active != 0 {
-			t.Errorf("back end %d keeps counts: %+v", id, *state)
+			t.Errorf("back end %d still has counts: %+v", id, *state)
 		}
 	}
 }
 
-// TestAFloodOfFlowsIsBounded: what is not remembered is forwarded all the same.
-func TestAFloodOfFlowsIsBounded(t *testing.T) {
+// Packets of flows beyond MaxFlows are forwarded without a record.
+func TestRecordedFlowsAreBounded(t *testing.T) {
 	f := newFleet(t)
 	config := f.steerer.config
 	config.MaxFlows = 50
 	f.steerer.Reconfigure(config)
 	for caller := range 200 {
 		member := f.opened(caller, feedAddress)
-		if verdict := f.established(caller, feedAddress, member.Tag, 2, 10); verdict.Action != Forward || verdict.Backend.ID != member.ID {
-			t.Fatalf("flow %d: %+v", caller, verdict)
+		if decision := f.established(caller, feedAddress, member.Tag, 2, 10); decision.Action != Forward || decision.Backend.ID != member.ID {
+			t.Fatalf("flow %d: %+v", caller, decision)
 		}
 	}
 	f.pass(answerTime)
 	for id, state := range f.steerer.backends {
 		if state.doubted(f.now) {
-			t.Errorf("back end %d, which answers, is doubted", id)
+			t.Errorf("back end %d, which answers, is suspect", id)
 		}
 	}
 	if f.steerer.Flows() != 50 {
-		t.Errorf("%d flows are remembered", f.steerer.Flows())
+		t.Errorf("%d flows are recorded", f.steerer.Flows())
 	}
 	for _, state := range f.steerer.backends {
 		if state.flows < 0 || state.opening < 0 || state.active < 0 {
-			t.Errorf("counts fall below nothing: %+v", *state)
+			t.Errorf("negative counts: %+v", *state)
 		}
 	}
 }
 
 func TestNothingIsPlacedBeforeSettingsAreKnown(t *testing.T) {
 	steerer := New(Config{Zone: "a", FlowLife: time.Minute})
-	verdict := steerer.Steer(0, &Packet{Flow: key(1, feedAddress), Kind: Open})
-	if verdict.Action != Drop || verdict.Reason != errkind.NotReady {
-		t.Errorf("%+v", verdict)
+	decision := steerer.Steer(0, &Packet{Flow: key(1, feedAddress), Kind: Open})
+	if decision.Action != Drop || decision.Reason != errkind.NotReady {
+		t.Errorf("%+v", decision)
 	}
 }
 
-// BenchmarkEstablished is the path of nearly all packets.
+// BenchmarkEstablished measures the path of nearly all packets.
 func BenchmarkEstablished(b *testing.B) {
 	for _, flows := range []int{100, 20000} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
@@ -663,8 +658,8 @@
 			f.unlimited()
 			packets := make([]Packet, flows)
 			for i := range packets {
-				verdict := f.open(i, feedAddress, 0)
-				packets[i] = Packet{Flow: key(i, feedAddress), Kind: Established, Tag: verdict.Backend.Tag}
+				decision := f.open(i, feedAddress, 0)
+				packets[i] = Packet{Flow: key(i, feedAddress), Kind: Established, Tag: decision.Backend.Tag}
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -689,7 +684,7 @@
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
-			// As many flows a second as a balancer places at the size to come.
+			// The highest expected rate of new flows per second at one balancer.
 			const rate = 59
 			for i := range b.N {
 				f.now += time.Second / rate
@@ -703,19 +698,18 @@
 	}
 }
 
-// TestABackEndThatLeavesRequestsUnansweredGetsFewerFlows, is told of once, and gets
-// its share again when it has answered for a while.
-func TestABackEndThatLeavesRequestsUnansweredGetsFewerFlows(t *testing.T) {
+// Unanswered requests count as load and are logged once, until they have decayed.
+func TestUnansweredRequestsCountAsLoad(t *testing.T) {
 	s := New(Config{Zone: "a", FlowLife: time.Minute})
 	state := s.newState(&directory.Member{Backend: directory.Backend{ID: 7}})
-	known := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
-	known.noteUnanswered(time.Second + answerPatience/2)
+	rec := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
+	rec.noteUnanswered(time.Second + answerPatience/2)
 	if state.faults != 0 {
-		t.Fatal("a caller that has just asked counts as left without an answer")
+		t.Fatal("a request that was just sent counts as unanswered")
 	}
 	for range 3 {
-		known.noteUnanswered(time.Second + answerPatience)
-		known.unanswered = false
+		rec.noteUnanswered(time.Second + answerPatience)
+		rec.unanswered = false
 	}
 	if state.faults != 3 || state.work() != 3*faultCost {
 		t.Errorf("%v faults, work %v", state.faults, state.work())
@@ -727,13 +721,12 @@
 		state.decay(10 * time.Second)
 	}
 	if state.faulty || state.work() > 1 {
-		t.Errorf("after a while still faulty %v, work %v", state.faulty, state.work())
+		t.Errorf("after 20 s: faulty %v, work %v", state.faulty, state.work())
 	}
 }
 
-// TestOwnDelayIsNoSilenceOfOthers: a process that was short of processor reads answers
-// late, and must not take that for silence of back ends.
-func TestOwnDelayIsNoSilenceOfOthers(t *testing.T) {
+// A process that was short of CPU reads responses late, and must not suspect back ends for that.
+func TestOwnDelayDoesNotCauseSuspects(t *testing.T) {
 	for _, starved := range []bool{false, true} {
 		f := newFleet(t)
 		f.open(1, feedAddress, 0)
@@ -745,9 +738,9 @@
 		for caller := 2; caller < 12; caller++ {
 			f.open(caller, feedAddress, 0)
 		}
-		doubted := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Doubted })
-		if doubted == starved {
-			t.Errorf("short of processor: %v, doubts: %v", starved, doubted)
+		suspected := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Doubted })
+		if suspected == starved {
+			t.Errorf("short of CPU: %v, suspects: %v", starved, suspected)
 		}
 	}
 }
