--- a/internal/steering/baseline.go
+++ b/internal/steering/baseline.go
@@ -9,32 +9,30 @@
 )
 
 const (
-	// shortPart and quickPart bound the answers that look like failures: shorter than this part of
-	// the lower quartile of the lengths at their address, and sooner than this part of the median
-	// time. Of 28,644 sound answers of log-normal length 2 in 100 were so short, and 1 in 10,000 was
-	// less than half of the median time besides; of 480 errors where each request has a flow of its
-	// own all were short and came in a sixth of the time. On flows that go on errors are mostly not
-	// seen, since callers acknowledge a single packet some 40 ms late.
-	shortPart = 0.5
-	quickPart = 1.0 / 3
-	// maxBaselines bounds the addresses of which answers are remembered, at about 100 B each.
+	// An answer looks like a failure if it is shorter than shortAnswerRatio times the lower
+	// quartile of the lengths at its address, and its latency is below quickAnswerRatio times the
+	// median. Neither criterion is specific enough by itself. On long-lived flows failures are
+	// mostly missed, since callers delay the acknowledgement of a single packet by about 40 ms.
+	shortAnswerRatio = 0.5
+	quickAnswerRatio = 1.0 / 3
+	// maxBaselines bounds the number of baselines, at about 100 B each.
 	maxBaselines = 10_000
-	// knownBaseline is how many answers it takes to count: within them a quantile moves by up to a factor of 2.
-	knownBaseline = 30
-	// usualDecay is what is left after a second of the answers by which the usual part is worked
-	// out: it stands for 100 seconds, so that a fault of some seconds is not taken to be usual.
-	usualDecay = 0.99
+	// minBaselineAnswers is the number of answers from which on a baseline is used.
+	minBaselineAnswers = 30
+	// baselineDecay is the factor per second for the counts behind failureRate. They cover about
+	// 100 s, so that a short outage does not become the baseline.
+	baselineDecay = 0.99
 )
 
-// baselineKey names what is learned of together: the answers at an address of a service and, where the service
-// is split, of one part. The part with less weight may answer differently, being another version or another
-// service, and must not be taken for failing by what the larger one does.
+// baselineKey identifies a baseline: the address of a service and, for a split service, the part. A
+// part may run another version or service, whose answers must not look like failures beside those
+// of a larger part.
 type baselineKey struct {
 	service netip.AddrPort
 	part    string
 }
 
-// baselineKeyOf returns under which key a flow's answers are learned of.
+// baselineKeyOf returns the key of the baseline for a flow's answers.
 func (s *Steerer) baselineKeyOf(known *record) baselineKey {
 	key := baselineKey{service: known.key.Service}
 	if s.view.Settings == nil {
@@ -46,65 +44,66 @@
 	return key
 }
 
-// answerBaseline is what answers under one key look like.
+// answerBaseline describes the typical answers under one key.
 type answerBaseline struct {
-	// length is the lower quartile of their lengths in bytes, time the median time in seconds.
+	// length is the lower quartile of the lengths in bytes, time the median latency in seconds.
 	length, time quantile
-	// judged counts them, and failures those that look like failures, over a long time, decaying.
-	judged, failures float64
+	// classified counts the answers compared with the baseline, and failures those that look like
+	// failures, both decaying.
+	classified, failures float64
 }
 
-// add learns from an answer and returns the evidence that it gives of a failing back end: positive
-// if it looks like a failure, which is both much shorter and much quicker than is usual.
+// add learns from an answer and returns its evidence that the back end fails: positive for an
+// answer that looks like a failure, 0 while the baseline is unknown.
 func (a *answerBaseline) add(length uint32, latency time.Duration) (evidence float64) {
 	const lowerQuartile, median = 0.25, 0.5
-	known := a.length.count >= knownBaseline
-	failure := known && float64(length) < shortPart*a.length.value && latency.Seconds() < quickPart*a.time.value
+	known := a.length.count >= minBaselineAnswers
+	failure := known && float64(length) < shortAnswerRatio*a.length.value && latency.Seconds() < quickAnswerRatio*a.time.value
 	a.length.add(float64(length), lowerQuartile)
 	a.time.add(latency.Seconds(), median)
 	if !known {
 		return 0
 	}
-	usual := a.usual()
-	a.judged++
+	usual := a.failureRate()
+	a.classified++
 	if !failure {
-		return -soundEvidence
+		return -normalEvidence
 	}
 	a.failures++
-	return max(math.Log(failingPart/usual)/evidenceUnit, 0)
+	return max(math.Log(failingShare/usual)/evidenceUnit, 0)
 }
 
-// usual is the usual part of answers that look like failures.
-func (a *answerBaseline) usual() float64 {
-	return (a.failures + leastUsual*usualAnswers) / (a.judged + usualAnswers)
+// failureRate returns the typical share of answers that look like failures.
+func (a *answerBaseline) failureRate() float64 {
+	return (a.failures + minFailureRate*priorAnswers) / (a.classified + priorAnswers)
 }
 
-// decay lets a second pass.
+// decay ages the counts by one second.
 func (a *answerBaseline) decay() {
-	a.judged *= usualDecay
-	a.failures *= usualDecay
+	a.classified *= baselineDecay
+	a.failures *= baselineDecay
 }
 
-// Baseline is what one balancer has learned of the answers at an address of a service.
+// Baseline describes the typical answers at an address of a service, as one balancer sees them.
 type Baseline struct {
 	Service netip.AddrPort
-	// Length is the lower quartile of their lengths in bytes, Time their median time.
+	// Length is the lower quartile of the lengths in bytes, Time the median latency.
 	Length uint32
 	Time   time.Duration
-	// Usual is how many in 100,000 look like failures.
-	Usual uint32
+	// FailureRate is the number of answers in 100,000 that look like failures.
+	FailureRate uint32
 }
 
-// usualUnit is what one of Baseline.Usual stands for.
-const usualUnit = 1e-5
+// failureRateUnit is the rate that 1 in Baseline.FailureRate stands for.
+const failureRateUnit = 1e-5
 
-// Baselines returns what this balancer knows of answers: of the addresses with the most answers, at
-// most count. Parts of split services are not told.
+// Baselines returns the baselines of at most count addresses, those with the most answers first.
+// Baselines for parts of split services are not included.
 func (s *Steerer) Baselines(count int) []Baseline {
 	var baselines []Baseline
 	for key, baseline := range s.baselines {
-		if key.part == "" && baseline.length.count >= knownBaseline {
-			baselines = append(baselines, Baseline{key.service, uint32(baseline.length.value), time.Duration(baseline.time.value * float64(time.Second)), uint32(baseline.usual() / usualUnit)})
+		if key.part == "" && baseline.length.count >= minBaselineAnswers {
+			baselines = append(baselines, Baseline{key.service, uint32(baseline.length.value), time.Duration(baseline.time.value * float64(time.Second)), uint32(baseline.failureRate() / failureRateUnit)})
 		}
 	}
 	slices.SortFunc(baselines, func(a, b Baseline) int {
@@ -113,23 +112,24 @@
 	return baselines[:min(count, len(baselines))]
 }
 
-// HearBaselines takes over what another balancer knows of answers where this one knows too little: one
-// that has just started would need half a minute at 1 answer a second.
+// ReceiveBaselines adopts baselines that another balancer reported where this one has too few
+// answers of its own.
 func (s *Steerer) HearBaselines(baselines []Baseline) {
 	for _, told := range baselines {
 		if told.Length == 0 || told.Time <= 0 || !told.Service.IsValid() {
 			continue
 		}
 		baseline := s.baselineOf(baselineKey{service: told.Service})
-		if baseline.length.count < knownBaseline {
-			baseline.length = quantile{float64(told.Length), knownBaseline}
-			baseline.time = quantile{told.Time.Seconds(), knownBaseline}
-			baseline.judged, baseline.failures = usualAnswers, usualAnswers*float64(told.Usual)*usualUnit
+		if baseline.length.count < minBaselineAnswers {
+			baseline.length = quantile{float64(told.Length), minBaselineAnswers}
+			baseline.time = quantile{told.Time.Seconds(), minBaselineAnswers}
+			baseline.classified, baseline.failures = priorAnswers, priorAnswers*float64(told.FailureRate)*failureRateUnit
 		}
 	}
 }
 
-// baselineOf returns what is known of the answers under a key; of more than maxBaselines it begins anew.
+// baselineOf returns the baseline under a key, and creates it if there is none. At maxBaselines all
+// are dropped first.
 func (s *Steerer) baselineOf(key baselineKey) *answerBaseline {
 	baseline := s.baselines[key]
 	if baseline == nil {
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -8,45 +8,46 @@
 	"gaugeyard/internal/settings"
 )
 
-// endFlows ends flows at lost back ends. Those whose callers await an answer end where requests may be
-// repeated. Those that rest end where requests may run only once, and only once for each loss: their next
-// request would go to a back end that answers nobody, and its caller may not repeat it.
+// resetFlowsAt resets flows at down back ends. Flows with a pending request are reset where
+// requests may be repeated. Idle flows are reset where requests must not be repeated, once per down
+// period: the next request would be sent to a back end that does not answer, and its caller may not
+// retry it.
 func (s *Steerer) endFlows(now time.Duration, lost ...*backendState) {
 	resting := lost[:0:0]
 	for _, b := range lost {
-		s.resetWaiting(b)
-		if b.flows > 0 && now >= b.restingUntil && s.severalSay(now, b) {
-			b.restingUntil = max(b.lostUntil, now+lostTime)
+		s.resetPending(b)
+		if b.flows > 0 && now >= b.idleResetUntil && s.isDownConfirmed(now, b) {
+			b.idleResetUntil = max(b.lostUntil, now+downPeriod)
 			resting = append(resting, b)
 		}
 	}
 	if len(resting) == 0 {
 		return
 	}
-	// All flows are looked at once for all of them: 0.4 ms of a whole core at 10,000 flows.
+	// One pass over the flows for all back ends.
 	s.resetAll(func(known *record) bool {
-		return slices.Contains(resting, known.backend) && !known.waiting && now-known.lastSeen < restTime && !s.repeatable(known.key)
+		return slices.Contains(resting, known.backend) && !known.waiting && now-known.lastSeen < idleTimeout && !s.repeatable(known.key)
 	})
 }
 
-// severalSay tells whether more than one other balancer's word stands behind a loss: callers here ask in vain,
-// those of two others do, or the entry is gone. A single one may be cut off itself, and flows that rest would
-// end at all balancers for it.
-func (s *Steerer) severalSay(now time.Duration, b *backendState) bool {
-	if b.freshStall(now) || s.view.Departed(b.id) {
+// isDownConfirmed reports whether more than one balancer's report supports the down state: callers
+// here or at two other balancers retransmit without a response, or the entry was removed. A single
+// reporter may be isolated itself, and would cause the reset of idle flows at all balancers.
+func (s *Steerer) isDownConfirmed(now time.Duration, b *backendState) bool {
+	if b.recentlyUnanswered(now) || s.view.Departed(b.id) {
 		return true
 	}
 	tellers := 0
-	for _, heard := range b.stalls {
-		if heard.callers > 0 && now-heard.at <= stallLife {
+	for _, heard := range b.reports {
+		if heard.callers > 0 && now-heard.receivedAt <= reportLifetime {
 			tellers++
 		}
 	}
 	return tellers > 1
 }
 
-// resetWaiting ends the flows at a lost back end whose callers await an answer and may ask again.
-func (s *Steerer) resetWaiting(b *backendState) {
+// resetPending resets the flows at a down back end with a pending request that may be repeated.
+func (s *Steerer) resetPending(b *backendState) {
 	for _, known := range s.awaited.records {
 		if known.backend == b && known.waiting && !known.closed && s.repeatable(known.key) {
 			s.reset(known)
@@ -54,8 +55,8 @@
 	}
 }
 
-// noteEnded looks in a new view for back ends that have ended for certain, since another one started at
-// the address. Every flow there is ended: nobody will answer it, whatever its requests are.
+// resetReplaced looks in a new view for back ends that have ended because another one started at
+// the address. All flows there are reset, whether or not requests may be repeated.
 func (s *Steerer) noteEnded() {
 	var gone []settings.BackendID
 	for id, b := range s.departed {
@@ -84,8 +85,7 @@
 	}
 }
 
-// resetAll ends the flows that have opened and not closed and that the condition holds for, in order
-// of flow.
+// resetMatching resets the open flows that the condition holds for, in order of flow.
 func (s *Steerer) resetAll(condition func(known *record) bool) {
 	var ended []*record
 	for _, known := range s.flows {
@@ -106,7 +106,7 @@
 	return a.Service.Compare(b.Service)
 }
 
-// reset ends one flow.
+// reset resets one flow.
 func (s *Steerer) reset(known *record) {
 	s.resets = append(s.resets, Reset{known.key, known.acknowledged, known.backend.id})
 	s.forget(known)
--- a/internal/steering/ended_test.go
+++ b/internal/steering/ended_test.go
@@ -22,7 +22,7 @@
 // their requests may run again or not. What they send later is refused.
 func TestFlowsEndOnceAnotherOneStartsAtTheAddress(t *testing.T) {
 	for _, group := range []string{"feed", "upload"} {
-		f := silentFleet(t)
+		f := newSilentFleet(t)
 		for caller := 30; caller < 35; caller++ {
 			f.established(caller, splitAddress, 1, 1, 0)
 		}
@@ -49,17 +49,17 @@
 
 // TestFlowsThatRestAtALostBackEndEnd where their next request may run once alone, and no others of these.
 func TestFlowsThatRestAtALostBackEndEnd(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	for caller := 30; caller < 35; caller++ {
 		f.established(caller, splitAddress, 1, 1, 0)
 	}
-	f.pass(restTime)
+	f.pass(idleTimeout)
 	f.established(31, splitAddress, 1, 1, 100)
 	for _, caller := range []int{32, 33} {
 		f.established(caller, splitAddress, 1, 1, 0)
 	}
-	f.lively()
-	f.askInVain(0, 1, 2, 3)
+	f.answerOthers()
+	f.requestUnanswered(0, 1, 2, 3)
 	ended := map[netip.AddrPort]int{}
 	for _, reset := range f.steerer.TakeResets() {
 		ended[reset.Flow.Service]++
@@ -69,7 +69,7 @@
 	}
 	f.pass(100 * time.Millisecond)
 	f.established(34, splitAddress, 1, 1, 0)
-	f.askInVain(5)
+	f.requestUnanswered(5)
 	if resets := f.steerer.TakeResets(); len(resets) != 0 {
 		t.Errorf("flows that came since the loss are reset: %+v", resets)
 	}
@@ -79,14 +79,14 @@
 func TestOneOtherBalancersWordEndsNoFlowThatRests(t *testing.T) {
 	third := netip.MustParseAddrPort("10.9.0.3:1")
 	for _, tellers := range [][]netip.AddrPort{{otherBalancer}, {otherBalancer, third}} {
-		f := silentFleet(t)
+		f := newSilentFleet(t)
 		for caller := 30; caller < 35; caller++ {
 			f.established(caller, splitAddress, 1, 1, 0)
 		}
 		f.pass(time.Second)
-		f.lively()
+		f.answerOthers()
 		for _, from := range tellers {
-			f.steerer.HearStalls(f.now, from, []Stall{{Backend: 1, Callers: 2, Silence: time.Second, Lost: lostTime}})
+			f.steerer.HearStalls(f.now, from, []Stall{{Backend: 1, Callers: 2, Silence: time.Second, Lost: downPeriod}})
 		}
 		if resets := f.steerer.TakeResets(); len(resets) > 0 != (len(tellers) > 1) {
 			t.Errorf("%d balancers say so, %d flows are reset", len(tellers), len(resets))
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// together is within what time entries vanish at once, and lapseTogether how many
-	// times the usual grace they then have: still within the drain bound.
-	together      = time.Second
-	lapseTogether = 5.0 / 3
+	// massRemovalWindow is the maximum time between removals of entries that count as simultaneous,
+	// and massRemovalFactor the factor by which their grace period is longer, which is still within
+	// the drain bound.
+	massRemovalWindow = time.Second
+	massRemovalFactor = 5.0 / 3
 )
 
-// filterCold leaves out back ends that warm up and get their flows from others now.
+// filterWarmingUp excludes back ends that warm up and get their flows from other balancers at
+// present.
 func filterCold(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
 	return s.withholds(p.now, p.limit, member, state)
 }
 
-// filterLeft leaves out the back end that a copy of an opening packet has just left.
+// filterPrevious excludes the back end that a copy of an opening packet has just left.
 func filterLeft(s *Steerer, p *placing, _ *directory.Member, state *backendState) bool {
 	return state == p.avoid && !s.config.Mechanisms.NoSuspicion
 }
 
-// filterSilent leaves out back ends that callers are not answered by.
+// filterSilent excludes back ends that are suspect, silent or down.
 func filterSilent(s *Steerer, p *placing, _ *directory.Member, state *backendState) bool {
-	return !s.config.Mechanisms.NoSuspicion && (state.suspected(p.now) || s.doubts(p.now, state))
+	return !s.config.Mechanisms.NoSuspicion && (state.suspected(p.now) || s.checkSuspect(p.now, state))
 }
 
-// filterLapsed leaves out back ends whose entries vanished too long ago, or lapsed in an outage after which
-// they did not come back.
+// filterExpired excludes back ends whose entries were removed too long ago, or expired in an outage
+// of the store and did not return in time.
 func filterLapsed(s *Steerer, p *placing, member *directory.Member, _ *backendState) bool {
 	if member.LapsedUntil > 0 && p.now >= member.LapsedUntil {
 		return true
@@ -39,8 +41,8 @@
 	return p.now-member.GoneAt > s.lapseGrace(p.pool)
 }
 
-// filterConnections leaves out back ends that have this balancer's part of the flows that they may hold, and
-// filterFull those that certainly hold all.
+// filterConnections excludes back ends that have this balancer's share of the flows that they may
+// hold, and filterFull those that certainly hold the maximum.
 func filterConnections(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
 	return s.connectionsOf(p.group, member).Avoids(state.flows)
 }
@@ -49,32 +51,33 @@
 	return s.connectionsOf(p.group, member).Refuses(state.flows)
 }
 
-// connectionsOf is the limit of flows of one of the group's back ends, and who divides it.
+// connectionsOf returns the flow limit of one of the group's back ends and the numbers of balancers
+// that share it.
 func (s *Steerer) connectionsOf(group *settings.Group, member *directory.Member) admission.Connections {
 	return admission.Connections{Limit: group.Connections, Zone: s.own.zoneSize(), Fleet: s.own.fleetSize(), Local: member.Zone == s.config.Zone}
 }
 
-// doubts tells whether new flows avoid a back end for its silence. Silence counts from
-// when this process could have heard an answer.
-func (s *Steerer) doubts(now time.Duration, state *backendState) bool {
+// checkSuspect reports whether new flows avoid a back end as suspect. Its silence is counted from
+// the time at which this process could have received an answer.
+func (s *Steerer) checkSuspect(now time.Duration, state *backendState) bool {
 	if s.lagging(now) {
 		s.lagged = max(s.lagged, now-lagTime)
 	}
-	if state.askedAt != 0 {
-		state.askedAt = max(state.askedAt, s.lagged+lagTime)
+	if state.unansweredSince != 0 {
+		state.unansweredSince = max(state.unansweredSince, s.lagged+lagTime)
 	}
 	until := state.doubtUntil
 	doubted := state.doubted(now)
 	if state.doubtUntil > until && !state.pool.lossy() {
-		// Each balancer of a zone would else send the back end a flow of its own before it hears of
-		// this in the next round.
-		s.raise(now)
+		// Otherwise each balancer of the zone would send the back end a flow of its own before it
+		// receives the next regular report.
+		s.requestUrgentReport(now)
 	}
 	return doubted
 }
 
-// lapseGrace is how long a vanished entry is still used. When all of a group vanish
-// at once, the store has most likely lost them in an outage.
+// lapseGrace returns how long a back end is still used after the removal of its entry. When all
+// entries of a group disappear at once, the store has most likely lost them in an outage.
 func (s *Steerer) lapseGrace(pool *directory.Pool) time.Duration {
 	if len(pool.Left) < 2 {
 		return s.config.LapseGrace
@@ -83,8 +86,8 @@
 	for _, member := range pool.Left {
 		first, last = min(first, member.GoneAt), max(last, member.GoneAt)
 	}
-	if last-first > together {
+	if last-first > massRemovalWindow {
 		return s.config.LapseGrace
 	}
-	return time.Duration(float64(s.config.LapseGrace) * lapseTogether)
+	return time.Duration(float64(s.config.LapseGrace) * massRemovalFactor)
 }
--- a/internal/steering/lapsed.go
+++ b/internal/steering/lapsed.go
@@ -7,11 +7,11 @@
 	"gaugeyard/internal/settings"
 )
 
-// Back ends whose entries vanished in an outage of the store are candidates like others for a moment
-// after its return, so that the few whose entries are back first do not take what was meant for
-// all. What is observed here decides: one that is doubted, suspected or lost is none.
+// Back ends whose entries expired in an outage of the store remain candidates for a short time
+// after its return, so that the few whose entries are restored first do not get all new flows.
+// Suspect, silent and down ones are still excluded.
 
-// addLapsed makes the lapsed back ends of the pool candidates that the filters leave.
+// addExpired adds the expired back ends of the pool that pass the filters to the candidates.
 func (s *Steerer) addLapsed(filters []filter) {
 	p := &s.placing
 	if p.now >= p.pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
@@ -24,7 +24,8 @@
 	}
 }
 
-// keepsLapsed tells whether copies of an opening packet may still go to a lapsed back end of the pool.
+// acceptsExpired reports whether copies of an opening packet may still go to an expired back end of
+// the pool.
 func (s *Steerer) keepsLapsed(now time.Duration, pool *directory.Pool, id settings.BackendID) bool {
 	if now >= pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
 		return false
--- a/internal/steering/lapsed_test.go
+++ b/internal/steering/lapsed_test.go
@@ -9,7 +9,7 @@
 )
 
 // lapse lets the store return from an outage in which the entries of feed servers 2, 3 and 4 vanished.
-func (f *fleet) lapse() {
+func (f *fleet) expireEntries() {
 	f.directory.SetLapse(directory.LapseWithin(4*time.Second, 3*time.Second))
 	f.pass(5 * time.Second)
 	f.directory.NoteConfirmed(f.now, 0, 5*time.Second)
@@ -29,7 +29,7 @@
 
 func TestLapsedBackEndsTakeTheirPartOfNewFlows(t *testing.T) {
 	f := newFleet(t)
-	f.lapse()
+	f.expireEntries()
 	counts := f.placedAt(0, 40)
 	for id := settings.BackendID(1); id <= 4; id++ {
 		if counts[id] < 8 || counts[id] > 12 {
@@ -45,7 +45,7 @@
 // TestCopiesOfAnOpeningPacketStayAtALapsedBackEnd, since it may answer both.
 func TestCopiesOfAnOpeningPacketStayAtALapsedBackEnd(t *testing.T) {
 	f := newFleet(t)
-	f.lapse()
+	f.expireEntries()
 	for caller := range 8 {
 		first := f.open(caller, feedAddress, 0)
 		if copied := f.open(caller, feedAddress, 1); copied.Action != Forward || copied.Backend.ID != first.Backend.ID {
@@ -57,7 +57,7 @@
 // TestASilentLapsedBackEndIsLeft: what is observed weighs more.
 func TestASilentLapsedBackEndIsLeft(t *testing.T) {
 	f := newFleet(t)
-	f.lapse()
+	f.expireEntries()
 	var silent settings.BackendID
 	for caller := 0; silent == 0; caller++ {
 		if verdict := f.open(caller, feedAddress, 0); verdict.Backend.ID >= 2 && verdict.Backend.ID <= 4 {
--- a/internal/steering/locate.go
+++ b/internal/steering/locate.go
@@ -8,89 +8,98 @@
 	"gaugeyard/internal/settings"
 )
 
-// Two back ends may answer the copies of one opening packet: copies pass different balancers, and an answer is
-// lost or late. The flow opens at the one whose answer its caller acknowledges first. A later answer of
-// the other one changes the tag that the caller returns, and a packet that followed that tag would be
-// reset by a back end that does not hold the flow.
+// Two back ends may answer copies of one opening packet: the copies pass through different
+// balancers, and an answer is lost or late. The flow opens at the back end whose answer its caller
+// acknowledges first. A later answer of the other one changes the tag that the caller returns, and
+// a packet forwarded by that tag would be reset by a back end that does not hold the flow.
 //
-// So the tag of an opening packet differs from that of all later ones, and depends on where the caller's
-// sequence begins: it is good for the caller's first packet alone. Where it is returned and
-// this balancer can't know whether the flow has opened through another one, the packet waits while the others are
-// asked. A balancer that has forwarded packets of the open flow knows its back end, and proves it by the position
-// that the caller has acknowledged, which lies in the numbers of that back end alone.
+// Therefore the tag of an opening packet differs from that of all later ones. It depends on the
+// caller's initial sequence number and is valid for the caller's first packet only. Where a caller
+// returns it and this balancer cannot know whether the flow has opened through another one, the
+// packet waits while the other balancers are queried. A balancer that has forwarded packets of the
+// open flow knows its back end, and proves it by the position that the caller has acknowledged,
+// which lies in the sequence numbers of that back end only.
 
 const (
-	// searchRate is how many flows may be sought in a second, and searchBurst how many at once: each costs a datagram to
-	// every balancer known, twice, and anybody may send packets with tags of no meaning.
+	// searchRate is the number of flows that may be searched per second, and searchBurst the
+	// maximum at once. Each search costs two datagrams to every known balancer, and anybody may
+	// send packets with invalid tags.
 	searchRate  = 1.0
 	searchBurst = 8
-	// seekInterval is for how long a flow is not sought again. A caller sends its packets again later than that.
-	seekInterval = 150 * time.Millisecond
-	// enoughSearches is after how many of them without an answer the flow's first packet follows its tag: an inquiry
-	// or its answer may be lost once.
-	enoughSearches = 2
-	// InquiryRepeat is after what time a driver sends inquiries once more.
+	// searchInterval is the minimum time between two searches for a flow. It is shorter than the
+	// caller's retransmission interval.
+	searchInterval = 150 * time.Millisecond
+	// maxSearches is the number of searches without an answer after which the flow's first packet
+	// follows its tag: an inquiry or its answer may be lost once.
+	maxSearches = 2
+	// InquiryResendDelay is the delay after which a driver resends inquiries once.
 	InquiryRepeat = 5 * time.Millisecond
-	// locateWindow is how far the caller's acknowledgements may have moved, in bytes, since the flow passed another
-	// balancer. Positions begin at random: one of another back end is as near by chance in 1 of 2,000 cases.
+	// locateWindow is the maximum distance, in bytes, between the acknowledged positions that two
+	// balancers know of one flow. Initial sequence numbers are random: that of another back end
+	// lies within the window by chance in 1 of 2,000 cases.
 	locateWindow = 1 << 20
 )
 
-// search is what was asked of others about one flow: when last, how often, and where one of them says that it has
-// sent its opening packet, 0 for none. It is disputed once copies are known to have gone to two back ends: either may
-// have been the first to answer, and the tag is of the last one.
+// search is the state of the inquiries about one flow: the time of the last one, their number, and
+// the back end to which another balancer has sent the opening packet, 0 for none. It is disputed
+// once copies are known to have gone to two back ends: either may have answered first, and the tag
+// is that of the later answer.
 type search struct {
 	at       time.Duration
-	asked    int
-	placed   settings.BackendID
+	attempts int
+	openedAt settings.BackendID
 	disputed bool
-	// first is what the tag of the first packet named that is known to have come, here or at another balancer, 0 for
-	// none: its caller had heard of no other back end by then.
-	first settings.BackendID
+	// firstNamed is the back end named by the tag of the first packet that is known to have
+	// arrived, here or at another balancer, 0 for none. Its caller had received no other answer by
+	// then.
+	firstNamed settings.BackendID
 }
 
-// Inquiry asks other balancers where a flow rests.
+// Inquiry asks other balancers for the back end of a flow.
 type Inquiry struct {
 	Flow flow.Key
-	// Acknowledged is the caller's position in what it received, which only the flow's back end numbers so.
+	// Acknowledged is the caller's position in the data it received, in the sequence numbers of the
+	// flow's back end.
 	Acknowledged uint32
-	// Backend is what the tag of the caller's first packet names, 0 for a later packet.
+	// Backend is the back end named by the tag of the caller's first packet, 0 for a later packet.
 	Backend settings.BackendID
 }
 
-// Location says where a flow rests.
+// Location reports the back end of a flow.
 type Location struct {
 	Flow    flow.Key
 	Backend settings.BackendID
-	// Acknowledged is that of the inquiry.
+	// Acknowledged is the value of the inquiry.
 	Acknowledged uint32
-	// Opening is set where the flow has not opened through the sender, which sent its opening packet there.
+	// Opening is set where the sender has forwarded the opening packet to Backend, but the flow has
+	// not opened through it.
 	Opening bool
 }
 
-// opensElsewhere tells whether the flow may rest at another back end than the packet's tag or its record say.
+// mayBeOpenElsewhere reports whether the flow may be open at another back end than the packet's tag
+// or its record says.
 func (s *Steerer) opensElsewhere(now time.Duration, known *record, packet *Packet) bool {
 	if !known.opening || packet.Kind == Abort || s.config.Mechanisms.NoPins {
 		return false
 	}
-	// The tag of later packets is returned by a flow that is open where it says.
-	return len(s.view.Tagged(packet.Tag)) == 0 && !known.followsOpening(now, packet)
+	// Only a flow that is open at the named back end returns the tag of later packets.
+	return len(s.view.Tagged(packet.Tag)) == 0 && !known.confirmsOpening(now, packet)
 }
 
-// seek lets the driver ask other balancers where the packet's flow rests. It tells whether the packet waits for
-// an answer.
+// startSearch queues an inquiry to other balancers for the packet's flow. It reports whether the
+// packet waits for the answer.
 func (s *Steerer) seek(now time.Duration, packet *Packet) bool {
 	if packet.Waited || packet.Kind == Abort || s.view.Revision == 0 || s.config.Mechanisms.NoInquiries {
 		return false
 	}
 	last, sought := s.searches[packet.Flow]
-	if sought && now-last.at < seekInterval {
+	if sought && now-last.at < searchInterval {
 		return now-last.at < CopyWait
 	}
-	if !s.maySearch(now) {
+	if !s.takeSearchToken(now) {
 		return false
 	}
-	last.at, last.asked = now, last.asked+1
+	last.at, last.attempts = now, last.attempts+1
 	begin := openingSequence(packet)
 	if known := s.flows[packet.Flow]; known != nil {
 		last.disputed = last.disputed || known.left != 0 || !known.opensBy(packet, known.member.Tag)
@@ -100,16 +109,17 @@
 	if member := s.named(packet, begin); member != nil && begin == openingSequence(packet) {
 		inquiry.Backend = member.ID
 	}
-	if last.first == 0 {
-		last.first = inquiry.Backend
+	if last.firstNamed == 0 {
+		last.firstNamed = inquiry.Backend
 	}
 	s.searches[packet.Flow] = last
 	s.inquiries = append(s.inquiries, inquiry)
 	return true
 }
 
-// maySearch takes one of the searches that are allowed, if any is left.
-func (s *Steerer) maySearch(now time.Duration) bool {
+// takeSearchToken takes a token from the rate limiter for searches, and reports whether there was
+// one.
+func (s *Steerer) takeSearchToken(now time.Duration) bool {
 	s.searchesLeft = min(s.searchesLeft+(now-s.searchedAt).Seconds()*searchRate, searchBurst)
 	s.searchedAt = now
 	if s.searchesLeft < 1 {
@@ -119,40 +129,41 @@
 	return true
 }
 
-// forgetSearches drops those whose callers have opened their flows by now, or given up.
-func (s *Steerer) forgetSearches(now time.Duration) {
+// expireSearches drops searches whose flows have opened or were abandoned by now.
+func (s *Steerer) expireSearches(now time.Duration) {
 	for key, search := range s.searches {
-		if now-search.at > openTime {
+		if now-search.at > openTimeout {
 			delete(s.searches, key)
 		}
 	}
 }
 
-// isSought tells whether a flow's first packet has come here just now: a server has answered its opening packet, and
-// a second one must not.
+// isSearched reports whether a flow's first packet has arrived here recently: a server has answered
+// its opening packet, and a second one must not.
 func (s *Steerer) isSought(now time.Duration, key flow.Key) bool {
 	search, sought := s.searches[key]
-	return sought && now-search.at <= openTime
+	return sought && now-search.at <= openTimeout
 }
 
-// mayFollow returns where a flow's first packet may go that names a back end, nil for nowhere yet: there if no other
-// balancer knows better and one has sent the opening packet there, or if others were asked often enough. Where copies went to
-// two back ends, the caller's first word counts.
+// searchResult returns the back end to which a flow's first packet may go, given the one that its
+// tag names, or nil for none yet. It is the named one if no other balancer contradicts and one has
+// sent the opening packet there, or if enough searches were made. Where copies went to two back
+// ends, the one that the caller named first is used.
 func (s *Steerer) mayFollow(key flow.Key, named *directory.Member) *directory.Member {
 	search, sought := s.searches[key]
 	switch {
-	case named == nil || !sought || search.placed == named.ID && !search.disputed:
+	case named == nil || !sought || search.openedAt == named.ID && !search.disputed:
 		return named
-	case search.asked < enoughSearches:
+	case search.attempts < maxSearches:
 		return nil
 	}
-	if first := s.view.Member(search.first); first != nil {
+	if first := s.view.Member(search.firstNamed); first != nil {
 		return first
 	}
 	return named
 }
 
-// TakeInquiries returns what other balancers are to be asked since the last call, mostly nothing.
+// TakeInquiries returns the inquiries to be sent to other balancers since the last call.
 func (s *Steerer) TakeInquiries() []Inquiry {
 	if len(s.inquiries) == 0 {
 		return nil
@@ -162,8 +173,8 @@
 	return inquiries
 }
 
-// Locate answers another balancer's inquiries about flows that are open and have passed through here, or were to open
-// through here. Those may have opened elsewhere since.
+// Locate answers inquiries of another balancer about flows that are open here or that were opening
+// through this balancer. The latter may have opened elsewhere since.
 func (s *Steerer) Locate(now time.Duration, inquiries []Inquiry) []Location {
 	var locations []Location
 	for _, inquiry := range inquiries {
@@ -171,31 +182,32 @@
 		switch {
 		case known == nil || known.closed:
 		case known.opening:
-			known.sought = true
-			s.noteFirst(now, inquiry)
+			known.inquired = true
+			s.recordFirstNamed(now, inquiry)
 			locations = append(locations, Location{Flow: inquiry.Flow, Backend: known.member.ID, Acknowledged: inquiry.Acknowledged, Opening: true})
-		case near(inquiry.Acknowledged, known.acknowledged):
+		case inLocateWindow(inquiry.Acknowledged, known.acknowledged):
 			locations = append(locations, Location{Flow: inquiry.Flow, Backend: known.member.ID, Acknowledged: inquiry.Acknowledged})
 		}
 	}
 	return locations
 }
 
-// noteFirst notes what the caller's first packet named at another balancer, unless one has come here already.
-func (s *Steerer) noteFirst(now time.Duration, inquiry Inquiry) {
+// recordFirstNamed records the back end that the caller's first packet named at another balancer,
+// unless such a packet has already arrived here.
+func (s *Steerer) recordFirstNamed(now time.Duration, inquiry Inquiry) {
 	if _, sought := s.searches[inquiry.Flow]; !sought && inquiry.Backend != 0 {
-		s.searches[inquiry.Flow] = search{at: now - seekInterval, first: inquiry.Backend}
+		s.searches[inquiry.Flow] = search{at: now - searchInterval, firstNamed: inquiry.Backend}
 	}
 }
 
-// near tells whether two positions may be of one flow.
-func near(a, b uint32) bool { return a-b+locateWindow <= 2*locateWindow }
+// inLocateWindow reports whether two positions may belong to one flow.
+func inLocateWindow(a, b uint32) bool { return a-b+locateWindow <= 2*locateWindow }
 
-// HearLocations takes over where flows rest that other balancers have forwarded packets of.
+// ReceiveLocations records the back ends of flows that other balancers have located.
 func (s *Steerer) HearLocations(now time.Duration, locations []Location) {
 	for _, location := range locations {
 		if location.Opening {
-			s.hearPlaced(location)
+			s.receiveOpening(location)
 			continue
 		}
 		member := s.view.Member(location.Backend)
@@ -216,16 +228,17 @@
 	}
 }
 
-// hearPlaced notes where another balancer has sent the opening packet of a flow that is sought here.
-func (s *Steerer) hearPlaced(location Location) {
+// receiveOpening records where another balancer has sent the opening packet of a flow that is
+// searched here.
+func (s *Steerer) receiveOpening(location Location) {
 	search, sought := s.searches[location.Flow]
 	if !sought {
 		return
 	}
 	known := s.flows[location.Flow]
-	if known != nil && known.member.ID != location.Backend || search.placed != 0 && search.placed != location.Backend {
+	if known != nil && known.member.ID != location.Backend || search.openedAt != 0 && search.openedAt != location.Backend {
 		search.disputed = true
 	}
-	search.placed = location.Backend
+	search.openedAt = location.Backend
 	s.searches[location.Flow] = search
 }
--- a/internal/steering/locate_test.go
+++ b/internal/steering/locate_test.go
@@ -63,51 +63,51 @@
 
 // caller is one caller with its flow, whose servers answer as the test wants.
 type caller struct {
-	zone     *zone
-	number   int
-	begin    uint32
-	sequence uint32
-	tag      directory.Tag
+	zone         *zone
+	number       int
+	openSequence uint32
+	sequence     uint32
+	tag          directory.Tag
 	// home is the back end whose answer the caller acknowledged, and numbers where each back end's positions begin.
-	home    settings.BackendID
-	numbers map[settings.BackendID]uint32
+	backend   settings.BackendID
+	positions map[settings.BackendID]uint32
 	// tags are what the back ends that took an opening packet return.
 	tags map[settings.BackendID]directory.Tag
 	// open is set once the home has the caller's first packet.
-	open bool
+	isOpen bool
 }
 
 func (z *zone) caller(number int, begin uint32) *caller {
-	return &caller{zone: z, number: number, begin: begin, numbers: map[settings.BackendID]uint32{}, tags: map[settings.BackendID]directory.Tag{}}
+	return &caller{zone: z, number: number, openSequence: begin, positions: map[settings.BackendID]uint32{}, tags: map[settings.BackendID]directory.Tag{}}
 }
 
 // asks sends a copy of the opening packet through a balancer.
-func (c *caller) asks(through int, attempt uint32) Verdict {
-	verdict := c.zone.steer(through, Packet{Flow: key(c.number, feedAddress), Kind: Open, Attempt: attempt, Sequence: c.begin}, true)
+func (c *caller) open(through int, attempt uint32) Verdict {
+	verdict := c.zone.steer(through, Packet{Flow: key(c.number, feedAddress), Kind: Open, Attempt: attempt, Sequence: c.openSequence}, true)
 	if verdict.Action == Forward {
 		c.tags[verdict.Backend.ID] = verdict.Tag
-		c.numbers[verdict.Backend.ID] = uint32(verdict.Backend.ID) << 24
+		c.positions[verdict.Backend.ID] = uint32(verdict.Backend.ID) << 24
 	}
 	return verdict
 }
 
 // hears is an answer of a back end to an opening packet.
-func (c *caller) hears(from settings.BackendID) {
-	if c.home == 0 {
-		c.home, c.sequence = from, c.begin+1
+func (c *caller) receiveAnswer(from settings.BackendID) {
+	if c.backend == 0 {
+		c.backend, c.sequence = from, c.openSequence+1
 	}
 	c.tag = c.tags[from]
 }
 
 // sends is a packet with data through a balancer.
-func (c *caller) sends(through int, answers bool) Verdict {
+func (c *caller) send(through int, answers bool) Verdict {
 	verdict := c.zone.steer(through, Packet{
 		Flow: key(c.number, feedAddress), Kind: Established, Tag: c.tag, Sequence: c.sequence,
-		Acknowledged: c.numbers[c.home] + 1, Payload: 100,
+		Acknowledged: c.positions[c.backend] + 1, Payload: 100,
 	}, answers)
-	if verdict.Action == Forward && verdict.Backend.ID == c.home {
-		c.open = true
-		c.tags[c.home] = verdict.Tag
+	if verdict.Action == Forward && verdict.Backend.ID == c.backend {
+		c.isOpen = true
+		c.tags[c.backend] = verdict.Tag
 	}
 	return verdict
 }
@@ -115,55 +115,55 @@
 func TestTheTagOfAnOpeningPacketIsGoodForTheFirstPacketAlone(t *testing.T) {
 	z := newZone(t, 2)
 	c := z.caller(1, 5000)
-	placed := c.asks(0, 0)
+	placed := c.open(0, 0)
 	if placed.Tag == placed.Backend.Tag {
 		t.Fatal("an opening packet carries the tag of later ones")
 	}
-	c.hears(placed.Backend.ID)
-	if verdict := c.sends(0, true); verdict.Action != Forward || verdict.Tag != placed.Backend.Tag || verdict.Repinned {
+	c.receiveAnswer(placed.Backend.ID)
+	if verdict := c.send(0, true); verdict.Action != Forward || verdict.Tag != placed.Backend.Tag || verdict.Repinned {
 		t.Errorf("the first packet: %+v", verdict)
 	}
 	// Another caller's flow moves to a balancer that has not seen it, before its first packet.
 	moved := z.caller(2, 9000)
-	first := moved.asks(0, 0)
-	moved.hears(first.Backend.ID)
+	first := moved.open(0, 0)
+	moved.receiveAnswer(first.Backend.ID)
 	moved.sequence += 100
-	if verdict := moved.sends(1, true); verdict.Action != Drop {
+	if verdict := moved.send(1, true); verdict.Action != Drop {
 		t.Errorf("a later packet ahead of the first one: %+v", verdict)
 	}
-	z.now += seekInterval
+	z.now += searchInterval
 	moved.sequence -= 100
-	if verdict := moved.sends(1, true); verdict.Action != Forward || verdict.Backend != first.Backend && verdict.Backend.ID != first.Backend.ID {
+	if verdict := moved.send(1, true); verdict.Action != Forward || verdict.Backend != first.Backend && verdict.Backend.ID != first.Backend.ID {
 		t.Errorf("the first packet, sent again: %+v", verdict)
 	}
 }
 
 // placedApart returns a caller whose opening packet went to one back end through the first balancer, and its copy to
 // another one through the second, which has other loads.
-func placedApart(t *testing.T, balancers int) (c *caller, first, second settings.BackendID) {
+func placeApart(t *testing.T, balancers int) (c *caller, first, second settings.BackendID) {
 	for flows := 1; first == second; flows++ {
 		z := newZone(t, balancers)
 		for i := range flows {
 			z.balancers[1].opened(100+i, feedAddress)
 		}
 		c = z.caller(1, 5000)
-		first = c.asks(0, 0).Backend.ID
+		first = c.open(0, 0).Backend.ID
 		z.now += firstCopyAfter
-		second = c.asks(1, 1).Backend.ID
+		second = c.open(1, 1).Backend.ID
 	}
 	return c, first, second
 }
 
 // TestAnOpenFlowIsKeptThoughASecondServerAnswers: the sequence of the trace above.
 func TestAnOpenFlowIsKeptThoughASecondServerAnswers(t *testing.T) {
-	c, late, home := placedApart(t, 3)
-	c.hears(home)
-	c.sends(1, true)
-	c.hears(late)
+	c, late, home := placeApart(t, 3)
+	c.receiveAnswer(home)
+	c.send(1, true)
+	c.receiveAnswer(late)
 	for i := range c.zone.balancers {
 		for _, again := range []uint32{0, 100} {
-			c.sequence = c.begin + 1 + again
-			if verdict := c.sends(i, true); verdict.Action != Forward || verdict.Backend.ID != home {
+			c.sequence = c.openSequence + 1 + again
+			if verdict := c.send(i, true); verdict.Action != Forward || verdict.Backend.ID != home {
 				t.Errorf("through balancer %d, %d bytes on: %+v", i, again, verdict)
 			}
 		}
@@ -175,10 +175,10 @@
 // the second answer, came to the other one, and followed it. The soak showed it (seed 535: a lookup ran at both servers, "flow
 // sought" and "flow located" at both balancers within 12 ms).
 func TestTwoPlacesOfOneFlowVouchForNeither(t *testing.T) {
-	c, first, second := placedApart(t, 2)
-	c.hears(first)
-	c.hears(second)
-	if verdict := c.sends(0, true); verdict.Action != Drop {
+	c, first, second := placeApart(t, 2)
+	c.receiveAnswer(first)
+	c.receiveAnswer(second)
+	if verdict := c.send(0, true); verdict.Action != Drop {
 		t.Errorf("a packet that acknowledges %x goes to %x", first, verdict.Backend.ID)
 	}
 }
@@ -206,7 +206,7 @@
 				z.restart(drawn.IntN(balancers))
 			}
 			if drawn.IntN(4) > 0 {
-				c.asks(drawn.IntN(balancers), uint32(attempt))
+				c.open(drawn.IntN(balancers), uint32(attempt))
 			}
 		}
 		for step := range 8 {
@@ -220,26 +220,26 @@
 			if len(answering) == 0 {
 				break
 			}
-			if c.home == 0 || drawn.IntN(2) == 0 {
-				c.hears(answering[drawn.IntN(len(answering))])
+			if c.backend == 0 || drawn.IntN(2) == 0 {
+				c.receiveAnswer(answering[drawn.IntN(len(answering))])
 			}
-			z.now += seekInterval
-			through, wasOpen := drawn.IntN(balancers), c.open
+			z.now += searchInterval
+			through, wasOpen := drawn.IntN(balancers), c.isOpen
 			if wasOpen && drawn.IntN(2) == 0 {
-				c.sequence = c.begin + 1 + uint32(drawn.IntN(3)*100)
+				c.sequence = c.openSequence + 1 + uint32(drawn.IntN(3)*100)
 			}
-			verdict := c.sends(through, true)
+			verdict := c.send(through, true)
 			sent++
 			switch {
 			case verdict.Action == Refuse:
 				t.Fatalf("seed %d, step %d: refused, %v", seed, step, verdict.Reason)
 			case verdict.Action == Drop && wasOpen:
-				t.Fatalf("seed %d, step %d: a packet of a flow open at %x is dropped, %v", seed, step, c.home, verdict.Reason)
+				t.Fatalf("seed %d, step %d: a packet of a flow open at %x is dropped, %v", seed, step, c.backend, verdict.Reason)
 			case verdict.Action == Drop:
 				dropped++
-			case verdict.Backend.ID != c.home && wasOpen:
-				t.Fatalf("seed %d, step %d: a packet of a flow open at %x goes to %x", seed, step, c.home, verdict.Backend.ID)
-			case verdict.Backend.ID != c.home:
+			case verdict.Backend.ID != c.backend && wasOpen:
+				t.Fatalf("seed %d, step %d: a packet of a flow open at %x goes to %x", seed, step, c.backend, verdict.Backend.ID)
+			case verdict.Backend.ID != c.backend:
 				elsewhere++
 			}
 		}
@@ -251,13 +251,13 @@
 func TestAPacketIsSoughtTwiceBeforeItFollowsItsTag(t *testing.T) {
 	z := newZone(t, 2)
 	c := z.caller(1, 5000)
-	placed := c.asks(0, 0)
-	c.hears(placed.Backend.ID)
-	if verdict := c.sends(1, false); verdict.Action != Drop || verdict.Reason != errkind.Undecided {
+	placed := c.open(0, 0)
+	c.receiveAnswer(placed.Backend.ID)
+	if verdict := c.send(1, false); verdict.Action != Drop || verdict.Reason != errkind.Undecided {
 		t.Errorf("asked once in vain: %+v", verdict)
 	}
-	z.now += seekInterval
-	if verdict := c.sends(1, false); verdict.Action != Forward || verdict.Backend.ID != placed.Backend.ID {
+	z.now += searchInterval
+	if verdict := c.send(1, false); verdict.Action != Forward || verdict.Backend.ID != placed.Backend.ID {
 		t.Errorf("asked twice in vain: %+v", verdict)
 	}
 }
@@ -274,7 +274,7 @@
 	if limit := searchBurst + int(searchRate); asked > limit || asked < searchBurst {
 		t.Errorf("%d inquiries in a second, at most %d", asked, limit)
 	}
-	f.now += openTime
+	f.now += openTimeout
 	f.steerer.Tick(f.now)
 	f.now += time.Second
 	f.steerer.Tick(f.now)
--- a/internal/steering/lost.go
+++ b/internal/steering/lost.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// lostCallers is how many different callers at least must have sent data again in vain, over
-	// all balancers and since anyone saw a sign of life, before a back end counts as lost. A sound
-	// one acknowledges data at once, also where its queue is long, unless packets are lost.
-	lostCallers = 4
-	// lostByChance is how improbable it must be that all of them only lost packets, by how often
-	// callers of sound back ends send data again: with less than 3 in 100 four are enough, with 10
-	// in 100 it takes six.
-	lostByChance = 1e-6
-	// lostSilence is how long nobody may have seen a sign of life of it by then.
-	lostSilence = 300 * time.Millisecond
-	// lostTime is how long it counts as lost, unless it shows a sign of life. After that the
-	// packets of flows that are left there try it again.
-	lostTime = 2 * time.Second
-	// maxStalled bounds the callers that are told apart at a back end.
-	maxStalled = 8
-	// livelyTime is how recent signs of life of other back ends must be to show that it is not
-	// this balancer that is cut off.
-	livelyTime = 500 * time.Millisecond
+	// minDownCallers is the minimum number of different callers, over all balancers, that must have
+	// retransmitted data without a response before a back end is down. A healthy back end
+	// acknowledges data at once, even with a long queue, unless packets are lost.
+	minDownCallers = 4
+	// downFalsePositiveRate is the accepted probability that packet loss alone explains these
+	// retransmissions, given how often callers of healthy back ends retransmit.
+	downFalsePositiveRate = 1e-6
+	// minDownSilence is the minimum time without a response at any balancer before a back end is
+	// down.
+	minDownSilence = 300 * time.Millisecond
+	// downPeriod is how long a back end is down, unless it responds. After that, packets of its
+	// remaining flows are forwarded to it again.
+	downPeriod = 2 * time.Second
+	// maxUnansweredCallers bounds the callers that are stored per back end.
+	maxUnansweredCallers = 8
+	// responsiveWindow is the age up to which a response of another back end shows that this
+	// balancer is not isolated.
+	responsiveWindow = 500 * time.Millisecond
 )
 
-// Reset is an established flow that is ended because its back end is lost or has ended.
+// Reset is an established flow that is reset because its back end is down or has ended.
 type Reset struct {
 	Flow flow.Key
-	// Acknowledged is the caller's position in what it received, from which on it takes a reset.
+	// Acknowledged is the caller's position in the data it received; the caller accepts a reset
+	// from there on.
 	Acknowledged uint32
 	Backend      settings.BackendID
 }
 
-// noteStall notes that a caller has sent data again in vain.
+// recordUnansweredCaller records that a caller has retransmitted data without a response.
 func (s *Steerer) noteStall(now time.Duration, known *record) {
 	b := known.backend
 	if s.config.Mechanisms.NoResets {
@@ -47,74 +48,75 @@
 		b.pool.noteRepeated(1)
 		return
 	}
-	b.stalledAt = now
-	if caller := known.key.Caller.Addr(); len(b.stalled) < maxStalled && !slices.Contains(b.stalled, caller) {
-		b.stalled = append(b.stalled, caller)
+	b.lastUnansweredAt = now
+	if caller := known.key.Caller.Addr(); len(b.unansweredCallers) < maxUnansweredCallers && !slices.Contains(b.unansweredCallers, caller) {
+		b.unansweredCallers = append(b.unansweredCallers, caller)
 	}
-	s.raise(now)
+	s.requestUrgentReport(now)
 }
 
-// freshStall tells whether a caller has sent data again in vain just now. Callers that did earlier count
-// with it, but not by themselves: nothing may have gone to the back end since, and it may be well again.
-// Without this a zone whose servers stood still for 5 s had flows reset there for as long as a run went
-// on by balancers that let no packet through (14 of 20 runs with 14 balancers a zone).
-func (b *backendState) freshStall(now time.Duration) bool {
-	return len(b.stalled) > 0 && now-b.stalledAt < stallLife
+// recentlyUnanswered reports whether a caller has recently retransmitted data without a response.
+// Older retransmissions alone do not count: nothing may have been sent to the back end since, and
+// it may have recovered. A balancer that gets no packets through would otherwise keep resetting
+// flows.
+func (b *backendState) recentlyUnanswered(now time.Duration) bool {
+	return len(b.unansweredCallers) > 0 && now-b.lastUnansweredAt < reportLifetime
 }
 
-// lost tells whether a back end does not answer anyone any more: several callers have sent
-// data again in vain, here and at other balancers, and none of them saw a sign of life.
+// checkDown reports whether the back end is down, and marks it down once enough callers here and at
+// other balancers have retransmitted data and no balancer has seen a response.
 func (s *Steerer) lost(now time.Duration, b *backendState) bool {
 	if b.ended || now < b.lostUntil {
 		return true
 	}
-	if len(b.stalled) == 0 && len(b.stalls) == 0 || now-b.progress < lostSilence {
+	if len(b.unansweredCallers) == 0 && len(b.reports) == 0 || now-b.progress < minDownSilence {
 		return false
 	}
-	b.stalls = slices.DeleteFunc(b.stalls, func(h heardStall) bool { return now-h.at > stallLife })
-	// One whose entry has vanished is not tried again.
-	if !b.freshStall(now) && !s.view.Departed(b.id) && !slices.ContainsFunc(b.stalls, func(h heardStall) bool { return h.callers > 0 }) {
+	b.reports = slices.DeleteFunc(b.reports, func(h receivedReport) bool { return now-h.receivedAt > reportLifetime })
+	// A back end whose entry was removed is not retried.
+	if !b.recentlyUnanswered(now) && !s.view.Departed(b.id) && !slices.ContainsFunc(b.reports, func(h receivedReport) bool { return h.callers > 0 }) {
 		return false
 	}
-	callers := len(b.stalled)
-	for _, heard := range b.stalls {
-		if now-heard.alive < lostSilence {
+	callers := len(b.unansweredCallers)
+	for _, heard := range b.reports {
+		if now-heard.lastResponse < minDownSilence {
 			return false
 		}
 		callers += heard.callers
 	}
-	if callers < b.pool.lostCallers() || s.cutOff(now) {
+	if callers < b.pool.minDownCallers() || s.likelyIsolated(now) {
 		return false
 	}
-	b.lostUntil = now + lostTime
-	b.note(Lost, now-b.progress, b.lostUntil)
-	s.raise(now)
+	b.lostUntil = now + downPeriod
+	b.note(Down, now-b.progress, b.lostUntil)
+	s.requestUrgentReport(now)
 	return true
 }
 
-// lostCallers returns how many callers must have sent data again in vain before one of the back
-// ends counts as lost.
-func (p *poolState) lostCallers() int {
-	return max(lostCallers, byChance(lostByChance, max(p.repeated.share(), p.repeatedLong.highest())))
+// minDownCallers returns how many callers must have retransmitted data without a response before a
+// back end of the pool is down, given the retransmission rate.
+func (p *poolState) minDownCallers() int {
+	return max(minDownCallers, byChance(downFalsePositiveRate, max(p.repeated.share(), p.repeatedLong.highest())))
 }
 
-// cutOff tells whether as many back ends leave callers of this balancer without a sign of life just now
-// as show one: then it may well be this balancer that does not reach them. What others told is no sign
-// of that: in a large fleet those that others have lost soon outnumber the few that one balancer hears from.
-func (s *Steerer) cutOff(now time.Duration) bool {
+// likelyIsolated reports whether at least as many back ends are unresponsive as responsive to this
+// balancer's callers, in which case the balancer itself may be unable to reach them. Reports of
+// other balancers do not count: in a large fleet the back ends reported down can outnumber the few
+// that one balancer observes.
+func (s *Steerer) likelyIsolated(now time.Duration) bool {
 	silent, lively := 0, 0
 	for _, b := range s.backends {
 		switch {
-		case b.freshStall(now):
+		case b.recentlyUnanswered(now):
 			silent++
-		case now-b.progress < livelyTime:
+		case now-b.progress < responsiveWindow:
 			lively++
 		}
 	}
 	return silent >= lively
 }
 
-// TakeResets returns the flows that were ended since the last call, mostly none.
+// TakeResets returns the flows that were reset since the last call.
 func (s *Steerer) TakeResets() []Reset {
 	if len(s.resets) == 0 {
 		return nil
@@ -124,7 +126,7 @@
 	return resets
 }
 
-// repeatable tells whether the requests of a flow may run again.
+// repeatable reports whether the requests of a flow may be executed more than once.
 func (s *Steerer) repeatable(key flow.Key) bool {
 	if s.view.Settings == nil {
 		return false
@@ -133,9 +135,9 @@
 	return service != nil && service.Repeatable
 }
 
-// givesUp tells whether a request on an established flow is refused, so that its caller asks
-// elsewhere: its back end is lost, and it may run again there, or it has ended and nobody will
-// answer. Whether it ran is not known.
+// rejectsRequest reports whether a request on an established flow is refused, so that its caller
+// retries elsewhere: its back end has ended, or it is down and the request may be repeated. Whether
+// the request was executed is unknown.
 func (s *Steerer) givesUp(now time.Duration, b *backendState, packet *Packet) bool {
 	return packet.Kind == Established && packet.Payload > 0 && s.lost(now, b) && (b.ended || s.repeatable(packet.Flow))
 }
--- a/internal/steering/lost_test.go
+++ b/internal/steering/lost_test.go
@@ -15,7 +15,7 @@
 
 // silentFleet is a fleet whose feed may be repeated, and in which callers 0 to 19 have open
 // flows at back end 1, which has said nothing since.
-func silentFleet(t *testing.T) *fleet {
+func newSilentFleet(t *testing.T) *fleet {
 	f := newFleet(t)
 	f.revision++
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: "2"}}
@@ -34,12 +34,12 @@
 		f.opened(caller, feedAddress)
 	}
 	f.pass(time.Second)
-	f.lively()
+	f.answerOthers()
 	return f
 }
 
 // lively lets the other back ends answer something.
-func (f *fleet) lively() {
+func (f *fleet) answerOthers() {
 	for id := directory.Tag(2); id <= 6; id++ {
 		caller := 1000*int(id) + int(f.now/time.Millisecond)
 		f.established(caller, feedAddress, id, 1, 100)
@@ -48,13 +48,13 @@
 }
 
 // ask sends a caller's request, and again after 200 ms.
-func (f *fleet) askInVain(callers ...int) Verdict {
+func (f *fleet) requestUnanswered(callers ...int) Verdict {
 	var verdict Verdict
 	for _, caller := range callers {
 		verdict = f.established(caller, feedAddress, 1, 1, 100)
 	}
 	f.pass(200 * time.Millisecond)
-	f.lively()
+	f.answerOthers()
 	for _, caller := range callers {
 		verdict = f.established(caller, feedAddress, 1, 1, 100)
 	}
@@ -64,12 +64,12 @@
 // TestFlowsAtALostBackEndAreReset once several callers have asked in vain: those that wait at
 // once, others when they ask.
 func TestFlowsAtALostBackEndAreReset(t *testing.T) {
-	f := silentFleet(t)
-	if verdict := f.askInVain(0, 1, 2); verdict.Action != Forward || f.steerer.TakeResets() != nil {
+	f := newSilentFleet(t)
+	if verdict := f.requestUnanswered(0, 1, 2); verdict.Action != Forward || f.steerer.TakeResets() != nil {
 		t.Fatalf("three callers are enough: %+v", verdict)
 	}
 	f.pass(200 * time.Millisecond)
-	f.askInVain(3)
+	f.requestUnanswered(3)
 	resets := f.steerer.TakeResets()
 	if len(resets) != 4 {
 		t.Fatalf("%d flows are reset: %+v", len(resets), resets)
@@ -94,16 +94,16 @@
 
 // TestASignOfLifeKeepsFlows, whether it is seen before or after callers asked in vain.
 func TestASignOfLifeKeepsFlows(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2)
 	f.established(10, feedAddress, 1, 50, 0)
 	f.pass(400 * time.Millisecond)
-	f.askInVain(3)
+	f.requestUnanswered(3)
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
 	}
-	f = silentFleet(t)
-	f.askInVain(0, 1, 2, 3, 4)
+	f = newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2, 3, 4)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
@@ -115,8 +115,8 @@
 
 // TestCallersOfAllBalancersCount, each with its own.
 func TestCallersOfAllBalancersCount(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0)
 	if !f.steerer.TakeAlarm() {
 		t.Error("others do not hear at once that a back end is silent")
 	}
@@ -138,7 +138,7 @@
 // TestWherePacketsAreLostMoreCallersAreWanted: if one request in five is sent again though its
 // back end is well, a few callers that do so at once are no evidence.
 func TestWherePacketsAreLostMoreCallersAreWanted(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	for caller := range 100 {
 		id := directory.Tag(2 + caller%5)
 		f.established(3000+caller, feedAddress, id, 1, 100)
@@ -148,7 +148,7 @@
 		}
 		f.established(3000+caller, feedAddress, id, 2, 0)
 	}
-	f.askInVain(0, 1, 2, 3, 4, 5)
+	f.requestUnanswered(0, 1, 2, 3, 4, 5)
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Fatalf("six callers are enough: %+v", resets)
 	}
@@ -161,16 +161,16 @@
 
 // TestAnotherBalancerContradicts: it has just heard of the back end.
 func TestAnotherBalancerContradicts(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2)
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 0, Silence: 10 * time.Millisecond}})
-	f.askInVain(3)
+	f.requestUnanswered(3)
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
 	}
 	// This one contradicts in turn, of a back end that it knows to be well.
 	f.pass(300 * time.Millisecond)
-	f.lively()
+	f.answerOthers()
 	f.steerer.TakeAlarm()
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 2, Callers: 5, Silence: time.Second}})
 	if f.steerer.TakeResets() != nil || !f.steerer.TakeAlarm() {
@@ -187,9 +187,9 @@
 
 // TestOneCallerIsNoEvidence: its own link may be down.
 func TestOneCallerIsNoEvidence(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	for range 6 {
-		f.askInVain(0)
+		f.requestUnanswered(0)
 		f.pass(time.Second)
 	}
 	if resets := f.steerer.TakeResets(); resets != nil {
@@ -199,7 +199,7 @@
 
 // TestABalancerThatIsCutOffResetsNothing: all back ends are silent to it.
 func TestABalancerThatIsCutOffResetsNothing(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	f.pass(3 * time.Second)
 	for round := range 2 {
 		for id := directory.Tag(1); id <= 6; id++ {
@@ -219,10 +219,10 @@
 // TestOnesThatOthersLostDoNotCutABalancerOff: several back ends fell silent at once. Others told of
 // three, two more answer here, and the callers of a sixth ask in vain.
 func TestOnesThatOthersLostDoNotCutABalancerOff(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	f.pass(time.Second)
 	for id := settings.BackendID(3); id <= 5; id++ {
-		f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: id, Callers: 2, Silence: time.Second, Lost: lostTime}})
+		f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: id, Callers: 2, Silence: time.Second, Lost: downPeriod}})
 	}
 	for _, payload := range []int{100, 100} {
 		for caller := range 4 {
@@ -256,7 +256,7 @@
 		"an acknowledgement by itself": {false, Established, 0, true},
 		"one after a request long ago": {true, Established, 0, true},
 	} {
-		f := silentFleet(t)
+		f := newSilentFleet(t)
 		if test.asked {
 			f.established(3, feedAddress, 1, 1, 100)
 			f.pass(time.Second)
@@ -275,13 +275,13 @@
 
 // TestALostBackEndIsTriedAgain: what lasts for a moment must not end flows for good.
 func TestALostBackEndIsTriedAgain(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2, 3)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
-	f.pass(lostTime + time.Second)
-	f.lively()
+	f.pass(downPeriod + time.Second)
+	f.answerOthers()
 	if verdict := f.established(12, feedAddress, 1, 1, 100); verdict.Action != Forward {
 		t.Errorf("after a while: %+v", verdict)
 	}
@@ -290,7 +290,7 @@
 	}
 	// It is silent still: a single caller that asks in vain is enough now.
 	f.pass(200 * time.Millisecond)
-	f.lively()
+	f.answerOthers()
 	f.established(12, feedAddress, 1, 1, 100)
 	if resets := f.steerer.TakeResets(); len(resets) != 1 {
 		t.Errorf("a back end that was lost is silent again: %d resets", len(resets))
@@ -299,8 +299,8 @@
 
 // TestALostBackEndTakesNoNewFlow: it is known better than by a doubt that nobody is answered there.
 func TestALostBackEndTakesNoNewFlow(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2, 3)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
@@ -314,12 +314,12 @@
 // TestStallsAreToldInOneOrder: those that leave the most callers first, and never by the order
 // of a map.
 func TestStallsAreToldInOneOrder(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	for id := settings.BackendID(1); id <= 6; id++ {
 		state := f.state(id)
-		state.stalledAt = f.now
+		state.lastUnansweredAt = f.now
 		for i := range 1 + int(id)%3 {
-			state.stalled = append(state.stalled, netip.AddrFrom4([4]byte{100, 64, 0, byte(i)}))
+			state.unansweredCallers = append(state.unansweredCallers, netip.AddrFrom4([4]byte{100, 64, 0, byte(i)}))
 		}
 	}
 	for range 20 {
@@ -346,7 +346,7 @@
 		{2000, 20, 4},
 	} {
 		pool := &poolState{repeatedLong: repetitions{asked: test.asked, vain: test.vain}}
-		if got := pool.lostCallers(); got != test.want {
+		if got := pool.minDownCallers(); got != test.want {
 			t.Errorf("%.0f of %.0f sent again: %d callers make a back end lost, want %d", test.vain, test.asked, got, test.want)
 		}
 	}
@@ -355,16 +355,16 @@
 // TestAFlowThatOpenedElsewhereIsNotReset: a copy of its opening packet was placed here at a back end
 // that is lost by now, and another one answered the copy that went through another balancer.
 func TestAFlowThatOpenedElsewhereIsNotReset(t *testing.T) {
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	caller := 200
 	for f.open(caller, feedAddress, 0).Backend.ID != 1 {
 		if caller++; caller == 400 {
 			t.Fatal("no flow is placed at the back end")
 		}
 	}
-	f.askInVain(0, 1, 2, 3)
+	f.requestUnanswered(0, 1, 2, 3)
 	f.pass(100 * time.Millisecond)
-	f.askInVain(0, 1, 2, 3)
+	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("the back end is not lost")
 	}
@@ -414,26 +414,26 @@
 // until anybody sees a sign of life.
 func TestABalancerTakesOverWhatIsLost(t *testing.T) {
 	lost := Stall{Backend: 1, Callers: 2, Silence: 2 * time.Second, Lost: time.Second}
-	f := silentFleet(t)
+	f := newSilentFleet(t)
 	f.established(0, feedAddress, 1, 1, 100)
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
 	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Reason != errkind.BackendLost {
 		t.Errorf("a request at a back end that another balancer lost: %+v", verdict)
 	}
 	f.pass(1100 * time.Millisecond)
-	f.lively()
+	f.answerOthers()
 	if verdict := f.established(2, feedAddress, 1, 1, 100); verdict.Action != Forward {
 		t.Errorf("after the time that was told: %+v", verdict)
 	}
 
-	f = silentFleet(t)
+	f = newSilentFleet(t)
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Silence: 5 * time.Millisecond}})
 	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Action != Forward {
 		t.Errorf("another balancer saw a sign of life since: %+v", verdict)
 	}
 
-	f = silentFleet(t)
+	f = newSilentFleet(t)
 	f.established(0, feedAddress, 1, 2, 0)
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
 	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Action != Forward {
@@ -446,14 +446,14 @@
 
 // TestADepartedBackEndStaysLost: its entry is gone as well, and nobody need try it again.
 func TestADepartedBackEndStaysLost(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2, 3)
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
 	f.vanish(1)
-	f.pass(lostTime + time.Second)
-	f.lively()
+	f.pass(downPeriod + time.Second)
+	f.answerOthers()
 	if verdict := f.established(12, feedAddress, 1, 1, 100); verdict.Reason != errkind.BackendLost {
 		t.Errorf("a request at a back end that is lost and gone: %+v", verdict)
 	}
@@ -462,16 +462,16 @@
 // TestWhatIsLostIsNotRenewedByWordOfMouth: callers that asked in vain are told while that is news, and
 // after that only for how much longer the back end is lost.
 func TestWhatIsLostIsNotRenewedByWordOfMouth(t *testing.T) {
-	f := silentFleet(t)
-	f.askInVain(0, 1, 2, 3)
-	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 4 || told[0].Lost != lostTime {
+	f := newSilentFleet(t)
+	f.requestUnanswered(0, 1, 2, 3)
+	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 4 || told[0].Lost != downPeriod {
 		t.Errorf("at once %+v is told", told)
 	}
 	f.pass(time.Second)
-	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 0 || told[0].Lost != lostTime-time.Second {
+	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 0 || told[0].Lost != downPeriod-time.Second {
 		t.Errorf("a second later %+v is told", told)
 	}
-	f.pass(lostTime)
+	f.pass(downPeriod)
 	if told := f.steerer.Stalls(f.now, 8); len(told) != 0 {
 		t.Errorf("in the end %+v is told", told)
 	}
--- a/internal/steering/observation.go
+++ b/internal/steering/observation.go
@@ -6,39 +6,40 @@
 	"gaugeyard/internal/settings"
 )
 
-// Observation is a change of what this balancer thinks of a back end.
+// Observation is a change in the state of a back end as seen by this balancer.
 type Observation string
 
-// The observations.
+// The observations, as they are logged.
 const (
-	// Doubted back ends have not answered an opening packet in time.
+	// Suspect back ends have not answered an opening packet in time.
 	Doubted Observation = "back end doubted"
-	// Suspected back ends left several callers without an answer.
-	Suspected Observation = "back end suspected"
-	// Lost back ends answer nobody any more; flows whose requests may be repeated are reset, and others that rest.
-	Lost Observation = "back end lost"
-	// Ended back ends are gone for certain: another one started at the address.
+	// Silent back ends left several callers without an answer.
+	Silent Observation = "back end suspected"
+	// Down back ends answer no caller. Flows whose requests may be repeated and idle flows are
+	// reset.
+	Down Observation = "back end lost"
+	// Ended back ends were replaced: another one has started at the address.
 	Ended Observation = "back end ended"
-	// Faulty back ends take new flows and leave requests unanswered.
+	// RequestFailures is set for back ends that accept new flows and leave requests unanswered.
 	Faulty Observation = "back end leaves requests unanswered"
-	// OutOfRotation back ends failed so many requests, through all balancers, that new flows avoid
-	// them, and BackInRotation is the end of that.
+	// Ejected back ends failed so many requests, through all balancers, that new flows avoid them.
+	// Restored is the end of that.
 	OutOfRotation  Observation = "back end out of rotation"
 	BackInRotation Observation = "back end back in rotation"
-	// StartedAnew back ends announced another start under their identifier.
+	// Restarted back ends announced another start under their identifier.
 	StartedAnew Observation = "back end forgets its flows"
-	// Answers means that a doubted or suspected back end showed a sign of life.
-	Answers Observation = "back end answers again"
+	// Responding back ends were suspect, silent or down and have responded.
+	Responding Observation = "back end answers again"
 )
 
-// BackendEvent is one observation with what it rests on.
+// BackendEvent is an observation with its evidence.
 type BackendEvent struct {
 	Observation Observation
 	Backend     settings.BackendID
-	// Silence is how long the back end has shown no sign of life.
+	// Silence is the time since the back end last responded.
 	Silence time.Duration
-	// Failures is how many requests it failed lately, decaying, where that is the reason.
+	// Failures is the decayed number of failed requests, where that is the reason.
 	Failures float64
-	// Until is when a doubt or suspicion ends by itself, on the steerer's clock.
+	// Until is when the state ends by itself, on the steerer's clock.
 	Until time.Duration
 }
--- a/internal/steering/outlier_test.go
+++ b/internal/steering/outlier_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	soundLength  = 800
+	normalLength = 800
 	failedLength = 175
-	soundTime    = 50 * time.Millisecond
+	normalTime   = 50 * time.Millisecond
 	failedTime   = 8 * time.Millisecond
 )
 
@@ -35,7 +35,7 @@
 }
 
 // ask lets a caller open a flow, ask once and leave after the answer; it returns who answered.
-func (f *outlierFleet) ask(t *testing.T, answer func(id settings.BackendID) (length uint32, latency time.Duration)) settings.BackendID {
+func (f *outlierFleet) request(t *testing.T, answer func(id settings.BackendID) (length uint32, latency time.Duration)) settings.BackendID {
 	t.Helper()
 	f.caller++
 	f.now += 20 * time.Millisecond
@@ -59,8 +59,8 @@
 }
 
 // log-normal lengths around the usual one.
-func (f *outlierFleet) sound(spread float64) (uint32, time.Duration) {
-	return uint32(soundLength * math.Exp(spread*f.random.NormFloat64())), time.Duration(float64(soundTime) * math.Exp(0.5*f.random.NormFloat64()))
+func (f *outlierFleet) normalAnswer(spread float64) (uint32, time.Duration) {
+	return uint32(normalLength * math.Exp(spread*f.random.NormFloat64())), time.Duration(float64(normalTime) * math.Exp(0.5*f.random.NormFloat64()))
 }
 
 // TestABackEndThatAnswersErrorsGetsFewFlows, though it is idle and each of its answers is quick.
@@ -69,11 +69,11 @@
 	f := newOutlierFleet(t, servers)
 	failed := 0
 	for i := range 2 * asks {
-		id := f.ask(t, func(id settings.BackendID) (uint32, time.Duration) {
+		id := f.request(t, func(id settings.BackendID) (uint32, time.Duration) {
 			if id <= failing && i >= asks {
 				return failedLength, failedTime
 			}
-			return f.sound(0.3)
+			return f.normalAnswer(0.3)
 		})
 		if id <= failing && i >= asks {
 			failed++
@@ -99,11 +99,11 @@
 	f := newOutlierFleet(t, 4)
 	counts := map[settings.BackendID]int{}
 	for i := range 4000 {
-		id := f.ask(t, func(id settings.BackendID) (uint32, time.Duration) {
+		id := f.request(t, func(id settings.BackendID) (uint32, time.Duration) {
 			if id == 1 && i >= 500 && i < 1000 {
 				return failedLength, failedTime
 			}
-			return f.sound(0.3)
+			return f.normalAnswer(0.3)
 		})
 		if i >= 2500 {
 			counts[id]++
@@ -121,15 +121,15 @@
 		name   string
 		answer func(f *outlierFleet, id settings.BackendID) (uint32, time.Duration)
 	}{
-		{"lengths vary much", func(f *outlierFleet, _ settings.BackendID) (uint32, time.Duration) { return f.sound(1.5) }},
+		{"lengths vary much", func(f *outlierFleet, _ settings.BackendID) (uint32, time.Duration) { return f.normalAnswer(1.5) }},
 		{"one in five comes from a cache", func(f *outlierFleet, _ settings.BackendID) (uint32, time.Duration) {
 			if f.random.IntN(5) == 0 {
 				return failedLength, failedTime
 			}
-			return f.sound(0.3)
+			return f.normalAnswer(0.3)
 		}},
 		{"a new version answers in fewer bytes", func(f *outlierFleet, id settings.BackendID) (uint32, time.Duration) {
-			length, latency := f.sound(0.3)
+			length, latency := f.normalAnswer(0.3)
 			if id <= 2 && f.caller > 1000 {
 				length /= 8
 			}
@@ -141,7 +141,7 @@
 			f := newOutlierFleet(t, servers)
 			counts := map[settings.BackendID]int{}
 			for i := range asks {
-				id := f.ask(t, func(id settings.BackendID) (uint32, time.Duration) { return test.answer(f, id) })
+				id := f.request(t, func(id settings.BackendID) (uint32, time.Duration) { return test.answer(f, id) })
 				if i >= asks/2 {
 					counts[id]++
 				}
@@ -160,12 +160,12 @@
 	f := newOutlierFleet(t, 2)
 	f.SetOthersLoad(map[directory.Tag]Load{1: {Failures: 2}})
 	for range 20 {
-		if id := f.ask(t, func(settings.BackendID) (uint32, time.Duration) { return f.sound(0.3) }); id == 1 {
+		if id := f.request(t, func(settings.BackendID) (uint32, time.Duration) { return f.normalAnswer(0.3) }); id == 1 {
 			t.Fatal("a flow goes to a back end of which another balancer has told two failures")
 		}
 	}
 	left := Load{Failures: 2}.Faded(FadingOver(20 * time.Second))
-	if left.Failures >= forgivenFailures {
+	if left.Failures >= negligibleFailures {
 		t.Errorf("after 20 s %v failures are left of two", left.Failures)
 	}
 }
@@ -174,7 +174,7 @@
 func TestABalancerThatStartsHearsWhatAnswersLookLike(t *testing.T) {
 	old, fresh := newOutlierFleet(t, 2), newOutlierFleet(t, 2)
 	for range 200 {
-		old.ask(t, func(settings.BackendID) (uint32, time.Duration) { return old.sound(0.3) })
+		old.request(t, func(settings.BackendID) (uint32, time.Duration) { return old.normalAnswer(0.3) })
 	}
 	baselines := old.Baselines(4)
 	if len(baselines) != 1 || baselines[0].Service != old.address {
@@ -185,7 +185,7 @@
 		t.Errorf("baselines that nobody can have seen are taken over: %v", fresh.baselines)
 	}
 	fresh.HearBaselines(baselines)
-	fresh.ask(t, func(settings.BackendID) (uint32, time.Duration) { return failedLength, failedTime })
+	fresh.request(t, func(settings.BackendID) (uint32, time.Duration) { return failedLength, failedTime })
 	if len(fresh.Failures(4)) != 1 {
 		t.Error("the first failure that a balancer sees does not count")
 	}
--- a/internal/steering/quantile.go
+++ b/internal/steering/quantile.go
@@ -1,25 +1,24 @@
 package steering
 
 const (
-	// quantileStep is by which part an estimate of a quantile moves with each number.
+	// quantileStep is the relative step of an estimate per sample.
 	quantileStep = 0.05
-	// leastNumber is what a quantile takes smaller numbers for: it moves in proportion, and would never
-	// leave zero.
-	leastNumber = 1e-6
+	// minNumber replaces smaller first samples: steps are relative, and an estimate of zero would
+	// never change.
+	minNumber = 1e-6
 )
 
-// quantile is an estimate of a quantile of positive numbers that follows them. The zero value
-// knows nothing.
+// quantile is a running estimate of a quantile of positive numbers. The zero value is empty.
 type quantile struct {
 	value float64
 	count int
 }
 
-// add takes a number into account: the estimate rises in the part of the cases that are to lie above
-// it, and falls in the others, in proportion.
+// add adds a sample: an estimate below it rises in proportion to part, the share of samples above
+// the quantile, and otherwise falls in proportion to the rest.
 func (q *quantile) add(number, part float64) {
 	if q.count == 0 {
-		q.value = max(number, leastNumber)
+		q.value = max(number, minNumber)
 	}
 	q.count++
 	if number > q.value {
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -8,58 +8,60 @@
 )
 
 const (
-	// openTime is how long a flow may take to open before it no longer counts as
-	// load; callers give up earlier.
-	openTime = 2 * time.Second
-	// restTime is how long a flow may rest before it no longer counts as load.
-	restTime = 15 * time.Second
-	// closeTime is how long a closed flow is remembered for late packets.
-	closeTime = 3 * time.Second
-	// silenceTime is how long a back end may take to answer an opening packet.
-	// A copy that comes sooner waited in a queue here and says nothing of it.
-	silenceTime = 150 * time.Millisecond
+	// openTimeout is how long an opening flow counts as load; callers abandon it earlier.
+	openTimeout = 2 * time.Second
+	// idleTimeout is how long a flow may be idle before its pending request no longer counts as
+	// load and the flow is no longer reset with its back end. The state of an unused back end is
+	// held as long.
+	idleTimeout = 15 * time.Second
+	// closedRetention is how long a closed flow is stored for late packets.
+	closedRetention = 3 * time.Second
+	// minRetransmitDelay is the minimum age of a packet for its retransmission to count as evidence
+	// that the back end is silent. An earlier copy was queued here.
+	minRetransmitDelay = 150 * time.Millisecond
 )
 
-// record is what this balancer remembers of one flow. It decides nothing that
-// another balancer must know: a flow whose record is lost goes on by its tag.
+// record is what this balancer stores of one flow. No other balancer depends on it: a flow without
+// a record is forwarded by its tag.
 type record struct {
 	key     flow.Key
 	member  *directory.Member
 	backend *backendState
-	// turn is the part whose turn the flow had, where its requests count, nil when adopted.
+	// part is the part of the service that the flow's requests count for, nil when adopted.
 	turn *part
-	// opening is set until the caller has answered the back end.
+	// opening is set until the caller has acknowledged the back end's answer.
 	opening bool
 	// openSequence is the caller's sequence on its opening packet.
 	openSequence uint32
-	// left is the tag of the back end that an earlier copy of the opening packet went to, 0 for nowhere else.
+	// previousTag is the tag of the back end that an earlier copy of the opening packet went to, 0
+	// for none.
 	left directory.Tag
-	// attempt is the last copy of the opening packet that came here, at lastSeen.
+	// attempt is the number of the last copy of the opening packet that came here.
 	attempt uint8
-	// sought is set once another balancer has asked where the flow rests.
-	sought bool
-	// closed is set once the caller's side has ended.
+	// inquired is set once another balancer has asked for the flow's back end.
+	inquired bool
+	// closed is set once the caller has closed its side.
 	closed bool
-	// waiting is set while a request is under way, begun once there was one.
+	// requestPending is set while a request is under way, and requested once there was one.
 	waiting, begun bool
-	// silent is set once the record has counted as evidence that the back end is silent.
-	silent bool
-	// unanswered is set once the request under way has counted as left without an answer.
+	// countedSilent is set once the record has counted as evidence that the back end is silent.
+	countedSilent bool
+	// unanswered is set once the request under way has counted as unanswered.
 	unanswered bool
-	// awaited is set while the flow is among those whose answer is awaited.
-	awaited bool
+	// tracked is set while the flow is in the steerer's pendingRequests.
+	tracked bool
 	// sequence and acknowledged are the caller's newest positions.
 	sequence, acknowledged uint32
-	// askedFrom is the caller's position in what it received when it asked last, and answerTime the
-	// time until the answer began, 0 once it was judged.
-	askedFrom         uint32
+	// responseStart is the caller's position in the data it received when it sent its last request.
+	// responseLatency is the time until the answer began, 0 once it was classified.
+	responseStart     uint32
 	answerTime        time.Duration
 	started, lastSeen time.Duration
-	// askedAt is when the opening packet or the request that is under way was sent.
+	// sentAt is when the opening packet or the request under way was sent.
 	askedAt time.Duration
 }
 
-// remember adds a new record, and tells whether there was room for it.
+// addRecord adds a new record, and reports whether there was room for it.
 func (s *Steerer) remember(known *record) bool {
 	if s.config.MaxFlows > 0 && len(s.flows) >= s.config.MaxFlows {
 		return false
@@ -69,7 +71,7 @@
 	return true
 }
 
-// forget removes a record; nil is allowed.
+// removeRecord removes a record; nil is allowed.
 func (s *Steerer) forget(known *record) {
 	if known == nil {
 		return
@@ -79,66 +81,66 @@
 	delete(s.flows, known.key)
 }
 
-// isOpenFor tells whether an opening packet is a late copy of the one that opened
-// this flow. It must not reach another back end, whose answer would mislead the
-// caller. An adopted flow does not know its first sequence; there any copy is late.
+// isLateCopy reports whether an opening packet is a late copy of the one that opened this flow. It
+// must not reach another back end, whose answer would mislead the caller. The initial sequence of
+// an adopted flow is unknown, so any copy counts as late.
 func (r *record) isOpenFor(now time.Duration, packet *Packet) bool {
 	if r.opening || r.closed {
 		return false
 	}
 	if r.adopted() {
-		return packet.Attempt > 0 && now-r.lastSeen <= openTime
+		return packet.Attempt > 0 && now-r.lastSeen <= openTimeout
 	}
 	return r.openSequence == packet.Sequence
 }
 
-// adopted tells whether the flow was opened through another balancer.
+// adopted reports whether the flow was opened through another balancer.
 func (r *record) adopted() bool {
 	return r.turn == nil
 }
 
-// noteCopy counts a repeated opening packet as evidence that the back end is silent.
+// recordCopy counts a copy of the opening packet as evidence that the back end is silent.
 func (r *record) noteCopy(now time.Duration, attempt uint32) {
 	r.attempt = max(r.attempt, lastAttempt(attempt))
-	if attempt == 0 || r.silent || now-r.askedAt < silenceTime {
+	if attempt == 0 || r.countedSilent || now-r.askedAt < minRetransmitDelay {
 		return
 	}
-	r.silent = true
+	r.countedSilent = true
 	r.backend.noteSilence(now, r.askedAt)
 }
 
-// received learns from a packet what the caller has received from the back end.
+// received processes what a packet acknowledges of the back end's data.
 func (r *record) received(now time.Duration, packet *Packet) {
 	r.lastSeen = now
 	if r.opening {
 		r.opening = false
-		r.backend.pool.noteOpened(r.silent)
+		r.backend.pool.noteOpened(r.countedSilent)
 		r.acknowledged = packet.Acknowledged
 		r.sequence = packet.Sequence
 		r.backend.noteProgress(now)
 		r.backend.opening--
 	}
-	if advanced(packet.Acknowledged, r.acknowledged) {
+	if sequenceAfter(packet.Acknowledged, r.acknowledged) {
 		r.acknowledged = packet.Acknowledged
-		if r.answeredElsewhere(packet) {
-			r.giveUp()
-			r.silent = false
+		if r.answeredAtUnknownTime(packet) {
+			r.cancelRequest()
+			r.countedSilent = false
 			return
 		}
 		r.answered(now)
 	}
 }
 
-// answeredElsewhere tells whether what the caller has received since its last packet here came while its
-// flow passed through another balancer, at a time that is not known: it asks again or ends the flow, and
-// nothing that it asked here was awaited, or not for longer than it takes. That is no sign of life: the
-// packet may itself be one that a back end which has fallen silent since will never answer.
-func (r *record) answeredElsewhere(packet *Packet) bool {
+// answeredAtUnknownTime reports whether the packet acknowledges data that the caller received at an
+// unknown time, through another balancer: it carries a new request or the end of the flow, and no
+// request was pending here, or only one that counted as unanswered. It is then no response: the
+// packet itself may be one that a silent back end never answers.
+func (r *record) answeredAtUnknownTime(packet *Packet) bool {
 	return (packet.Payload > 0 || packet.Kind != Established) && (!r.waiting || r.unanswered)
 }
 
-// sent learns from a packet what the caller sends. It tells whether the caller has sent data again
-// because the back end is silent.
+// sent processes the data that a packet carries. It reports whether the caller has retransmitted
+// data because the back end is silent.
 func (r *record) sent(now time.Duration, packet *Packet) (stalled bool) {
 	if packet.Payload > 0 {
 		stalled = r.request(now, packet)
@@ -146,19 +148,19 @@
 	if packet.Kind == Close && !r.closed {
 		r.closed = true
 		r.backend.flows--
-		r.giveUp()
+		r.cancelRequest()
 	}
 	return stalled
 }
 
-// endsAnswer tells whether a packet shows that the answer to the last request is whole: the caller
-// asks again, or ends the flow.
+// completesAnswer reports whether a packet shows that the answer to the last request is complete:
+// the caller sends another request or ends the flow.
 func (r *record) endsAnswer(packet *Packet) bool {
-	return packet.Kind == Close || packet.Payload > 0 && advanced(packet.Sequence+uint32(packet.Payload), r.sequence)
+	return packet.Kind == Close || packet.Payload > 0 && sequenceAfter(packet.Sequence+uint32(packet.Payload), r.sequence)
 }
 
-// giveUp ends the request that is under way, if any, without learning from it.
-func (r *record) giveUp() {
+// cancelRequest ends the request under way, if any, without learning from it.
+func (r *record) cancelRequest() {
 	if !r.waiting {
 		return
 	}
@@ -166,13 +168,13 @@
 	r.backend.active--
 }
 
-// request notes data of the caller: the begin of a request, more of one, or a
-// repetition because the back end is silent, which it tells the first time.
+// request processes data of the caller: a new request, more of one, or a retransmission. It reports
+// the first retransmission that counts as evidence that the back end is silent.
 func (r *record) request(now time.Duration, packet *Packet) (stalled bool) {
 	end := packet.Sequence + uint32(packet.Payload)
-	if r.sequence != 0 && !advanced(end, r.sequence) {
-		if r.waiting && !r.silent && now-r.askedAt >= silenceTime {
-			r.silent = true
+	if r.sequence != 0 && !sequenceAfter(end, r.sequence) {
+		if r.waiting && !r.countedSilent && now-r.askedAt >= minRetransmitDelay {
+			r.countedSilent = true
 			r.backend.noteSilence(now, r.askedAt)
 			return true
 		}
@@ -183,7 +185,7 @@
 		return false
 	}
 	r.waiting, r.unanswered = true, false
-	r.askedAt, r.askedFrom = now, r.acknowledged
+	r.askedAt, r.responseStart = now, r.acknowledged
 	r.backend.active++
 	r.backend.pool.noteAsked()
 	if !r.begun {
@@ -199,35 +201,35 @@
 	return false
 }
 
-// answered notes that the caller received something from the back end.
+// answered records that the caller received data from the back end.
 func (r *record) answered(now time.Duration) {
-	r.silent = false
+	r.countedSilent = false
 	r.backend.noteProgress(now)
 	if !r.waiting {
 		return
 	}
 	r.waiting = false
 	r.answerTime = now - r.askedAt
-	r.backend.finish(now, now-r.askedAt, r.askedAt < r.member.ColdUntil)
+	r.backend.recordAnswer(now, now-r.askedAt, r.askedAt < r.member.ColdUntil)
 }
 
-// advanced tells whether position a is after b, both modulo 2^32.
-func advanced(a, b uint32) bool {
+// sequenceAfter reports whether position a is after b, modulo 2^32.
+func sequenceAfter(a, b uint32) bool {
 	return int32(a-b) > 0
 }
 
-// Tick lets time pass: it forgets flows that are over. Call it about once a second.
+// Tick ages all counts by one second and removes expired flows. Call it about once a second.
 func (s *Steerer) Tick(now time.Duration) {
 	for _, known := range s.flows {
 		rested := now - known.lastSeen
 		switch {
-		case known.opening && rested > openTime,
-			known.closed && rested > closeTime,
+		case known.opening && rested > openTimeout,
+			known.closed && rested > closedRetention,
 			rested > s.config.FlowLife,
 			now-known.started > 2*s.config.FlowLife:
 			s.forget(known)
-		case rested > restTime:
-			known.giveUp()
+		case rested > idleTimeout:
+			known.cancelRequest()
 		}
 	}
 	for id, state := range s.backends {
@@ -243,5 +245,5 @@
 		baseline.decay()
 	}
 	s.decaySplits()
-	s.forgetSearches(now)
+	s.expireSearches(now)
 }
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -6,32 +6,35 @@
 )
 
 const (
-	// knownAnswers is how many answers of the last seconds, through all balancers, make a mean
-	// time that counts.
-	knownAnswers = 5
-	// slowFrom is how many times the usual time of an answer a back end may take before it
-	// counts as slow, slowMost the most that its slowness counts.
-	slowFrom = 1.6
-	slowMost = 8
-	// ownAnswers is how many answers through this balancer alone make a mean that counts before
-	// that of all: it follows a change at once. ownGain is the weight of each in it, and ownLife
-	// how long it counts without another one.
-	ownAnswers = 5
-	ownGain    = 0.2
-	ownLife    = 3 * time.Second
-	// trialAfter is how long new flows avoid a slow back end of which too few answers are seen,
-	// before one of them finds out whether it still is.
-	trialAfter = 3 * time.Second
+	// minAnswers is the number of recent answers through all balancers from which on their mean
+	// latency is used.
+	minAnswers = 5
+	// minSlowness is the ratio to the typical latency above which a back end counts as slow, and
+	// maxSlowness the upper bound of that ratio.
+	minSlowness = 1.6
+	slowMost    = 8
+	// minLocalAnswers is the number of answers through this balancer from which on their mean is
+	// preferred to that of all balancers, since it follows changes at once. localGain is the weight
+	// of each answer in that mean, and localLifetime how long the mean is valid without another
+	// answer.
+	minLocalAnswers = 5
+	localGain       = 0.2
+	localLifetime   = 3 * time.Second
+	// probeInterval is how long new flows avoid a slow back end without enough answers before one
+	// of them probes it.
+	probeInterval = 3 * time.Second
 )
 
-// answers are those of a back end through this balancer. The zero value is none.
+// answers holds the latencies of a back end's answers through this balancer. The zero value is
+// empty.
 type answers struct {
-	// count and time are how many came in the last seconds and the sum of their times.
+	// count and time are the decaying number of answers and the sum of their latencies in seconds.
 	count, time float64
-	// mean is that of the newest ones, in seconds, of which there were newest, up to ownAnswers.
-	mean   float64
-	newest int
-	last   time.Duration
+	// mean is the moving average of the newest latencies in seconds, and recentCount their number,
+	// up to minLocalAnswers.
+	mean        float64
+	recentCount int
+	last        time.Duration
 }
 
 // add counts an answer.
@@ -39,36 +42,37 @@
 	a.count++
 	a.time += latency.Seconds()
 	a.last = now
-	a.newest = min(a.newest+1, ownAnswers)
-	if a.newest == 1 {
+	a.recentCount = min(a.recentCount+1, minLocalAnswers)
+	if a.recentCount == 1 {
 		a.mean = latency.Seconds()
 	}
-	a.mean += ownGain * (latency.Seconds() - a.mean)
+	a.mean += localGain * (latency.Seconds() - a.mean)
 }
 
-// decay lets a second pass.
+// decay ages the counts by one second.
 func (a *answers) decay(now time.Duration) {
 	a.count *= recentDecay
 	a.time *= recentDecay
-	if now-a.last > ownLife {
-		a.mean, a.newest = 0, 0
+	if now-a.last > localLifetime {
+		a.mean, a.recentCount = 0, 0
 	}
 }
 
-// meanAnswer returns the mean time of an answer of the back end in the last seconds, in seconds,
-// 0 while it is not known: of those through this balancer if there are enough, else through all.
+// meanAnswer returns the back end's recent mean latency in seconds, 0 while unknown: of the answers
+// through this balancer if there are enough, else of all.
 func (b *backendState) meanAnswer() float64 {
-	if b.answers.newest >= ownAnswers {
+	if b.answers.recentCount >= minLocalAnswers {
 		return b.answers.mean
 	}
 	count := b.answers.count + b.others.Answers
-	if count < knownAnswers {
+	if count < minAnswers {
 		return 0
 	}
 	return (b.answers.time + b.others.Time) / count
 }
 
-// usualAnswer is the lower median of the candidates' mean times of an answer, 0 while unknown.
+// typicalAnswer returns the lower median of the candidates' mean latencies in seconds, 0 while
+// unknown.
 func (s *Steerer) usualAnswer() float64 {
 	s.means = s.means[:0]
 	for i := range s.candidates {
@@ -83,9 +87,9 @@
 	return s.means[(len(s.means)-1)/2]
 }
 
-// weighSlowness finds the back ends that take much longer to answer than is usual in the
-// group: the same work there is more. New flows avoid them, so that few answers show whether
-// they still are; one flow finds out.
+// weighSlowness raises the slowdown of candidates that answer clearly slower than typical. New
+// flows then avoid them, so that too few answers show whether they have recovered; a single flow
+// probes them.
 func (s *Steerer) weighSlowness(now time.Duration, usual float64) {
 	if usual == 0 || s.config.Mechanisms.NoPace {
 		return
@@ -95,8 +99,8 @@
 		mean := c.state.meanAnswer()
 		switch {
 		case mean > 0:
-			c.state.noteSlowness(mean / usual)
-		case c.state.slowness > 1 && !c.state.trial && now-c.state.placedAt > trialAfter:
+			c.state.setSlowness(mean / usual)
+		case c.state.slowness > 1 && !c.state.trial && now-c.state.placedAt > probeInterval:
 			c.trial = true
 			continue
 		}
@@ -104,10 +108,10 @@
 	}
 }
 
-// noteSlowness takes over how many times longer than usual answers take.
-func (b *backendState) noteSlowness(slowness float64) {
+// setSlowness sets the ratio of the latency to the typical one.
+func (b *backendState) setSlowness(slowness float64) {
 	b.slowness = 1
-	if slowness > slowFrom {
+	if slowness > minSlowness {
 		b.slowness = min(slowness, slowMost)
 	}
 }
--- a/internal/steering/stalls.go
+++ b/internal/steering/stalls.go
@@ -10,63 +10,68 @@
 )
 
 const (
-	// stallLife is how long what another balancer told of a back end counts.
-	stallLife = 700 * time.Millisecond
-	// maxStalls bounds the balancers whose words on a back end are kept.
-	maxStalls = 32
-	// alarmInterval is the shortest time between two alarms.
-	alarmInterval = 100 * time.Millisecond
+	// reportLifetime is how long a report of another balancer is valid.
+	reportLifetime = 700 * time.Millisecond
+	// maxReports bounds the number of balancers whose reports on a back end are stored.
+	maxReports = 32
+	// urgentReportInterval is the minimum time between two urgent reports.
+	urgentReportInterval = 100 * time.Millisecond
 )
 
-// Stall is what one balancer knows of a back end that leaves callers without a sign of life.
+// UnresponsiveReport is what one balancer knows of a back end that leaves callers without a
+// response.
 type Stall struct {
 	Backend settings.BackendID
-	// Callers is how many different callers have sent data again in vain since the last sign of life
-	// that this balancer saw, one of them just now; 0 where none has, and from one that contradicts others.
+	// Callers is the number of different callers that retransmitted data without a response since
+	// the last response that this balancer saw, at least one of them recently. It is 0 where there
+	// is none, and in a report that contradicts others.
 	Callers int
-	// Silence is how long ago that sign of life was.
+	// Silence is the time since that response.
 	Silence time.Duration
-	// Lost is how much longer the balancer takes the back end for lost, 0 where it does not.
+	// Down is the remaining time for which the sender considers the back end down, 0 if it does
+	// not.
 	Lost time.Duration
 }
 
-// heardStall is a Stall that another balancer told.
-type heardStall struct {
+// receivedReport is an UnresponsiveReport received from another balancer.
+type receivedReport struct {
 	from    netip.AddrPort
 	callers int
-	// alive is when the other one last saw a sign of life, by the own clock, and at when it
-	// was told.
-	alive, at time.Duration
+	// lastResponse is when the sender last saw a response, and receivedAt when the report arrived,
+	// both by this balancer's clock.
+	lastResponse, receivedAt time.Duration
 }
 
-// raise asks the driver to tell the others at once, not too often.
-func (s *Steerer) raise(now time.Duration) {
-	if now-s.raised >= alarmInterval {
+// requestUrgentReport makes the driver report to other balancers at once, at most every
+// urgentReportInterval.
+func (s *Steerer) requestUrgentReport(now time.Duration) {
+	if now-s.raised >= urgentReportInterval {
 		s.raised, s.alarm = now, true
 	}
 }
 
-// TakeAlarm tells, once, that other balancers should hear of Stalls at once.
+// TakeUrgentReport reports whether UnresponsiveReports should be sent to other balancers at once,
+// and resets the request.
 func (s *Steerer) TakeAlarm() bool {
 	alarm := s.alarm
 	s.alarm = false
 	return alarm
 }
 
-// Stalls returns what this balancer knows of back ends that leave callers without a sign of
-// life, here or at others, at most count: lost ones first, then those that leave the most callers.
+// UnresponsiveReports returns at most count reports on back ends that are unresponsive here or
+// reported so by others: down ones first, then by descending number of callers.
 func (s *Steerer) Stalls(now time.Duration, count int) []Stall {
 	var stalls []Stall
 	for id, b := range s.backends {
 		known := Stall{Backend: id, Silence: now - b.progress, Lost: max(b.lostUntil-now, 0)}
 		switch {
-		case b.freshStall(now):
-			// Callers of earlier are no news: others would renew what they know by them.
-			known.Callers = len(b.stalled)
+		case b.recentlyUnanswered(now):
+			// Older callers are not reported, since they would renew the state of the receivers.
+			known.Callers = len(b.unansweredCallers)
 			stalls = append(stalls, known)
 		case known.Lost > 0:
 			stalls = append(stalls, known)
-		case len(b.stalls) > 0 && now-b.progress < stallLife:
+		case len(b.reports) > 0 && now-b.progress < reportLifetime:
 			stalls = append(stalls, known)
 		}
 	}
@@ -76,11 +81,11 @@
 	return stalls[:min(count, len(stalls))]
 }
 
-// HearStalls takes over what another balancer told of back ends. If this one knows better, it
-// raises an alarm in turn.
+// ReceiveUnresponsive processes reports of another balancer. It requests an urgent report if this
+// balancer has seen a later response.
 func (s *Steerer) HearStalls(now time.Duration, from netip.AddrPort, stalls []Stall) {
 	if now-s.resumed < resumeTime || s.config.Mechanisms.NoResets {
-		// It waited while the process stood still.
+		// The report was queued while the process was suspended.
 		return
 	}
 	var lost []*backendState
@@ -93,10 +98,10 @@
 		if b.deaf(now) {
 			continue
 		}
-		b.hearStall(heardStall{from, stall.Callers, now - stall.Silence, now})
-		b.hearLost(now, &stall)
-		if (stall.Callers > 0 || stall.Lost > 0) && now-b.progress < stallLife {
-			s.raise(now)
+		b.storeReport(receivedReport{from, stall.Callers, now - stall.Silence, now})
+		b.receiveDown(now, &stall)
+		if (stall.Callers > 0 || stall.Lost > 0) && now-b.progress < reportLifetime {
+			s.requestUrgentReport(now)
 		}
 		if s.lost(now, b) {
 			lost = append(lost, b)
@@ -107,25 +112,25 @@
 	}
 }
 
-func (b *backendState) hearStall(heard heardStall) {
-	at := slices.IndexFunc(b.stalls, func(h heardStall) bool { return h.from == heard.from })
+func (b *backendState) storeReport(heard receivedReport) {
+	at := slices.IndexFunc(b.reports, func(h receivedReport) bool { return h.from == heard.from })
 	switch {
 	case at >= 0:
-		b.stalls[at] = heard
-	case len(b.stalls) < maxStalls:
-		b.stalls = append(b.stalls, heard)
+		b.reports[at] = heard
+	case len(b.reports) < maxReports:
+		b.reports = append(b.reports, heard)
 	}
 }
 
-// hearLost takes over that another balancer takes the back end for lost, for no longer than that one does:
-// one that has just started would else need callers of its own to find out. A sign of life that another
-// balancer saw since then ends it.
-func (b *backendState) hearLost(now time.Duration, stall *Stall) {
+// receiveDown adopts the sender's down state for at most the time that the sender has left, so that
+// a balancer that has just started need not find out through callers of its own. A response that
+// the sender saw since the back end was marked down ends the state.
+func (b *backendState) receiveDown(now time.Duration, stall *Stall) {
 	alive := now - stall.Silence
 	switch {
-	case stall.Lost > 0 && now-b.progress >= lostSilence:
-		b.lostUntil = max(b.lostUntil, now+min(stall.Lost, lostTime))
-	case now < b.lostUntil && alive > b.lostUntil-lostTime && stall.Silence < lostSilence:
-		b.lostUntil, b.stalled = 0, b.stalled[:0]
+	case stall.Lost > 0 && now-b.progress >= minDownSilence:
+		b.lostUntil = max(b.lostUntil, now+min(stall.Lost, downPeriod))
+	case now < b.lostUntil && alive > b.lostUntil-downPeriod && stall.Silence < minDownSilence:
+		b.lostUntil, b.unansweredCallers = 0, b.unansweredCallers[:0]
 	}
 }
--- a/internal/steering/unanswered.go
+++ b/internal/steering/unanswered.go
@@ -3,39 +3,37 @@
 import "time"
 
 const (
-	// lookInterval is how often requests without an answer are looked for.
+	// unansweredCheckInterval is how often pending requests are checked.
 	lookInterval = 250 * time.Millisecond
-	// answerPatience is how long a caller may wait for an answer before its request
-	// counts as left without one.
+	// answerTimeout is how long a request may be pending before it counts as unanswered.
 	answerPatience = 400 * time.Millisecond
 )
 
-// awaited are the flows with a request whose answer was awaited when they were last
-// looked at. They are few beside the flows that rest, so that looking for requests
-// without an answer does not grow with the flows that are open.
+// pendingRequests are the flows with a pending request at the last check. Keeping them apart makes
+// the check independent of the number of open flows.
 type awaited struct {
 	records []*record
 }
 
-// add enters a flow whose caller has asked, unless it is entered already.
+// add adds a flow with a pending request, unless it is present.
 func (a *awaited) add(known *record) {
-	if known.awaited {
+	if known.tracked {
 		return
 	}
-	known.awaited = true
+	known.tracked = true
 	a.records = append(a.records, known)
 }
 
-// look lets visit see each flow that still awaits an answer and was not found without one,
-// and leaves out those that await none.
-func (a *awaited) look(visit func(known *record)) {
+// sweep calls visit for each flow whose request is pending and not counted as unanswered, and
+// removes the flows without a pending request.
+func (a *awaited) sweep(visit func(known *record)) {
 	kept := a.records[:0]
 	for _, known := range a.records {
 		if known.waiting && !known.unanswered {
 			visit(known)
 		}
-		known.awaited = known.waiting
-		if known.awaited {
+		known.tracked = known.waiting
+		if known.tracked {
 			kept = append(kept, known)
 		}
 	}
@@ -43,15 +41,15 @@
 	a.records = kept
 }
 
-// noteUnanswered looks for requests that back ends left without an answer. A request that
-// waited while the process stood still says nothing of its back end: its caller has given
-// it up, or was answered through another balancer.
+// checkUnanswered looks for requests that back ends left unanswered. A request that was pending
+// while the process was suspended is no evidence: its caller abandoned it or was answered through
+// another balancer.
 func (s *Steerer) noteUnanswered(now time.Duration) {
 	if now-s.resumed < answerPatience || s.lagging(now) {
-		// What came meanwhile is not known here.
+		// Answers may have been missed.
 		return
 	}
-	s.awaited.look(func(known *record) {
+	s.awaited.sweep(func(known *record) {
 		if known.lastSeen < s.resumed+resumeTime {
 			known.unanswered = true
 			return
@@ -60,13 +58,12 @@
 	})
 }
 
-// noteUnanswered counts a request whose caller waits, with nothing more to send, for
-// longer than a back end takes: it was reset there, or is never answered, though the
-// back end takes new flows.
+// checkUnanswered counts a request as unanswered whose caller has waited for answerTimeout with
+// nothing more to send: the back end has reset it or never answers, though it accepts new flows.
 func (r *record) noteUnanswered(now time.Duration) {
 	if !r.waiting || r.unanswered || now-r.lastSeen < answerPatience {
 		return
 	}
 	r.unanswered = true
-	r.backend.noteFault(now, r.askedAt)
+	r.backend.recordRequestFailure(now, r.askedAt)
 }
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -9,20 +9,20 @@
 // or were answered through another balancer.
 func TestRequestsThatWaitedInAStandstillAreNoFaults(t *testing.T) {
 	for name, asks := range map[string]func(f *fleet, ask func()){
-		"asked before the standstill":      func(f *fleet, ask func()) { ask(); f.standStill() },
-		"waited in the queue meanwhile":    func(f *fleet, ask func()) { f.standStill(); ask() },
-		"came while the queue was emptied": func(f *fleet, ask func()) { f.standStill(); f.pass(resumeTime / 2); ask() },
+		"asked before the standstill":      func(f *fleet, ask func()) { ask(); f.suspendProcess() },
+		"waited in the queue meanwhile":    func(f *fleet, ask func()) { f.suspendProcess(); ask() },
+		"came while the queue was emptied": func(f *fleet, ask func()) { f.suspendProcess(); f.pass(resumeTime / 2); ask() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			if faults := f.faultsAfter(asks); faults != 0 {
+			if faults := f.failuresAfter(asks); faults != 0 {
 				t.Errorf("%v faults", faults)
 			}
 		})
 	}
 	f := newFleet(t)
-	faults := f.faultsAfter(func(f *fleet, ask func()) {
-		f.standStill()
+	faults := f.failuresAfter(func(f *fleet, ask func()) {
+		f.suspendProcess()
 		f.pass(2 * resumeTime)
 		ask()
 	})
@@ -32,14 +32,14 @@
 }
 
 // standStill lets the process stand still for longer than callers wait.
-func (f *fleet) standStill() {
+func (f *fleet) suspendProcess() {
 	f.now += 2 * time.Second
 	f.steerer.Pulse(f.now)
 }
 
 // faultsAfter opens flows, lets asks send a request on each, lets time pass without an
 // answer, and returns how many requests count as left unanswered.
-func (f *fleet) faultsAfter(asks func(f *fleet, ask func())) float64 {
+func (f *fleet) failuresAfter(asks func(f *fleet, ask func())) float64 {
 	const flows = 4
 	for caller := range flows {
 		f.opened(caller, feedAddress)
