--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -150,27 +150,27 @@
 }
 
 // addRecord adds a flow record to the counts.
-func (b *backendState) join(known *record) {
-	if !known.closed {
+func (b *backendState) join(rec *record) {
+	if !rec.closed {
 		b.flows++
 	}
-	if known.opening {
+	if rec.opening {
 		b.opening++
 	}
-	if known.waiting {
+	if rec.waiting {
 		b.active++
 	}
 }
 
 // removeRecord removes a flow record from the counts.
-func (b *backendState) leave(known *record) {
-	if !known.closed {
+func (b *backendState) leave(rec *record) {
+	if !rec.closed {
 		b.flows--
 	}
-	if known.opening {
+	if rec.opening {
 		b.opening--
 	}
-	if known.waiting {
+	if rec.waiting {
 		b.active--
 	}
 }
@@ -244,28 +244,28 @@
 	}
 }
 
-// recordUnansweredFlow counts a flow whose packet of time askedAt was not answered.
-func (b *backendState) noteSilence(now, askedAt time.Duration) {
-	if b.progress >= askedAt {
+// recordUnansweredFlow counts a flow whose packet, sent at sentAt, was not answered.
+func (b *backendState) noteSilence(now, sentAt time.Duration) {
+	if b.progress >= sentAt {
 		return
 	}
 	b.unansweredFlows++
-	wanted := b.pool.silentFlows()
+	required := b.pool.silentFlows()
 	switch {
 	case now < b.heardDoubtUntil && !b.pool.lossy():
 		// The other balancer's report counts as one more unanswered flow.
 		b.unansweredFlows++
 	case b.pool.young(now):
 		// One more while this balancer has too few samples to estimate the packet loss.
-		wanted++
+		required++
 	}
-	if b.unansweredFlows < wanted {
+	if b.unansweredFlows < required {
 		return
 	}
 	b.unansweredFlows = 0
 	b.silentPeriod = min(max(suspectTime, 2*b.silentPeriod), maxAvoidPeriod)
 	b.suspectUntil = now + b.silentPeriod
-	b.note(Silent, now-askedAt, b.suspectUntil)
+	b.note(Silent, now-sentAt, b.suspectUntil)
 }
 
 // isSilent reports whether the back end gets neither new flows nor copies of opening packets,
@@ -274,13 +274,13 @@
 	return now < b.suspectUntil || now < b.lostUntil
 }
 
-// recordRequestFailure counts a request of time askedAt that was left unanswered.
-func (b *backendState) recordRequestFailure(now, askedAt time.Duration) {
+// recordRequestFailure counts a request sent at sentAt that was left unanswered.
+func (b *backendState) recordRequestFailure(now, sentAt time.Duration) {
 	b.faults++
-	b.pool.noteVain(now, askedAt)
+	b.pool.noteVain(now, sentAt)
 	if b.faults >= requestFailuresHigh && !b.faulty {
 		b.faulty = true
-		b.note(Faulty, now-askedAt, 0)
+		b.note(Faulty, now-sentAt, 0)
 	}
 }
 
@@ -304,9 +304,9 @@
 	if now < max(b.deafUntil, b.doubtUntil, b.heardDoubtUntil, b.suspectUntil, b.lostUntil, b.idleResetUntil, b.warmUpNext) {
 		return false
 	}
-	told := b.recent + b.steady + b.recentPlaced + b.faults + b.failures + b.failureEvidence + b.answers.count
+	own := b.recent + b.steady + b.recentPlaced + b.faults + b.failures + b.failureEvidence + b.answers.count
 	others := b.others.Requests + b.others.Steady + b.others.Failures + b.others.Answers
-	return told < minObservation && others < minObservation
+	return own < minObservation && others < minObservation
 }
 
 // decay ages the counts by one second.
--- a/internal/steering/baseline.go
+++ b/internal/steering/baseline.go
@@ -33,13 +33,13 @@
 }
 
 // baselineKeyOf returns the key of the baseline for a flow's answers.
-func (s *Steerer) baselineKeyOf(known *record) baselineKey {
-	key := baselineKey{service: known.key.Service}
+func (s *Steerer) baselineKeyOf(rec *record) baselineKey {
+	key := baselineKey{service: rec.key.Service}
 	if s.view.Settings == nil {
 		return key
 	}
 	if service := s.view.Settings.ServiceAt(key.service); service != nil && len(service.Groups) > 1 {
-		key.part = known.member.Group
+		key.part = rec.member.Group
 	}
 	return key
 }
@@ -57,20 +57,20 @@
 // answer that looks like a failure, 0 while the baseline is unknown.
 func (a *answerBaseline) add(length uint32, latency time.Duration) (evidence float64) {
 	const lowerQuartile, median = 0.25, 0.5
-	known := a.length.count >= minBaselineAnswers
-	failure := known && float64(length) < shortAnswerRatio*a.length.value && latency.Seconds() < quickAnswerRatio*a.time.value
+	ready := a.length.count >= minBaselineAnswers
+	failure := ready && float64(length) < shortAnswerRatio*a.length.value && latency.Seconds() < quickAnswerRatio*a.time.value
 	a.length.add(float64(length), lowerQuartile)
 	a.time.add(latency.Seconds(), median)
-	if !known {
+	if !ready {
 		return 0
 	}
-	usual := a.failureRate()
+	rate := a.failureRate()
 	a.classified++
 	if !failure {
 		return -normalEvidence
 	}
 	a.failures++
-	return max(math.Log(failingShare/usual)/evidenceUnit, 0)
+	return max(math.Log(failingShare/rate)/evidenceUnit, 0)
 }
 
 // failureRate returns the typical share of answers that look like failures.
@@ -115,15 +115,15 @@
 // ReceiveBaselines adopts baselines that another balancer reported where this one has too few
 // answers of its own.
 func (s *Steerer) HearBaselines(baselines []Baseline) {
-	for _, told := range baselines {
-		if told.Length == 0 || told.Time <= 0 || !told.Service.IsValid() {
+	for _, reported := range baselines {
+		if reported.Length == 0 || reported.Time <= 0 || !reported.Service.IsValid() {
 			continue
 		}
-		baseline := s.baselineOf(baselineKey{service: told.Service})
+		baseline := s.baselineOf(baselineKey{service: reported.Service})
 		if baseline.length.count < minBaselineAnswers {
-			baseline.length = quantile{float64(told.Length), minBaselineAnswers}
-			baseline.time = quantile{told.Time.Seconds(), minBaselineAnswers}
-			baseline.classified, baseline.failures = priorAnswers, priorAnswers*float64(told.FailureRate)*failureRateUnit
+			baseline.length = quantile{float64(reported.Length), minBaselineAnswers}
+			baseline.time = quantile{reported.Time.Seconds(), minBaselineAnswers}
+			baseline.classified, baseline.failures = priorAnswers, priorAnswers*float64(reported.FailureRate)*failureRateUnit
 		}
 	}
 }
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -12,21 +12,21 @@
 // requests may be repeated. Idle flows are reset where requests must not be repeated, once per down
 // period: the next request would be sent to a back end that does not answer, and its caller may not
 // retry it.
-func (s *Steerer) endFlows(now time.Duration, lost ...*backendState) {
-	resting := lost[:0:0]
-	for _, b := range lost {
+func (s *Steerer) endFlows(now time.Duration, down ...*backendState) {
+	withIdle := down[:0:0]
+	for _, b := range down {
 		s.resetPending(b)
 		if b.flows > 0 && now >= b.idleResetUntil && s.isDownConfirmed(now, b) {
 			b.idleResetUntil = max(b.lostUntil, now+downPeriod)
-			resting = append(resting, b)
+			withIdle = append(withIdle, b)
 		}
 	}
-	if len(resting) == 0 {
+	if len(withIdle) == 0 {
 		return
 	}
 	// One pass over the flows for all back ends.
-	s.resetAll(func(known *record) bool {
-		return slices.Contains(resting, known.backend) && !known.waiting && now-known.lastSeen < idleTimeout && !s.repeatable(known.key)
+	s.resetAll(func(rec *record) bool {
+		return slices.Contains(withIdle, rec.backend) && !rec.waiting && now-rec.lastSeen < idleTimeout && !s.repeatable(rec.key)
 	})
 }
 
@@ -37,20 +37,20 @@
 	if b.recentlyUnanswered(now) || s.view.Departed(b.id) {
 		return true
 	}
-	tellers := 0
-	for _, heard := range b.reports {
-		if heard.callers > 0 && now-heard.receivedAt <= reportLifetime {
-			tellers++
+	reporters := 0
+	for _, report := range b.reports {
+		if report.callers > 0 && now-report.receivedAt <= reportLifetime {
+			reporters++
 		}
 	}
-	return tellers > 1
+	return reporters > 1
 }
 
 // resetPending resets the flows at a down back end with a pending request that may be repeated.
 func (s *Steerer) resetPending(b *backendState) {
-	for _, known := range s.awaited.records {
-		if known.backend == b && known.waiting && !known.closed && s.repeatable(known.key) {
-			s.reset(known)
+	for _, rec := range s.awaited.records {
+		if rec.backend == b && rec.waiting && !rec.closed && s.repeatable(rec.key) {
+			s.reset(rec)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 // resetReplaced looks in a new view for back ends that have ended because another one started at
 // the address. All flows there are reset, whether or not requests may be repeated.
 func (s *Steerer) noteEnded() {
-	var gone []settings.BackendID
+	var removed []settings.BackendID
 	for id, b := range s.departed {
 		switch {
 		case !s.view.Knows(id):
@@ -67,35 +67,35 @@
 				delete(s.backends, id)
 			}
 		case !b.ended && b.flows > 0:
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	if len(gone) == 0 {
+	if len(removed) == 0 {
 		return
 	}
-	slices.Sort(gone)
-	replaced := s.view.Replaced(gone)
+	slices.Sort(removed)
+	replaced := s.view.Replaced(removed)
 	for _, id := range replaced {
 		b := s.backends[id]
 		b.ended = true
 		b.note(Ended, s.pulse-b.progress, 0)
 	}
 	if len(replaced) > 0 {
-		s.resetAll(func(known *record) bool { return known.backend.ended })
+		s.resetAll(func(rec *record) bool { return rec.backend.ended })
 	}
 }
 
 // resetMatching resets the open flows that the condition holds for, in order of flow.
-func (s *Steerer) resetAll(condition func(known *record) bool) {
-	var ended []*record
-	for _, known := range s.flows {
-		if !known.opening && !known.closed && condition(known) {
-			ended = append(ended, known)
+func (s *Steerer) resetAll(matches func(rec *record) bool) {
+	var matching []*record
+	for _, rec := range s.flows {
+		if !rec.opening && !rec.closed && matches(rec) {
+			matching = append(matching, rec)
 		}
 	}
-	slices.SortFunc(ended, func(a, b *record) int { return compareKeys(a.key, b.key) })
-	for _, known := range ended {
-		s.reset(known)
+	slices.SortFunc(matching, func(a, b *record) int { return compareKeys(a.key, b.key) })
+	for _, rec := range matching {
+		s.reset(rec)
 	}
 }
 
@@ -107,7 +107,7 @@
 }
 
 // reset resets one flow.
-func (s *Steerer) reset(known *record) {
-	s.resets = append(s.resets, Reset{known.key, known.acknowledged, known.backend.id})
-	s.forget(known)
+func (s *Steerer) reset(rec *record) {
+	s.resets = append(s.resets, Reset{rec.key, rec.acknowledged, rec.backend.id})
+	s.forget(rec)
 }
--- a/internal/steering/ended_test.go
+++ b/internal/steering/ended_test.go
@@ -10,7 +10,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// announceAt lets a server start at the address of another one.
+// announceAt announces a server at the address of another one.
 func (f *fleet) announceAt(id, at settings.BackendID, group string) {
 	f.revision++
 	backend := directory.Backend{ID: id, Group: group, Zone: "a", Slots: 2, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(at)}), 80)}
@@ -18,9 +18,9 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-// TestFlowsEndOnceAnotherOneStartsAtTheAddress: those that rest and those whose callers wait, whether
-// their requests may run again or not. What they send later is refused.
-func TestFlowsEndOnceAnotherOneStartsAtTheAddress(t *testing.T) {
+// When another back end starts at the address, idle and pending flows are reset, whether or not
+// requests may be repeated, and later packets are refused.
+func TestFlowsAreResetWhenTheAddressIsReused(t *testing.T) {
 	for _, group := range []string{"feed", "upload"} {
 		f := newSilentFleet(t)
 		for caller := 30; caller < 35; caller++ {
@@ -29,26 +29,26 @@
 		f.established(31, splitAddress, 1, 1, 100)
 		f.announceAt(21, 1, group)
 		if resets := f.steerer.TakeResets(); resets != nil {
-			t.Errorf("%d flows are reset though the entry is there", len(resets))
+			t.Errorf("%d flows are reset while the entry of the old back end exists", len(resets))
 		}
 		open := f.state(1).flows
 		f.vanish(1)
 		resets := f.steerer.TakeResets()
 		if open < 25 || len(resets) != open {
-			t.Errorf("%d of %d flows are reset", len(resets), open)
+			t.Errorf("%d flows are reset, want all %d", len(resets), open)
 		}
-		if verdict := f.established(90, splitAddress, 1, 1, 100); verdict.Reason != errkind.BackendLost {
-			t.Errorf("a request later: %+v", verdict)
+		if decision := f.established(90, splitAddress, 1, 1, 100); decision.Reason != errkind.BackendLost {
+			t.Errorf("request at the ended back end: %+v", decision)
 		}
 		f.announce(1, "feed", "a", false)
-		if verdict := f.established(91, splitAddress, 1, 1, 100); verdict.Action != Forward {
-			t.Errorf("a request once its entry is back: %+v", verdict)
+		if decision := f.established(91, splitAddress, 1, 1, 100); decision.Action != Forward {
+			t.Errorf("request after the return of its entry: %+v", decision)
 		}
 	}
 }
 
-// TestFlowsThatRestAtALostBackEndEnd where their next request may run once alone, and no others of these.
-func TestFlowsThatRestAtALostBackEndEnd(t *testing.T) {
+// Idle flows at a down back end are reset only where requests must not be repeated.
+func TestIdleFlowsAtADownBackEndAreReset(t *testing.T) {
 	f := newSilentFleet(t)
 	for caller := 30; caller < 35; caller++ {
 		f.established(caller, splitAddress, 1, 1, 0)
@@ -65,31 +65,32 @@
 		ended[reset.Flow.Service]++
 	}
 	if ended[feedAddress] != 4 || ended[splitAddress] != 2 {
-		t.Errorf("flows are reset: %v", ended)
+		t.Errorf("resets by service: %v, want 4 and 2", ended)
 	}
 	f.pass(100 * time.Millisecond)
 	f.established(34, splitAddress, 1, 1, 0)
 	f.requestUnanswered(5)
 	if resets := f.steerer.TakeResets(); len(resets) != 0 {
-		t.Errorf("flows that came since the loss are reset: %+v", resets)
+		t.Errorf("flows that arrived while the back end is down are reset: %+v", resets)
 	}
 }
 
-// TestOneOtherBalancersWordEndsNoFlowThatRests: it may be cut off itself. That of two does, or one's own callers.
-func TestOneOtherBalancersWordEndsNoFlowThatRests(t *testing.T) {
+// A single reporter may be isolated and must not cause the reset of idle flows; two reporters or
+// local callers do.
+func TestOneReportResetsNoIdleFlow(t *testing.T) {
 	third := netip.MustParseAddrPort("10.9.0.3:1")
-	for _, tellers := range [][]netip.AddrPort{{otherBalancer}, {otherBalancer, third}} {
+	for _, reporters := range [][]netip.AddrPort{{otherBalancer}, {otherBalancer, third}} {
 		f := newSilentFleet(t)
 		for caller := 30; caller < 35; caller++ {
 			f.established(caller, splitAddress, 1, 1, 0)
 		}
 		f.pass(time.Second)
 		f.answerOthers()
-		for _, from := range tellers {
+		for _, from := range reporters {
 			f.steerer.HearStalls(f.now, from, []Stall{{Backend: 1, Callers: 2, Silence: time.Second, Lost: downPeriod}})
 		}
-		if resets := f.steerer.TakeResets(); len(resets) > 0 != (len(tellers) > 1) {
-			t.Errorf("%d balancers say so, %d flows are reset", len(tellers), len(resets))
+		if resets := f.steerer.TakeResets(); len(resets) > 0 != (len(reporters) > 1) {
+			t.Errorf("%d balancers report the back end down, %d flows are reset", len(reporters), len(resets))
 		}
 	}
 }
--- a/internal/steering/expect.go
+++ b/internal/steering/expect.go
@@ -17,15 +17,15 @@
 )
 
 // estimateTimes estimates the time of a request at each candidate, in typical latencies: the
-// processing time and the wait for a free slot. usual is the typical latency in seconds, 0 while
+// processing time and the wait for a free slot. typical is the typical latency in seconds, 0 while
 // unknown.
-func (s *Steerer) expectTimes(usual float64) {
+func (s *Steerer) expectTimes(typical float64) {
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		use := c.soon / recentWindow * usual * c.pace
+		utilization := c.soon / recentWindow * typical * c.pace
 		c.time = c.pace
-		if use > idleUtilization {
-			c.time *= 1 + waiting(use, max(c.member.Slots, 1))
+		if utilization > idleUtilization {
+			c.time *= 1 + waiting(utilization, max(c.member.Slots, 1))
 		}
 	}
 }
@@ -33,9 +33,9 @@
 // preferredTo reports whether a new flow should go to this back end rather than to the other one:
 // the one with less load if the wait is negligible at both, else the one with the shorter time.
 // While the typical latency is unknown, loads are multiplied by the slowdown.
-func (c *candidate) before(other *candidate, usual float64) bool {
+func (c *candidate) before(other *candidate, typical float64) bool {
 	switch {
-	case usual == 0:
+	case typical == 0:
 		return c.less(other, c.load*c.pace, other.load*other.pace)
 	case c.time <= 1+negligibleWait && other.time <= 1+negligibleWait:
 		return c.less(other, c.even, other.even)
@@ -44,19 +44,19 @@
 }
 
 // less compares two values, and on a tie the scores by the flow's hash.
-func (c *candidate) less(other *candidate, mine, others float64) bool {
-	return mine < others || mine == others && c.score > other.score
+func (c *candidate) less(other *candidate, value, otherValue float64) bool {
+	return value < otherValue || value == otherValue && c.score > other.score
 }
 
 // queueWait returns the mean wait for a free slot, in units of one request's time, at the given
 // utilization of the slots: Sakasegawa's approximation for a queue with several servers.
-func waiting(use float64, slots int) float64 {
+func waiting(utilization float64, slots int) float64 {
 	n := float64(slots)
 	power := math.Sqrt(2*(n+1)) - 1
-	within := min(use, maxUtilization)
-	wait := math.Pow(within, power) / (n * (1 - within))
-	if use > maxUtilization {
-		wait += (use - maxUtilization) * wait * (power/maxUtilization + 1/(1-maxUtilization))
+	capped := min(utilization, maxUtilization)
+	wait := math.Pow(capped, power) / (n * (1 - capped))
+	if utilization > maxUtilization {
+		wait += (utilization - maxUtilization) * wait * (power/maxUtilization + 1/(1-maxUtilization))
 	}
 	return wait
 }
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -66,14 +66,14 @@
 	if state.unansweredSince != 0 {
 		state.unansweredSince = max(state.unansweredSince, s.lagged+lagTime)
 	}
-	until := state.doubtUntil
-	doubted := state.doubted(now)
-	if state.doubtUntil > until && !state.pool.lossy() {
+	before := state.doubtUntil
+	suspect := state.doubted(now)
+	if state.doubtUntil > before && !state.pool.lossy() {
 		// Otherwise each balancer of the zone would send the back end a flow of its own before it
 		// receives the next regular report.
 		s.requestUrgentReport(now)
 	}
-	return doubted
+	return suspect
 }
 
 // lapseGrace returns how long a back end is still used after the removal of its entry. When all
--- a/internal/steering/held_test.go
+++ b/internal/steering/held_test.go
@@ -7,7 +7,7 @@
 	"gaugeyard/internal/errkind"
 )
 
-// TestAHeldOpeningPacketThatWasCopiedIsNotPlaced: the copy may have opened the flow through another balancer.
+// The copy may have opened the flow through another balancer.
 func TestAHeldOpeningPacketThatWasCopiedIsNotPlaced(t *testing.T) {
 	for _, test := range []struct {
 		attempt uint32
@@ -20,13 +20,13 @@
 	} {
 		f := newFleet(t)
 		packet := Packet{Flow: key(1, feedAddress), Kind: Open, Attempt: test.attempt, Sequence: 7, Held: test.held}
-		verdict := f.steerer.Steer(f.now, &packet)
-		if verdict.Action == Wait {
+		decision := f.steerer.Steer(f.now, &packet)
+		if decision.Action == Wait {
 			packet.Waited = true
-			verdict = f.steerer.Steer(f.now+CopyWait, &packet)
+			decision = f.steerer.Steer(f.now+CopyWait, &packet)
 		}
-		if placed := verdict.Action == Forward; placed != test.placed || !placed && verdict.Reason != errkind.Stale {
-			t.Errorf("copy %d, held for %v: %+v", test.attempt, test.held, verdict)
+		if placed := decision.Action == Forward; placed != test.placed || !placed && decision.Reason != errkind.Stale {
+			t.Errorf("copy %d, held for %v: %+v", test.attempt, test.held, decision)
 		}
 	}
 }
--- a/internal/steering/lately.go
+++ b/internal/steering/lately.go
@@ -42,8 +42,8 @@
 		return 0
 	}
 	placers := s.placers(local)
-	known := min(placers*state.recentPlaced, state.work()+state.others.Requests)
-	return placers*state.recentPlacements(now)*recentWindow/placedWindow.Seconds() - known
+	counted := min(placers*state.recentPlaced, state.work()+state.others.Requests)
+	return placers*state.recentPlacements(now)*recentWindow/placedWindow.Seconds() - counted
 }
 
 // placers returns the number of balancers that place flows at the same back ends: those of the
--- a/internal/steering/locate.go
+++ b/internal/steering/locate.go
@@ -45,10 +45,10 @@
 // once copies are known to have gone to two back ends: either may have answered first, and the tag
 // is that of the later answer.
 type search struct {
-	at       time.Duration
-	attempts int
-	openedAt settings.BackendID
-	disputed bool
+	at              time.Duration
+	attempts        int
+	reportedBackend settings.BackendID
+	disputed        bool
 	// firstNamed is the back end named by the tag of the first packet that is known to have
 	// arrived, here or at another balancer, 0 for none. Its caller had received no other answer by
 	// then.
@@ -78,12 +78,12 @@
 
 // mayBeOpenElsewhere reports whether the flow may be open at another back end than the packet's tag
 // or its record says.
-func (s *Steerer) opensElsewhere(now time.Duration, known *record, packet *Packet) bool {
-	if !known.opening || packet.Kind == Abort || s.config.Mechanisms.NoPins {
+func (s *Steerer) opensElsewhere(now time.Duration, rec *record, packet *Packet) bool {
+	if !rec.opening || packet.Kind == Abort || s.config.Mechanisms.NoPins {
 		return false
 	}
 	// Only a flow that is open at the named back end returns the tag of later packets.
-	return len(s.view.Tagged(packet.Tag)) == 0 && !known.confirmsOpening(now, packet)
+	return len(s.view.Tagged(packet.Tag)) == 0 && !rec.confirmsOpening(now, packet)
 }
 
 // startSearch queues an inquiry to other balancers for the packet's flow. It reports whether the
@@ -92,21 +92,21 @@
 	if packet.Waited || packet.Kind == Abort || s.view.Revision == 0 || s.config.Mechanisms.NoInquiries {
 		return false
 	}
-	last, sought := s.searches[packet.Flow]
-	if sought && now-last.at < searchInterval {
+	last, found := s.searches[packet.Flow]
+	if found && now-last.at < searchInterval {
 		return now-last.at < CopyWait
 	}
 	if !s.takeSearchToken(now) {
 		return false
 	}
 	last.at, last.attempts = now, last.attempts+1
-	begin := openingSequence(packet)
-	if known := s.flows[packet.Flow]; known != nil {
-		last.disputed = last.disputed || known.left != 0 || !known.opensBy(packet, known.member.Tag)
-		begin = known.openSequence
+	openSequence := openingSequence(packet)
+	if rec := s.flows[packet.Flow]; rec != nil {
+		last.disputed = last.disputed || rec.left != 0 || !rec.opensBy(packet, rec.member.Tag)
+		openSequence = rec.openSequence
 	}
 	inquiry := Inquiry{Flow: packet.Flow, Acknowledged: packet.Acknowledged}
-	if member := s.named(packet, begin); member != nil && begin == openingSequence(packet) {
+	if member := s.named(packet, openSequence); member != nil && openSequence == openingSequence(packet) {
 		inquiry.Backend = member.ID
 	}
 	if last.firstNamed == 0 {
@@ -141,8 +141,8 @@
 // isSearched reports whether a flow's first packet has arrived here recently: a server has answered
 // its opening packet, and a second one must not.
 func (s *Steerer) isSought(now time.Duration, key flow.Key) bool {
-	search, sought := s.searches[key]
-	return sought && now-search.at <= openTimeout
+	search, found := s.searches[key]
+	return found && now-search.at <= openTimeout
 }
 
 // searchResult returns the back end to which a flow's first packet may go, given the one that its
@@ -150,9 +150,9 @@
 // sent the opening packet there, or if enough searches were made. Where copies went to two back
 // ends, the one that the caller named first is used.
 func (s *Steerer) mayFollow(key flow.Key, named *directory.Member) *directory.Member {
-	search, sought := s.searches[key]
+	search, found := s.searches[key]
 	switch {
-	case named == nil || !sought || search.openedAt == named.ID && !search.disputed:
+	case named == nil || !found || search.reportedBackend == named.ID && !search.disputed:
 		return named
 	case search.attempts < maxSearches:
 		return nil
@@ -178,15 +178,15 @@
 func (s *Steerer) Locate(now time.Duration, inquiries []Inquiry) []Location {
 	var locations []Location
 	for _, inquiry := range inquiries {
-		known := s.flows[inquiry.Flow]
+		rec := s.flows[inquiry.Flow]
 		switch {
-		case known == nil || known.closed:
-		case known.opening:
-			known.inquired = true
+		case rec == nil || rec.closed:
+		case rec.opening:
+			rec.inquired = true
 			s.recordFirstNamed(now, inquiry)
-			locations = append(locations, Location{Flow: inquiry.Flow, Backend: known.member.ID, Acknowledged: inquiry.Acknowledged, Opening: true})
-		case inLocateWindow(inquiry.Acknowledged, known.acknowledged):
-			locations = append(locations, Location{Flow: inquiry.Flow, Backend: known.member.ID, Acknowledged: inquiry.Acknowledged})
+			locations = append(locations, Location{Flow: inquiry.Flow, Backend: rec.member.ID, Acknowledged: inquiry.Acknowledged, Opening: true})
+		case inLocateWindow(inquiry.Acknowledged, rec.acknowledged):
+			locations = append(locations, Location{Flow: inquiry.Flow, Backend: rec.member.ID, Acknowledged: inquiry.Acknowledged})
 		}
 	}
 	return locations
@@ -195,7 +195,7 @@
 // recordFirstNamed records the back end that the caller's first packet named at another balancer,
 // unless such a packet has already arrived here.
 func (s *Steerer) recordFirstNamed(now time.Duration, inquiry Inquiry) {
-	if _, sought := s.searches[inquiry.Flow]; !sought && inquiry.Backend != 0 {
+	if _, found := s.searches[inquiry.Flow]; !found && inquiry.Backend != 0 {
 		s.searches[inquiry.Flow] = search{at: now - searchInterval, firstNamed: inquiry.Backend}
 	}
 }
@@ -211,11 +211,11 @@
 			continue
 		}
 		member := s.view.Member(location.Backend)
-		known := s.flows[location.Flow]
-		if member == nil || known != nil && !known.opening {
+		rec := s.flows[location.Flow]
+		if member == nil || rec != nil && !rec.opening {
 			continue
 		}
-		s.forget(known)
+		s.forget(rec)
 		s.remember(&record{
 			key:          location.Flow,
 			member:       member,
@@ -231,14 +231,14 @@
 // receiveOpening records where another balancer has sent the opening packet of a flow that is
 // searched here.
 func (s *Steerer) receiveOpening(location Location) {
-	search, sought := s.searches[location.Flow]
-	if !sought {
+	search, found := s.searches[location.Flow]
+	if !found {
 		return
 	}
-	known := s.flows[location.Flow]
-	if known != nil && known.member.ID != location.Backend || search.openedAt != 0 && search.openedAt != location.Backend {
+	rec := s.flows[location.Flow]
+	if rec != nil && rec.member.ID != location.Backend || search.reportedBackend != 0 && search.reportedBackend != location.Backend {
 		search.disputed = true
 	}
-	search.openedAt = location.Backend
+	search.reportedBackend = location.Backend
 	s.searches[location.Flow] = search
 }
--- a/internal/steering/lost.go
+++ b/internal/steering/lost.go
@@ -39,17 +39,17 @@
 }
 
 // recordUnansweredCaller records that a caller has retransmitted data without a response.
-func (s *Steerer) noteStall(now time.Duration, known *record) {
-	b := known.backend
+func (s *Steerer) noteStall(now time.Duration, rec *record) {
+	b := rec.backend
 	if s.config.Mechanisms.NoResets {
 		return
 	}
-	if b.progress >= known.askedAt {
+	if b.progress >= rec.askedAt {
 		b.pool.noteRepeated(1)
 		return
 	}
 	b.lastUnansweredAt = now
-	if caller := known.key.Caller.Addr(); len(b.unansweredCallers) < maxUnansweredCallers && !slices.Contains(b.unansweredCallers, caller) {
+	if caller := rec.key.Caller.Addr(); len(b.unansweredCallers) < maxUnansweredCallers && !slices.Contains(b.unansweredCallers, caller) {
 		b.unansweredCallers = append(b.unansweredCallers, caller)
 	}
 	s.requestUrgentReport(now)
@@ -72,17 +72,17 @@
 	if len(b.unansweredCallers) == 0 && len(b.reports) == 0 || now-b.progress < minDownSilence {
 		return false
 	}
-	b.reports = slices.DeleteFunc(b.reports, func(h receivedReport) bool { return now-h.receivedAt > reportLifetime })
+	b.reports = slices.DeleteFunc(b.reports, func(r receivedReport) bool { return now-r.receivedAt > reportLifetime })
 	// A back end whose entry was removed is not retried.
-	if !b.recentlyUnanswered(now) && !s.view.Departed(b.id) && !slices.ContainsFunc(b.reports, func(h receivedReport) bool { return h.callers > 0 }) {
+	if !b.recentlyUnanswered(now) && !s.view.Departed(b.id) && !slices.ContainsFunc(b.reports, func(r receivedReport) bool { return r.callers > 0 }) {
 		return false
 	}
 	callers := len(b.unansweredCallers)
-	for _, heard := range b.reports {
-		if now-heard.lastResponse < minDownSilence {
+	for _, report := range b.reports {
+		if now-report.lastResponse < minDownSilence {
 			return false
 		}
-		callers += heard.callers
+		callers += report.callers
 	}
 	if callers < b.pool.minDownCallers() || s.likelyIsolated(now) {
 		return false
@@ -104,16 +104,16 @@
 // other balancers do not count: in a large fleet the back ends reported down can outnumber the few
 // that one balancer observes.
 func (s *Steerer) likelyIsolated(now time.Duration) bool {
-	silent, lively := 0, 0
+	unresponsive, responsive := 0, 0
 	for _, b := range s.backends {
 		switch {
 		case b.recentlyUnanswered(now):
-			silent++
+			unresponsive++
 		case now-b.progress < responsiveWindow:
-			lively++
+			responsive++
 		}
 	}
-	return silent >= lively
+	return unresponsive >= responsive
 }
 
 // TakeResets returns the flows that were reset since the last call.
--- a/internal/steering/lost_test.go
+++ b/internal/steering/lost_test.go
@@ -13,8 +13,8 @@
 
 var otherBalancer = netip.MustParseAddrPort("10.0.9.1:8166")
 
-// silentFleet is a fleet whose feed may be repeated, and in which callers 0 to 19 have open
-// flows at back end 1, which has said nothing since.
+// newSilentFleet returns a fleet where requests to the feed may be repeated and callers 0 to 19
+// have open flows at back end 1, which has not responded since.
 func newSilentFleet(t *testing.T) *fleet {
 	f := newFleet(t)
 	f.revision++
@@ -29,7 +29,7 @@
 	for caller := range 20 {
 		f.established(caller, feedAddress, 1, 1, 0)
 	}
-	// Others are in use and well.
+	// The other back ends are in use and respond.
 	for caller := 20; caller < 60; caller++ {
 		f.opened(caller, feedAddress)
 	}
@@ -38,7 +38,7 @@
 	return f
 }
 
-// lively lets the other back ends answer something.
+// answerOthers makes the other back ends answer a request.
 func (f *fleet) answerOthers() {
 	for id := directory.Tag(2); id <= 6; id++ {
 		caller := 1000*int(id) + int(f.now/time.Millisecond)
@@ -47,26 +47,25 @@
 	}
 }
 
-// ask sends a caller's request, and again after 200 ms.
+// requestUnanswered sends a request of each caller, and retransmits it after 200 ms.
 func (f *fleet) requestUnanswered(callers ...int) Verdict {
-	var verdict Verdict
+	var decision Verdict
 	for _, caller := range callers {
-		verdict = f.established(caller, feedAddress, 1, 1, 100)
+		decision = f.established(caller, feedAddress, 1, 1, 100)
 	}
 	f.pass(200 * time.Millisecond)
 	f.answerOthers()
 	for _, caller := range callers {
-		verdict = f.established(caller, feedAddress, 1, 1, 100)
+		decision = f.established(caller, feedAddress, 1, 1, 100)
 	}
-	return verdict
+	return decision
 }
 
-// TestFlowsAtALostBackEndAreReset once several callers have asked in vain: those that wait at
-// once, others when they ask.
-func TestFlowsAtALostBackEndAreReset(t *testing.T) {
+// Flows with pending requests are reset at once, others on their next request.
+func TestFlowsAtADownBackEndAreReset(t *testing.T) {
 	f := newSilentFleet(t)
-	if verdict := f.requestUnanswered(0, 1, 2); verdict.Action != Forward || f.steerer.TakeResets() != nil {
-		t.Fatalf("three callers are enough: %+v", verdict)
+	if decision := f.requestUnanswered(0, 1, 2); decision.Action != Forward || f.steerer.TakeResets() != nil {
+		t.Fatalf("three callers mark the back end down: %+v", decision)
 	}
 	f.pass(200 * time.Millisecond)
 	f.requestUnanswered(3)
@@ -76,24 +75,24 @@
 	}
 	for _, reset := range resets {
 		if reset.Acknowledged != 1 || reset.Backend != 1 || reset.Flow.Service != feedAddress {
-			t.Errorf("%+v", reset)
+			t.Errorf("reset: %+v", reset)
 		}
 	}
-	verdict := f.established(7, feedAddress, 1, 1, 100)
-	if verdict.Action != Refuse || verdict.Reason != errkind.BackendLost {
-		t.Errorf("a later request: %+v", verdict)
+	decision := f.established(7, feedAddress, 1, 1, 100)
+	if decision.Action != Refuse || decision.Reason != errkind.BackendLost {
+		t.Errorf("later request: %+v", decision)
 	}
-	if verdict := f.established(8, feedAddress, 1, 1, 0); verdict.Action != Forward {
-		t.Errorf("a packet without a request: %+v", verdict)
+	if decision := f.established(8, feedAddress, 1, 1, 0); decision.Action != Forward {
+		t.Errorf("packet without a request: %+v", decision)
 	}
 	f.established(9, splitAddress, 1, 1, 100)
-	if verdict := f.established(9, splitAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("a request that may not run twice: %+v", verdict)
+	if decision := f.established(9, splitAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request that must not be repeated: %+v", decision)
 	}
 }
 
-// TestASignOfLifeKeepsFlows, whether it is seen before or after callers asked in vain.
-func TestASignOfLifeKeepsFlows(t *testing.T) {
+// The response may come before or after the callers retransmit.
+func TestAResponsePreventsResets(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2)
 	f.established(10, feedAddress, 1, 50, 0)
@@ -108,36 +107,35 @@
 		t.Fatal("no flow is reset")
 	}
 	f.established(10, feedAddress, 1, 50, 0)
-	if verdict := f.established(11, feedAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("after an answer: %+v", verdict)
+	if decision := f.established(11, feedAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request after a response: %+v", decision)
 	}
 }
 
-// TestCallersOfAllBalancersCount, each with its own.
-func TestCallersOfAllBalancersCount(t *testing.T) {
+// Each balancer contributes its own callers; a repeated report counts once.
+func TestCallersOfAllBalancersAreSummed(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0)
 	if !f.steerer.TakeAlarm() {
-		t.Error("others do not hear at once that a back end is silent")
+		t.Error("no urgent report of an unresponsive back end")
 	}
-	if stalls := f.steerer.Stalls(f.now, 8); len(stalls) != 1 || stalls[0].Backend != 1 || stalls[0].Callers != 1 || stalls[0].Silence < time.Second {
-		t.Errorf("others hear %+v", stalls)
+	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Backend != 1 || reports[0].Callers != 1 || reports[0].Silence < time.Second {
+		t.Errorf("reports: %+v", reports)
 	}
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 2, Silence: time.Second}})
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 2, Silence: time.Second}})
 	if resets := f.steerer.TakeResets(); resets != nil {
-		t.Fatalf("one balancer's word counts twice: %+v", resets)
+		t.Fatalf("a repeated report counts twice: %+v", resets)
 	}
 	third := netip.AddrPortFrom(otherBalancer.Addr().Next(), otherBalancer.Port())
 	f.steerer.HearStalls(f.now, third, []Stall{{Backend: 1, Callers: 1, Silence: time.Second}})
 	if resets := f.steerer.TakeResets(); len(resets) != 1 {
-		t.Errorf("four callers at three balancers: %+v", resets)
+		t.Errorf("four callers at three balancers: resets %+v", resets)
 	}
 }
 
-// TestWherePacketsAreLostMoreCallersAreWanted: if one request in five is sent again though its
-// back end is well, a few callers that do so at once are no evidence.
-func TestWherePacketsAreLostMoreCallersAreWanted(t *testing.T) {
+// At a high retransmission rate a few retransmitting callers are no evidence.
+func TestPacketLossRaisesMinDownCallers(t *testing.T) {
 	f := newSilentFleet(t)
 	for caller := range 100 {
 		id := directory.Tag(2 + caller%5)
@@ -150,17 +148,18 @@
 	}
 	f.requestUnanswered(0, 1, 2, 3, 4, 5)
 	if resets := f.steerer.TakeResets(); resets != nil {
-		t.Fatalf("six callers are enough: %+v", resets)
+		t.Fatalf("six callers mark the back end down: %+v", resets)
 	}
 	others := []Stall{{Backend: 1, Callers: 6, Silence: time.Second}}
 	f.steerer.HearStalls(f.now, otherBalancer, others)
 	if resets := f.steerer.TakeResets(); len(resets) != 6 {
-		t.Errorf("of twelve callers %d flows are reset", len(resets))
+		t.Errorf("%d flows are reset, want 6", len(resets))
 	}
 }
 
-// TestAnotherBalancerContradicts: it has just heard of the back end.
-func TestAnotherBalancerContradicts(t *testing.T) {
+// A balancer that has just seen a response overrules callers here, and this one overrules others
+// likewise.
+func TestAReportedResponsePreventsResets(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2)
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 0, Silence: 10 * time.Millisecond}})
@@ -168,25 +167,25 @@
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
 	}
-	// This one contradicts in turn, of a back end that it knows to be well.
+	// This balancer contradicts a report on a back end that it knows to respond.
 	f.pass(300 * time.Millisecond)
 	f.answerOthers()
 	f.steerer.TakeAlarm()
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 2, Callers: 5, Silence: time.Second}})
 	if f.steerer.TakeResets() != nil || !f.steerer.TakeAlarm() {
-		t.Error("it is not told at once that a back end is well")
+		t.Error("no urgent report that the back end responds")
 	}
 	found := false
-	for _, stall := range f.steerer.Stalls(f.now, 8) {
-		found = found || stall.Backend == 2 && stall.Callers == 0 && stall.Silence < 100*time.Millisecond
+	for _, report := range f.steerer.Stalls(f.now, 8) {
+		found = found || report.Backend == 2 && report.Callers == 0 && report.Silence < 100*time.Millisecond
 	}
 	if !found {
-		t.Errorf("others hear %+v", f.steerer.Stalls(f.now, 8))
+		t.Errorf("reports: %+v", f.steerer.Stalls(f.now, 8))
 	}
 }
 
-// TestOneCallerIsNoEvidence: its own link may be down.
-func TestOneCallerIsNoEvidence(t *testing.T) {
+// The caller's own link may be down.
+func TestOneCallerMarksNoBackEndDown(t *testing.T) {
 	f := newSilentFleet(t)
 	for range 6 {
 		f.requestUnanswered(0)
@@ -197,8 +196,8 @@
 	}
 }
 
-// TestABalancerThatIsCutOffResetsNothing: all back ends are silent to it.
-func TestABalancerThatIsCutOffResetsNothing(t *testing.T) {
+// All back ends are silent to the balancer, so it is probably isolated itself.
+func TestAnIsolatedBalancerResetsNothing(t *testing.T) {
 	f := newSilentFleet(t)
 	f.pass(3 * time.Second)
 	for round := range 2 {
@@ -216,9 +215,9 @@
 	}
 }
 
-// TestOnesThatOthersLostDoNotCutABalancerOff: several back ends fell silent at once. Others told of
-// three, two more answer here, and the callers of a sixth ask in vain.
-func TestOnesThatOthersLostDoNotCutABalancerOff(t *testing.T) {
+// Several back ends go silent at once: three are reported down, two respond here, and callers of a
+// sixth retransmit. The reported ones do not count towards isolation.
+func TestReportedDownBackEndsAreNoSignOfIsolation(t *testing.T) {
 	f := newSilentFleet(t)
 	f.pass(time.Second)
 	for id := settings.BackendID(3); id <= 5; id++ {
@@ -240,15 +239,16 @@
 	}
 }
 
-// TestWhatAnotherBalancerForwardedIsNoSignOfLife: a flow went on through another one, and comes back
-// with a request, or its end, that shows answers of before.
-func TestWhatAnotherBalancerForwardedIsNoSignOfLife(t *testing.T) {
+// A flow that passed through another balancer returns with a request or its end, which acknowledges
+// earlier answers.
+func TestAnswersThroughAnotherBalancerAreNoResponse(t *testing.T) {
 	for name, test := range map[string]struct {
-		// asked is whether the flow last asked here, a second ago, and was answered elsewhere.
-		asked  bool
-		kind   Kind
-		data   int
-		living bool
+		// requestedHere is set where the flow sent a request here a second ago, which was answered
+		// elsewhere.
+		requestedHere bool
+		kind          Kind
+		data          int
+		living        bool
 	}{
 		"a request":                    {false, Established, 100, false},
 		"the end of the flow":          {false, Close, 0, false},
@@ -257,24 +257,24 @@
 		"one after a request long ago": {true, Established, 0, true},
 	} {
 		f := newSilentFleet(t)
-		if test.asked {
+		if test.requestedHere {
 			f.established(3, feedAddress, 1, 1, 100)
 			f.pass(time.Second)
 		}
 		state := f.state(1)
 		before := state.progress
 		f.steerer.Steer(f.now, &Packet{Flow: key(3, feedAddress), Kind: test.kind, Tag: 1, Sequence: 5000, Acknowledged: 9000, Payload: test.data})
-		if living := state.progress > before; living != test.living {
-			t.Errorf("%s: a sign of life: %v", name, living)
+		if responded := state.progress > before; responded != test.living {
+			t.Errorf("%s: counted as a response: %v", name, responded)
 		}
 		if test.data > 0 && state.active != 1 || test.data == 0 && state.active != 0 {
-			t.Errorf("%s: %d requests count as under way", name, state.active)
+			t.Errorf("%s: %d active requests", name, state.active)
 		}
 	}
 }
 
-// TestALostBackEndIsTriedAgain: what lasts for a moment must not end flows for good.
-func TestALostBackEndIsTriedAgain(t *testing.T) {
+// A temporary outage must not keep resetting flows.
+func TestADownBackEndIsRetried(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
@@ -282,38 +282,37 @@
 	}
 	f.pass(downPeriod + time.Second)
 	f.answerOthers()
-	if verdict := f.established(12, feedAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("after a while: %+v", verdict)
+	if decision := f.established(12, feedAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request after downPeriod: %+v", decision)
 	}
-	for _, stall := range f.steerer.Stalls(f.now, 8) {
-		t.Errorf("others still hear of it: %+v", stall)
+	for _, report := range f.steerer.Stalls(f.now, 8) {
+		t.Errorf("still reported: %+v", report)
 	}
-	// It is silent still: a single caller that asks in vain is enough now.
+	// It is still silent: a single retransmitting caller is enough.
 	f.pass(200 * time.Millisecond)
 	f.answerOthers()
 	f.established(12, feedAddress, 1, 1, 100)
 	if resets := f.steerer.TakeResets(); len(resets) != 1 {
-		t.Errorf("a back end that was lost is silent again: %d resets", len(resets))
+		t.Errorf("back end unresponsive after downPeriod: %d resets, want 1", len(resets))
 	}
 }
 
-// TestALostBackEndTakesNoNewFlow: it is known better than by a doubt that nobody is answered there.
-func TestALostBackEndTakesNoNewFlow(t *testing.T) {
+// A down back end gets no new flow.
+func TestADownBackEndGetsNoNewFlow(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
 	for caller := 300; caller < 360; caller++ {
-		if verdict := f.open(caller, feedAddress, 0); verdict.Backend.ID == 1 {
-			t.Fatal("a new flow goes to a back end that is lost")
+		if decision := f.open(caller, feedAddress, 0); decision.Backend.ID == 1 {
+			t.Fatal("a new flow goes to a back end that is down")
 		}
 	}
 }
 
-// TestStallsAreToldInOneOrder: those that leave the most callers first, and never by the order
-// of a map.
-func TestStallsAreToldInOneOrder(t *testing.T) {
+// Reports are sorted by descending number of callers, independent of map order.
+func TestUnresponsiveReportsAreSorted(t *testing.T) {
 	f := newSilentFleet(t)
 	for id := settings.BackendID(1); id <= 6; id++ {
 		state := f.state(id)
@@ -323,18 +322,18 @@
 		}
 	}
 	for range 20 {
-		var told []settings.BackendID
-		for _, stall := range f.steerer.Stalls(f.now, 4) {
-			told = append(told, stall.Backend)
+		var reported []settings.BackendID
+		for _, report := range f.steerer.Stalls(f.now, 4) {
+			reported = append(reported, report.Backend)
 		}
-		if want := []settings.BackendID{2, 5, 1, 4}; !slices.Equal(told, want) {
-			t.Fatalf("told are %v, want %v", told, want)
+		if want := []settings.BackendID{2, 5, 1, 4}; !slices.Equal(reported, want) {
+			t.Fatalf("reported back ends %v, want %v", reported, want)
 		}
 	}
 }
 
-// TestFewRepetitionsMayBeFewByChance: of 127 requests 3 were sent again where 6 were to be expected.
-func TestFewRepetitionsMayBeFewByChance(t *testing.T) {
+// Three retransmissions in 127 requests may be chance where six are typical.
+func TestMinDownCallersAllowsForSamplingError(t *testing.T) {
 	for _, test := range []struct {
 		asked, vain float64
 		want        int
@@ -347,13 +346,13 @@
 	} {
 		pool := &poolState{repeatedLong: repetitions{asked: test.asked, vain: test.vain}}
 		if got := pool.minDownCallers(); got != test.want {
-			t.Errorf("%.0f of %.0f sent again: %d callers make a back end lost, want %d", test.vain, test.asked, got, test.want)
+			t.Errorf("%.0f of %.0f retransmitted: minDownCallers is %d, want %d", test.vain, test.asked, got, test.want)
 		}
 	}
 }
 
-// TestAFlowThatOpenedElsewhereIsNotReset: a copy of its opening packet was placed here at a back end
-// that is lost by now, and another one answered the copy that went through another balancer.
+// A copy of the opening packet was placed here at a back end that is now down, and another back end
+// answered the copy through another balancer.
 func TestAFlowThatOpenedElsewhereIsNotReset(t *testing.T) {
 	f := newSilentFleet(t)
 	caller := 200
@@ -366,17 +365,17 @@
 	f.pass(100 * time.Millisecond)
 	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
-		t.Fatal("the back end is not lost")
+		t.Fatal("the back end is not down")
 	}
-	verdict := f.established(caller, feedAddress, 2, 1, 100)
-	if verdict.Action != Forward || verdict.Backend.ID != 2 {
-		t.Errorf("a packet of a flow that is open at another back end: %+v", verdict)
+	decision := f.established(caller, feedAddress, 2, 1, 100)
+	if decision.Action != Forward || decision.Backend.ID != 2 {
+		t.Errorf("packet of a flow that is open at another back end: %+v", decision)
 	}
 }
 
-// TestADoubtOfAnotherBalancerCountsBesideAnUnansweredFlow: the copy of its opening packet goes
-// elsewhere, unless packets get lost so often that both may be chance.
-func TestADoubtOfAnotherBalancerCountsBesideAnUnansweredFlow(t *testing.T) {
+// The copy of the opening packet moves to another back end, unless packet loss is so high that both
+// may be chance.
+func TestAReportedSuspectCountsAsAnUnansweredFlow(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
 		f.pass(time.Second)
@@ -388,13 +387,13 @@
 		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{first.Backend.ID})
 		copied := f.open(1, feedAddress, 1)
 		if moved := copied.Backend.ID != first.Backend.ID; moved == lossy {
-			t.Errorf("packets are lost: %v, the copy moves: %v", lossy, moved)
+			t.Errorf("lossy %v: copy moves %v", lossy, moved)
 		}
 	}
 }
 
-// TestADoubtIsToldAtOnce, unless most doubts are lost packets.
-func TestADoubtIsToldAtOnce(t *testing.T) {
+// A suspect back end is reported at once, unless packet loss is the likely cause.
+func TestASuspectIsReportedAtOnce(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
 		f.pass(time.Second)
@@ -404,48 +403,48 @@
 		}
 		f.pass(2 * answerTime)
 		f.open(2, feedAddress, 0)
-		if alarm := f.steerer.TakeAlarm(); alarm == lossy {
-			t.Errorf("packets are lost: %v, others are told at once: %v", lossy, alarm)
+		if urgent := f.steerer.TakeAlarm(); urgent == lossy {
+			t.Errorf("lossy %v: urgent report %v", lossy, urgent)
 		}
 	}
 }
 
-// TestABalancerTakesOverWhatIsLost from one that found it out, for no longer than that one says, and
-// until anybody sees a sign of life.
-func TestABalancerTakesOverWhatIsLost(t *testing.T) {
-	lost := Stall{Backend: 1, Callers: 2, Silence: 2 * time.Second, Lost: time.Second}
+// The reported down state lasts no longer than the sender says, and ends when any balancer sees a
+// response.
+func TestAReportedDownStateIsAdopted(t *testing.T) {
+	down := Stall{Backend: 1, Callers: 2, Silence: 2 * time.Second, Lost: time.Second}
 	f := newSilentFleet(t)
 	f.established(0, feedAddress, 1, 1, 100)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
-	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Reason != errkind.BackendLost {
-		t.Errorf("a request at a back end that another balancer lost: %+v", verdict)
+	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
+	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Reason != errkind.BackendLost {
+		t.Errorf("request at a back end that is reported down: %+v", decision)
 	}
 	f.pass(1100 * time.Millisecond)
 	f.answerOthers()
-	if verdict := f.established(2, feedAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("after the time that was told: %+v", verdict)
+	if decision := f.established(2, feedAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request after the reported down time: %+v", decision)
 	}
 
 	f = newSilentFleet(t)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
+	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
 	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Silence: 5 * time.Millisecond}})
-	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("another balancer saw a sign of life since: %+v", verdict)
+	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request after another balancer reported a response: %+v", decision)
 	}
 
 	f = newSilentFleet(t)
 	f.established(0, feedAddress, 1, 2, 0)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{lost})
-	if verdict := f.established(1, feedAddress, 1, 1, 100); verdict.Action != Forward {
-		t.Errorf("this balancer has just seen a sign of life: %+v", verdict)
+	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
+	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Action != Forward {
+		t.Errorf("request after a response at this balancer: %+v", decision)
 	}
 	if !f.steerer.TakeAlarm() {
-		t.Error("the other one does not hear of it")
+		t.Error("no urgent report of the response")
 	}
 }
 
-// TestADepartedBackEndStaysLost: its entry is gone as well, and nobody need try it again.
-func TestADepartedBackEndStaysLost(t *testing.T) {
+// A down back end whose entry was removed is not retried.
+func TestARemovedBackEndStaysDown(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
@@ -454,25 +453,25 @@
 	f.vanish(1)
 	f.pass(downPeriod + time.Second)
 	f.answerOthers()
-	if verdict := f.established(12, feedAddress, 1, 1, 100); verdict.Reason != errkind.BackendLost {
-		t.Errorf("a request at a back end that is lost and gone: %+v", verdict)
+	if decision := f.established(12, feedAddress, 1, 1, 100); decision.Reason != errkind.BackendLost {
+		t.Errorf("request at a back end that is down and removed: %+v", decision)
 	}
 }
 
-// TestWhatIsLostIsNotRenewedByWordOfMouth: callers that asked in vain are told while that is news, and
-// after that only for how much longer the back end is lost.
-func TestWhatIsLostIsNotRenewedByWordOfMouth(t *testing.T) {
+// Retransmitting callers are reported only while they are recent, and then only the remaining down
+// time.
+func TestReportsDoNotRenewTheDownState(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2, 3)
-	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 4 || told[0].Lost != downPeriod {
-		t.Errorf("at once %+v is told", told)
+	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Callers != 4 || reports[0].Lost != downPeriod {
+		t.Errorf("reports at once: %+v", reports)
 	}
 	f.pass(time.Second)
-	if told := f.steerer.Stalls(f.now, 8); len(told) != 1 || told[0].Callers != 0 || told[0].Lost != downPeriod-time.Second {
-		t.Errorf("a second later %+v is told", told)
+	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Callers != 0 || reports[0].Lost != downPeriod-time.Second {
+		t.Errorf("reports a second later: %+v", reports)
 	}
 	f.pass(downPeriod)
-	if told := f.steerer.Stalls(f.now, 8); len(told) != 0 {
-		t.Errorf("in the end %+v is told", told)
+	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 0 {
+		t.Errorf("reports after downPeriod: %+v", reports)
 	}
 }
--- a/internal/steering/outlier.go
+++ b/internal/steering/outlier.go
@@ -46,13 +46,13 @@
 
 // classifyAnswer evaluates the answer to a flow's last request, once the next request or the end of
 // the flow shows that it is complete.
-func (s *Steerer) noteAnswer(now time.Duration, known *record) {
-	if s.config.Mechanisms.NoOutliers || known.member.ColdUntil > now {
+func (s *Steerer) noteAnswer(now time.Duration, rec *record) {
+	if s.config.Mechanisms.NoOutliers || rec.member.ColdUntil > now {
 		return
 	}
-	evidence := s.baselineOf(s.baselineKeyOf(known)).add(known.acknowledged-known.responseStart, known.answerTime)
-	known.answerTime = 0
-	b := known.backend
+	evidence := s.baselineOf(s.baselineKeyOf(rec)).add(rec.acknowledged-rec.responseStart, rec.answerTime)
+	rec.answerTime = 0
+	b := rec.backend
 	b.failureEvidence = min(max(b.failureEvidence+evidence, 0), maxEvidence)
 	if evidence > 0 && b.failureEvidence >= minEvidence {
 		b.failures++
@@ -66,13 +66,13 @@
 // counts with at least the mean load for a while, so that its first flows show whether it still
 // fails.
 func (s *Steerer) weighFailures() {
-	out := 0
+	ejected := 0
 	for i := range s.candidates {
 		if c := &s.candidates[i]; c.state.updateEjected(c.failures) {
-			out++
+			ejected++
 		}
 	}
-	if float64(out) > maxEjectedShare*float64(len(s.candidates)) {
+	if float64(ejected) > maxEjectedShare*float64(len(s.candidates)) {
 		return
 	}
 	mean := meanLoads(s.candidates)
@@ -85,27 +85,27 @@
 		if !c.state.out {
 			continue
 		}
-		least := faultCost / float64(max(c.member.Slots, 1))
-		c.load += c.failures * max(mean.load, least)
-		c.soon += c.failures * max(mean.soon, least)
-		c.even += c.failures * max(mean.even, least/recentWindow)
+		minLoad := faultCost / float64(max(c.member.Slots, 1))
+		c.load += c.failures * max(mean.load, minLoad)
+		c.soon += c.failures * max(mean.soon, minLoad)
+		c.even += c.failures * max(mean.even, minLoad/recentWindow)
 	}
 }
 
 // updateEjected ejects or restores a back end by its number of failures, and reports whether it is
 // ejected.
 func (b *backendState) updateEjected(failures float64) bool {
-	out := failures >= ejectFailures || b.out && failures >= restoreFailures
-	if out == b.out {
-		return out
+	ejected := failures >= ejectFailures || b.out && failures >= restoreFailures
+	if ejected == b.out {
+		return ejected
 	}
-	b.out = out
+	b.out = ejected
 	observation := BackInRotation
-	if out {
+	if ejected {
 		observation = OutOfRotation
 	}
 	*b.events = append(*b.events, BackendEvent{Observation: observation, Backend: b.id, Failures: failures})
-	return out
+	return ejected
 }
 
 // meanLoads returns a candidate with the mean loads of all candidates.
--- a/internal/steering/outlier_test.go
+++ b/internal/steering/outlier_test.go
@@ -18,7 +18,7 @@
 	failedTime   = 8 * time.Millisecond
 )
 
-// outlierFleet is a balancer before back ends that answer as a test says.
+// outlierFleet is a balancer with back ends whose answers the test defines.
 type outlierFleet struct {
 	*Steerer
 	address netip.AddrPort
@@ -34,7 +34,8 @@
 	return f
 }
 
-// ask lets a caller open a flow, ask once and leave after the answer; it returns who answered.
+// request opens a flow, sends one request and closes the flow after the answer; it returns the back
+// end.
 func (f *outlierFleet) request(t *testing.T, answer func(id settings.BackendID) (length uint32, latency time.Duration)) settings.BackendID {
 	t.Helper()
 	f.caller++
@@ -46,56 +47,56 @@
 	packet := &Packet{Kind: Open, Sequence: 1}
 	packet.Flow.Caller = netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(f.caller >> 8), byte(f.caller)}), 1024)
 	packet.Flow.Service = f.address
-	verdict := f.Steer(f.now, packet)
-	if verdict.Backend == nil {
-		t.Fatalf("no back end: %v", verdict.Reason)
+	decision := f.Steer(f.now, packet)
+	if decision.Backend == nil {
+		t.Fatalf("flow not placed: %v", decision.Reason)
 	}
-	length, latency := answer(verdict.Backend.ID)
-	packet.Kind, packet.Tag, packet.Sequence, packet.Acknowledged, packet.Payload = Established, verdict.Backend.Tag, 2, 1, 100
+	length, latency := answer(decision.Backend.ID)
+	packet.Kind, packet.Tag, packet.Sequence, packet.Acknowledged, packet.Payload = Established, decision.Backend.Tag, 2, 1, 100
 	f.Steer(f.now, packet)
 	packet.Kind, packet.Sequence, packet.Acknowledged, packet.Payload = Close, 102, 1+length, 0
 	f.Steer(f.now+latency, packet)
-	return verdict.Backend.ID
+	return decision.Backend.ID
 }
 
-// log-normal lengths around the usual one.
+// normalAnswer returns a log-normal length and latency around the typical ones.
 func (f *outlierFleet) normalAnswer(spread float64) (uint32, time.Duration) {
 	return uint32(normalLength * math.Exp(spread*f.random.NormFloat64())), time.Duration(float64(normalTime) * math.Exp(0.5*f.random.NormFloat64()))
 }
 
-// TestABackEndThatAnswersErrorsGetsFewFlows, though it is idle and each of its answers is quick.
+// A failing back end is idle and answers quickly, and must not attract flows for it.
 func TestABackEndThatAnswersErrorsGetsFewFlows(t *testing.T) {
-	const servers, failing, asks = 6, 2, 1000
+	const servers, failing, requests = 6, 2, 1000
 	f := newOutlierFleet(t, servers)
 	failed := 0
-	for i := range 2 * asks {
+	for i := range 2 * requests {
 		id := f.request(t, func(id settings.BackendID) (uint32, time.Duration) {
-			if id <= failing && i >= asks {
+			if id <= failing && i >= requests {
 				return failedLength, failedTime
 			}
 			return f.normalAnswer(0.3)
 		})
-		if id <= failing && i >= asks {
+		if id <= failing && i >= requests {
 			failed++
 		}
 	}
 	// A tenth of their share; 20 s pass.
-	if most := asks * failing / servers / 10; failed > most {
-		t.Errorf("%d of %d requests go to back ends that answer errors", failed, asks)
+	if limit := requests * failing / servers / 10; failed > limit {
+		t.Errorf("%d of %d requests go to failing back ends", failed, requests)
 	}
 	if failed < 2 {
-		t.Errorf("only %d requests find out whether they still fail", failed)
+		t.Errorf("only %d requests probe the failing back ends", failed)
 	}
 	if events := f.TakeEvents(); len(events) == 0 || events[0].Observation != OutOfRotation {
-		t.Errorf("events %v", events)
+		t.Errorf("events: %v", events)
 	}
 	if f.TakeAlarm() != true || len(f.Failures(9)) == 0 {
-		t.Error("others do not hear of it at once")
+		t.Error("no urgent report of the failures")
 	}
 }
 
-// TestABackEndThatAnswersAgainGetsItsShareAgain.
-func TestABackEndThatAnswersAgainGetsItsShareAgain(t *testing.T) {
+// A back end that has recovered must get its full share again.
+func TestARecoveredBackEndRegainsItsShare(t *testing.T) {
 	f := newOutlierFleet(t, 4)
 	counts := map[settings.BackendID]int{}
 	for i := range 4000 {
@@ -110,13 +111,13 @@
 		}
 	}
 	if share := float64(counts[1]) / 1500; share < 0.2 || share > 0.3 {
-		t.Errorf("a back end that has answered well for half a minute gets %.2f of the flows, not a quarter", share)
+		t.Errorf("recovered back end gets %.2f of the flows, want 0.25", share)
 	}
 }
 
-// TestAnswersThatDifferAreNoFailures: where all back ends give some short and quick answers, or a
-// new version of them gives shorter ones, none is taken out.
-func TestAnswersThatDifferAreNoFailures(t *testing.T) {
+// No back end is ejected where all of them give some short and quick answers, or a new version
+// gives shorter ones.
+func TestVaryingAnswersAreNoFailures(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		answer func(f *outlierFleet, id settings.BackendID) (uint32, time.Duration)
@@ -137,56 +138,56 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			const servers, asks = 6, 4000
+			const servers, requests = 6, 4000
 			f := newOutlierFleet(t, servers)
 			counts := map[settings.BackendID]int{}
-			for i := range asks {
+			for i := range requests {
 				id := f.request(t, func(id settings.BackendID) (uint32, time.Duration) { return test.answer(f, id) })
-				if i >= asks/2 {
+				if i >= requests/2 {
 					counts[id]++
 				}
 			}
 			for id, count := range counts {
-				if share := float64(count) / (asks / 2); share < 0.8/servers || share > 1.2/servers {
-					t.Errorf("back end %d gets %.3f of the flows, not %.3f", id, share, 1.0/servers)
+				if share := float64(count) / (requests / 2); share < 0.8/servers || share > 1.2/servers {
+					t.Errorf("back end %d gets %.3f of the flows, want %.3f", id, share, 1.0/servers)
 				}
 			}
 		})
 	}
 }
 
-// TestFailuresThroughOthersCount at once, and fade.
-func TestFailuresThroughOthersCount(t *testing.T) {
+// Reported failures take effect at once.
+func TestReportedFailuresCountAndDecay(t *testing.T) {
 	f := newOutlierFleet(t, 2)
 	f.SetOthersLoad(map[directory.Tag]Load{1: {Failures: 2}})
 	for range 20 {
 		if id := f.request(t, func(settings.BackendID) (uint32, time.Duration) { return f.normalAnswer(0.3) }); id == 1 {
-			t.Fatal("a flow goes to a back end of which another balancer has told two failures")
+			t.Fatal("a flow goes to a back end with two reported failures")
 		}
 	}
 	left := Load{Failures: 2}.Faded(FadingOver(20 * time.Second))
 	if left.Failures >= negligibleFailures {
-		t.Errorf("after 20 s %v failures are left of two", left.Failures)
+		t.Errorf("%v of two failures are left after 20 s", left.Failures)
 	}
 }
 
-// TestABalancerThatStartsHearsWhatAnswersLookLike.
-func TestABalancerThatStartsHearsWhatAnswersLookLike(t *testing.T) {
-	old, fresh := newOutlierFleet(t, 2), newOutlierFleet(t, 2)
+// A balancer that has just started detects failures by the baselines of another one.
+func TestAStartingBalancerAdoptsBaselines(t *testing.T) {
+	running, started := newOutlierFleet(t, 2), newOutlierFleet(t, 2)
 	for range 200 {
-		old.request(t, func(settings.BackendID) (uint32, time.Duration) { return old.normalAnswer(0.3) })
+		running.request(t, func(settings.BackendID) (uint32, time.Duration) { return running.normalAnswer(0.3) })
 	}
-	baselines := old.Baselines(4)
-	if len(baselines) != 1 || baselines[0].Service != old.address {
+	baselines := running.Baselines(4)
+	if len(baselines) != 1 || baselines[0].Service != running.address {
 		t.Fatalf("baselines %v", baselines)
 	}
-	fresh.HearBaselines([]Baseline{{Service: old.address}, {Length: 100, Time: time.Second}, {Service: old.address, Length: 1, Time: -time.Second}})
-	if len(fresh.baselines) != 0 {
-		t.Errorf("baselines that nobody can have seen are taken over: %v", fresh.baselines)
+	started.HearBaselines([]Baseline{{Service: running.address}, {Length: 100, Time: time.Second}, {Service: running.address, Length: 1, Time: -time.Second}})
+	if len(started.baselines) != 0 {
+		t.Errorf("invalid baselines are adopted: %v", started.baselines)
 	}
-	fresh.HearBaselines(baselines)
-	fresh.request(t, func(settings.BackendID) (uint32, time.Duration) { return failedLength, failedTime })
-	if len(fresh.Failures(4)) != 1 {
-		t.Error("the first failure that a balancer sees does not count")
+	started.HearBaselines(baselines)
+	started.request(t, func(settings.BackendID) (uint32, time.Duration) { return failedLength, failedTime })
+	if len(started.Failures(4)) != 1 {
+		t.Error("the first failure does not count")
 	}
 }
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -62,23 +62,23 @@
 }
 
 // addRecord adds a new record, and reports whether there was room for it.
-func (s *Steerer) remember(known *record) bool {
+func (s *Steerer) remember(rec *record) bool {
 	if s.config.MaxFlows > 0 && len(s.flows) >= s.config.MaxFlows {
 		return false
 	}
-	s.flows[known.key] = known
-	known.backend.join(known)
+	s.flows[rec.key] = rec
+	rec.backend.join(rec)
 	return true
 }
 
 // removeRecord removes a record; nil is allowed.
-func (s *Steerer) forget(known *record) {
-	if known == nil {
+func (s *Steerer) forget(rec *record) {
+	if rec == nil {
 		return
 	}
-	known.backend.leave(known)
-	known.waiting = false
-	delete(s.flows, known.key)
+	rec.backend.leave(rec)
+	rec.waiting = false
+	delete(s.flows, rec.key)
 }
 
 // isLateCopy reports whether an opening packet is a late copy of the one that opened this flow. It
@@ -141,16 +141,16 @@
 
 // sent processes the data that a packet carries. It reports whether the caller has retransmitted
 // data because the back end is silent.
-func (r *record) sent(now time.Duration, packet *Packet) (stalled bool) {
+func (r *record) sent(now time.Duration, packet *Packet) (retransmitted bool) {
 	if packet.Payload > 0 {
-		stalled = r.request(now, packet)
+		retransmitted = r.request(now, packet)
 	}
 	if packet.Kind == Close && !r.closed {
 		r.closed = true
 		r.backend.flows--
 		r.cancelRequest()
 	}
-	return stalled
+	return retransmitted
 }
 
 // completesAnswer reports whether a packet shows that the answer to the last request is complete:
@@ -170,7 +170,7 @@
 
 // request processes data of the caller: a new request, more of one, or a retransmission. It reports
 // the first retransmission that counts as evidence that the back end is silent.
-func (r *record) request(now time.Duration, packet *Packet) (stalled bool) {
+func (r *record) request(now time.Duration, packet *Packet) (retransmitted bool) {
 	end := packet.Sequence + uint32(packet.Payload)
 	if r.sequence != 0 && !sequenceAfter(end, r.sequence) {
 		if r.waiting && !r.countedSilent && now-r.askedAt >= minRetransmitDelay {
@@ -220,16 +220,16 @@
 
 // Tick ages all counts by one second and removes expired flows. Call it about once a second.
 func (s *Steerer) Tick(now time.Duration) {
-	for _, known := range s.flows {
-		rested := now - known.lastSeen
+	for _, rec := range s.flows {
+		idle := now - rec.lastSeen
 		switch {
-		case known.opening && rested > openTimeout,
-			known.closed && rested > closedRetention,
-			rested > s.config.FlowLife,
-			now-known.started > 2*s.config.FlowLife:
-			s.forget(known)
-		case rested > idleTimeout:
-			known.cancelRequest()
+		case rec.opening && idle > openTimeout,
+			rec.closed && idle > closedRetention,
+			idle > s.config.FlowLife,
+			now-rec.started > 2*s.config.FlowLife:
+			s.forget(rec)
+		case idle > idleTimeout:
+			rec.cancelRequest()
 		}
 	}
 	for id, state := range s.backends {
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -90,8 +90,8 @@
 // weighSlowness raises the slowdown of candidates that answer clearly slower than typical. New
 // flows then avoid them, so that too few answers show whether they have recovered; a single flow
 // probes them.
-func (s *Steerer) weighSlowness(now time.Duration, usual float64) {
-	if usual == 0 || s.config.Mechanisms.NoPace {
+func (s *Steerer) weighSlowness(now time.Duration, typical float64) {
+	if typical == 0 || s.config.Mechanisms.NoPace {
 		return
 	}
 	for i := range s.candidates {
@@ -99,7 +99,7 @@
 		mean := c.state.meanAnswer()
 		switch {
 		case mean > 0:
-			c.state.setSlowness(mean / usual)
+			c.state.setSlowness(mean / typical)
 		case c.state.slowness > 1 && !c.state.trial && now-c.state.placedAt > probeInterval:
 			c.trial = true
 			continue
--- a/internal/steering/slowness_test.go
+++ b/internal/steering/slowness_test.go
@@ -8,21 +8,21 @@
 	"gaugeyard/internal/settings"
 )
 
-// answeredIn is what another balancer tells of a back end that answers in the time.
-func loadWithLatency(answer time.Duration) Load {
-	return Load{Requests: 20, Answers: 20, Time: 20 * answer.Seconds()}
+// loadWithLatency returns the load that another balancer reports of a back end with the latency.
+func loadWithLatency(latency time.Duration) Load {
+	return Load{Requests: 20, Answers: 20, Time: 20 * latency.Seconds()}
 }
 
-// placedEach opens flows, one in each interval, answers their requests in the time, and
-// counts them by back end.
-func (f *fleet) placeEach(interval time.Duration, flows, from int, answer func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
+// placeEach opens a flow per interval, answers its request after the latency, and counts the flows
+// by back end.
+func (f *fleet) placeEach(interval time.Duration, flows, from int, latency func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
 	counts := map[settings.BackendID]int{}
 	ticked := f.now
 	for caller := from; caller < from+flows; caller++ {
 		member := f.opened(caller, feedAddress)
 		f.established(caller, feedAddress, member.Tag, 1, 100)
 		counts[member.ID]++
-		f.pass(answer(member.ID))
+		f.pass(latency(member.ID))
 		f.established(caller, feedAddress, member.Tag, 200, 0)
 		f.pass(interval)
 		if f.now >= ticked+time.Second {
@@ -33,9 +33,8 @@
 	return counts
 }
 
-// TestSlownessIsKnownFromOthers: a balancer that has seen few answers itself spares the
-// back end that others find slow.
-func TestSlownessIsKnownFromOthers(t *testing.T) {
+// A balancer with few answers of its own avoids a back end that others report as slow.
+func TestSlownessIsLearnedFromReports(t *testing.T) {
 	f := newFleet(t)
 	loads := map[directory.Tag]Load{1: loadWithLatency(250 * time.Millisecond)}
 	for id := directory.Tag(2); id <= 6; id++ {
@@ -48,9 +47,8 @@
 	}
 }
 
-// TestOneFlowFindsOutWhetherASlowBackEndStillIs: too few answers of it come to know otherwise.
-// While it is, one flow in a while meets it; once it is not, it is used like others.
-func TestOneFlowFindsOutWhetherASlowBackEndStillIs(t *testing.T) {
+// A slow back end gets a single flow per probeInterval, and its share once it has recovered.
+func TestASlowBackEndIsProbed(t *testing.T) {
 	f := newFleet(t)
 	slow := func(id settings.BackendID) time.Duration {
 		if id == 1 {
@@ -59,14 +57,14 @@
 		return 50 * time.Millisecond
 	}
 	f.placeEach(0, 100, 0, slow)
-	began := f.now
-	tried := f.placeEach(100*time.Millisecond, 200, 1000, slow)[1]
-	if most := int((f.now-began)/probeInterval) + 1; tried == 0 || tried > most {
-		t.Errorf("%d flows met the slow back end in %v, at most %d should", tried, f.now-began, most)
+	start := f.now
+	probes := f.placeEach(100*time.Millisecond, 200, 1000, slow)[1]
+	if limit := int((f.now-start)/probeInterval) + 1; probes == 0 || probes > limit {
+		t.Errorf("%d flows at the slow back end in %v, want 1 to %d", probes, f.now-start, limit)
 	}
 	quick := func(settings.BackendID) time.Duration { return 50 * time.Millisecond }
 	f.placeEach(100*time.Millisecond, 60, 2000, quick)
 	if counts := f.placeEach(100*time.Millisecond, 100, 3000, quick); counts[1] < 15 {
-		t.Errorf("once it is quick again: %v", counts)
+		t.Errorf("after recovery: flows by back end %v", counts)
 	}
 }
--- a/internal/steering/stalls.go
+++ b/internal/steering/stalls.go
@@ -53,44 +53,44 @@
 // TakeUrgentReport reports whether UnresponsiveReports should be sent to other balancers at once,
 // and resets the request.
 func (s *Steerer) TakeAlarm() bool {
-	alarm := s.alarm
+	urgent := s.alarm
 	s.alarm = false
-	return alarm
+	return urgent
 }
 
 // UnresponsiveReports returns at most count reports on back ends that are unresponsive here or
 // reported so by others: down ones first, then by descending number of callers.
 func (s *Steerer) Stalls(now time.Duration, count int) []Stall {
-	var stalls []Stall
+	var reports []Stall
 	for id, b := range s.backends {
-		known := Stall{Backend: id, Silence: now - b.progress, Lost: max(b.lostUntil-now, 0)}
+		report := Stall{Backend: id, Silence: now - b.progress, Lost: max(b.lostUntil-now, 0)}
 		switch {
 		case b.recentlyUnanswered(now):
 			// Older callers are not reported, since they would renew the state of the receivers.
-			known.Callers = len(b.unansweredCallers)
-			stalls = append(stalls, known)
-		case known.Lost > 0:
-			stalls = append(stalls, known)
+			report.Callers = len(b.unansweredCallers)
+			reports = append(reports, report)
+		case report.Lost > 0:
+			reports = append(reports, report)
 		case len(b.reports) > 0 && now-b.progress < reportLifetime:
-			stalls = append(stalls, known)
+			reports = append(reports, report)
 		}
 	}
-	slices.SortFunc(stalls, func(a, b Stall) int {
+	slices.SortFunc(reports, func(a, b Stall) int {
 		return cmp.Or(cmp.Compare(min(b.Lost, 1), min(a.Lost, 1)), cmp.Compare(b.Callers, a.Callers), cmp.Compare(a.Backend, b.Backend))
 	})
-	return stalls[:min(count, len(stalls))]
+	return reports[:min(count, len(reports))]
 }
 
 // ReceiveUnresponsive processes reports of another balancer. It requests an urgent report if this
 // balancer has seen a later response.
-func (s *Steerer) HearStalls(now time.Duration, from netip.AddrPort, stalls []Stall) {
+func (s *Steerer) HearStalls(now time.Duration, from netip.AddrPort, reports []Stall) {
 	if now-s.resumed < resumeTime || s.config.Mechanisms.NoResets {
 		// The report was queued while the process was suspended.
 		return
 	}
-	var lost []*backendState
-	for _, stall := range stalls {
-		member := s.view.Member(stall.Backend)
+	var down []*backendState
+	for _, report := range reports {
+		member := s.view.Member(report.Backend)
 		if member == nil {
 			continue
 		}
@@ -98,39 +98,39 @@
 		if b.deaf(now) {
 			continue
 		}
-		b.storeReport(receivedReport{from, stall.Callers, now - stall.Silence, now})
-		b.receiveDown(now, &stall)
-		if (stall.Callers > 0 || stall.Lost > 0) && now-b.progress < reportLifetime {
+		b.storeReport(receivedReport{from, report.Callers, now - report.Silence, now})
+		b.receiveDown(now, &report)
+		if (report.Callers > 0 || report.Lost > 0) && now-b.progress < reportLifetime {
 			s.requestUrgentReport(now)
 		}
 		if s.lost(now, b) {
-			lost = append(lost, b)
+			down = append(down, b)
 		}
 	}
-	if len(lost) > 0 {
-		s.endFlows(now, lost...)
+	if len(down) > 0 {
+		s.endFlows(now, down...)
 	}
 }
 
-func (b *backendState) storeReport(heard receivedReport) {
-	at := slices.IndexFunc(b.reports, func(h receivedReport) bool { return h.from == heard.from })
+func (b *backendState) storeReport(report receivedReport) {
+	at := slices.IndexFunc(b.reports, func(r receivedReport) bool { return r.from == report.from })
 	switch {
 	case at >= 0:
-		b.reports[at] = heard
+		b.reports[at] = report
 	case len(b.reports) < maxReports:
-		b.reports = append(b.reports, heard)
+		b.reports = append(b.reports, report)
 	}
 }
 
 // receiveDown adopts the sender's down state for at most the time that the sender has left, so that
 // a balancer that has just started need not find out through callers of its own. A response that
 // the sender saw since the back end was marked down ends the state.
-func (b *backendState) receiveDown(now time.Duration, stall *Stall) {
-	alive := now - stall.Silence
+func (b *backendState) receiveDown(now time.Duration, report *Stall) {
+	lastResponse := now - report.Silence
 	switch {
-	case stall.Lost > 0 && now-b.progress >= minDownSilence:
-		b.lostUntil = max(b.lostUntil, now+min(stall.Lost, downPeriod))
-	case now < b.lostUntil && alive > b.lostUntil-downPeriod && stall.Silence < minDownSilence:
+	case report.Lost > 0 && now-b.progress >= minDownSilence:
+		b.lostUntil = max(b.lostUntil, now+min(report.Lost, downPeriod))
+	case now < b.lostUntil && lastResponse > b.lostUntil-downPeriod && report.Silence < minDownSilence:
 		b.lostUntil, b.unansweredCallers = 0, b.unansweredCallers[:0]
 	}
 }
--- a/internal/steering/unanswered.go
+++ b/internal/steering/unanswered.go
@@ -16,29 +16,29 @@
 }
 
 // add adds a flow with a pending request, unless it is present.
-func (a *awaited) add(known *record) {
-	if known.tracked {
+func (a *awaited) add(rec *record) {
+	if rec.tracked {
 		return
 	}
-	known.tracked = true
-	a.records = append(a.records, known)
+	rec.tracked = true
+	a.records = append(a.records, rec)
 }
 
 // sweep calls visit for each flow whose request is pending and not counted as unanswered, and
 // removes the flows without a pending request.
-func (a *awaited) sweep(visit func(known *record)) {
-	kept := a.records[:0]
-	for _, known := range a.records {
-		if known.waiting && !known.unanswered {
-			visit(known)
+func (a *awaited) sweep(visit func(rec *record)) {
+	pending := a.records[:0]
+	for _, rec := range a.records {
+		if rec.waiting && !rec.unanswered {
+			visit(rec)
 		}
-		known.tracked = known.waiting
-		if known.tracked {
-			kept = append(kept, known)
+		rec.tracked = rec.waiting
+		if rec.tracked {
+			pending = append(pending, rec)
 		}
 	}
-	clear(a.records[len(kept):])
-	a.records = kept
+	clear(a.records[len(pending):])
+	a.records = pending
 }
 
 // checkUnanswered looks for requests that back ends left unanswered. A request that was pending
@@ -49,12 +49,12 @@
 		// Answers may have been missed.
 		return
 	}
-	s.awaited.sweep(func(known *record) {
-		if known.lastSeen < s.resumed+resumeTime {
-			known.unanswered = true
+	s.awaited.sweep(func(rec *record) {
+		if rec.lastSeen < s.resumed+resumeTime {
+			rec.unanswered = true
 			return
 		}
-		known.noteUnanswered(now)
+		rec.noteUnanswered(now)
 	})
 }
 
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// TestRequestsThatWaitedInAStandstillAreNoFaults of back ends: their callers gave them up,
-// or were answered through another balancer.
-func TestRequestsThatWaitedInAStandstillAreNoFaults(t *testing.T) {
-	for name, asks := range map[string]func(f *fleet, ask func()){
-		"asked before the standstill":      func(f *fleet, ask func()) { ask(); f.suspendProcess() },
-		"waited in the queue meanwhile":    func(f *fleet, ask func()) { f.suspendProcess(); ask() },
-		"came while the queue was emptied": func(f *fleet, ask func()) { f.suspendProcess(); f.pass(resumeTime / 2); ask() },
+// Callers abandon requests that are held in a standstill, or are answered through another balancer;
+// they are no evidence against a back end.
+func TestRequestsHeldInAStandstillAreNoFailures(t *testing.T) {
+	for name, scenario := range map[string]func(f *fleet, request func()){
+		"asked before the standstill":      func(f *fleet, request func()) { request(); f.suspendProcess() },
+		"waited in the queue meanwhile":    func(f *fleet, request func()) { f.suspendProcess(); request() },
+		"came while the queue was emptied": func(f *fleet, request func()) { f.suspendProcess(); f.pass(resumeTime / 2); request() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			if faults := f.failuresAfter(asks); faults != 0 {
-				t.Errorf("%v faults", faults)
+			if failures := f.failuresAfter(scenario); failures != 0 {
+				t.Errorf("%v request failures, want 0", failures)
 			}
 		})
 	}
 	f := newFleet(t)
-	faults := f.failuresAfter(func(f *fleet, ask func()) {
+	failures := f.failuresAfter(func(f *fleet, request func()) {
 		f.suspendProcess()
 		f.pass(2 * resumeTime)
-		ask()
+		request()
 	})
-	if faults != 4 {
-		t.Errorf("of 4 requests after a standstill that are never answered, %v count", faults)
+	if failures != 4 {
+		t.Errorf("%v of 4 unanswered requests after a standstill count", failures)
 	}
 }
 
-// standStill lets the process stand still for longer than callers wait.
+// suspendProcess simulates a standstill that is longer than callers wait.
 func (f *fleet) suspendProcess() {
 	f.now += 2 * time.Second
 	f.steerer.Pulse(f.now)
 }
 
-// faultsAfter opens flows, lets asks send a request on each, lets time pass without an
-// answer, and returns how many requests count as left unanswered.
-func (f *fleet) failuresAfter(asks func(f *fleet, ask func())) float64 {
+// failuresAfter opens flows, lets scenario send a request on each, waits without an answer, and
+// returns how many requests count as unanswered.
+func (f *fleet) failuresAfter(scenario func(f *fleet, request func())) float64 {
 	const flows = 4
 	for caller := range flows {
 		f.opened(caller, feedAddress)
 	}
-	asks(f, func() {
+	scenario(f, func() {
 		for caller := range flows {
-			known := f.steerer.flows[key(caller, feedAddress)]
-			f.established(caller, feedAddress, known.member.Tag, 1, 100)
+			rec := f.steerer.flows[key(caller, feedAddress)]
+			f.established(caller, feedAddress, rec.member.Tag, 1, 100)
 		}
 	})
 	f.pass(3 * answerPatience)
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// TestAFlowThatAsksAgainIsLookedAtOnce, however often it asks.
-func TestAFlowThatAsksAgainIsLookedAtOnce(t *testing.T) {
+// A flow with many requests has one entry in pendingRequests.
+func TestAPendingFlowIsTrackedOnce(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(1, feedAddress)
 	for round := range uint32(100) {
@@ -67,17 +67,17 @@
 		f.established(1, feedAddress, member.Tag, 50+100*round, 0)
 	}
 	if awaited := len(f.steerer.awaited.records); awaited != 1 {
-		t.Errorf("%d entries for one flow", awaited)
+		t.Errorf("%d entries for one flow, want 1", awaited)
 	}
 	f.pass(2 * lookInterval)
 	if awaited := len(f.steerer.awaited.records); awaited != 0 {
-		t.Errorf("%d entries after all was answered", awaited)
+		t.Errorf("%d entries after all answers, want 0", awaited)
 	}
 }
 
-// BenchmarkLook is the search for requests without an answer, among the flows that a
-// balancer has at the size to come.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkCheckUnanswered measures the check for unanswered requests among the number of flows of
+// a large deployment.
+func BenchmarkCheckUnanswered(b *testing.B) {
 	const flows, waiting = 21700, 20
 	f := newFleet(&testing.T{})
 	for i := range flows {
