--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// resetMatching resets the open flows that the condition holds for, in order of flow.
+// resetMatching resets the open flows for which matches returns true, in order of flow.
 func (s *Steerer) resetAll(matches func(rec *record) bool) {
 	var matching []*record
 	for _, rec := range s.flows {
--- a/internal/steering/locate_test.go
+++ b/internal/steering/locate_test.go
@@ -76,8 +76,8 @@
 	isOpen bool
 }
 
-func (z *zone) caller(number int, begin uint32) *caller {
-	return &caller{zone: z, number: number, openSequence: begin, positions: map[settings.BackendID]uint32{}, tags: map[settings.BackendID]directory.Tag{}}
+func (z *zone) caller(number int, openSequence uint32) *caller {
+	return &caller{zone: z, number: number, openSequence: openSequence, positions: map[settings.BackendID]uint32{}, tags: map[settings.BackendID]directory.Tag{}}
 }
 
 // open sends a copy of the opening packet through a balancer.
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -66,23 +66,23 @@
 		f.established(1, feedAddress, member.Tag, 1+100*round, 100)
 		f.established(1, feedAddress, member.Tag, 50+100*round, 0)
 	}
-	if awaited := len(f.steerer.awaited.records); awaited != 1 {
-		t.Errorf("%d entries for one flow, want 1", awaited)
+	if entries := len(f.steerer.awaited.records); entries != 1 {
+		t.Errorf("%d entries for one flow, want 1", entries)
 	}
 	f.pass(2 * lookInterval)
-	if awaited := len(f.steerer.awaited.records); awaited != 0 {
-		t.Errorf("%d entries after all answers, want 0", awaited)
+	if entries := len(f.steerer.awaited.records); entries != 0 {
+		t.Errorf("%d entries after all answers, want 0", entries)
 	}
 }
 
 // BenchmarkCheckUnanswered measures the check for unanswered requests among the number of flows of
 // a large deployment.
 func BenchmarkCheckUnanswered(b *testing.B) {
-	const flows, waiting = 21700, 20
+	const flows, pending = 21700, 20
 	f := newFleet(&testing.T{})
 	for i := range flows {
 		member := f.opened(i, feedAddress)
-		if i < waiting {
+		if i < pending {
 			f.established(i, feedAddress, member.Tag, 1, 100)
 		}
 	}
--- a/internal/steering/unresponsive.go
+++ b/internal/steering/unresponsive.go
@@ -112,6 +112,8 @@
 	}
 }
 
+// storeReport stores a report in place of the sender's previous one. Reports of new senders are
+// dropped at maxReports.
 func (b *backendState) storeReport(report receivedReport) {
 	at := slices.IndexFunc(b.reports, func(r receivedReport) bool { return r.from == report.from })
 	switch {
