--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -9,10 +9,9 @@
 )
 
 const (
-	// minUnansweredFlows is the minimum number of consecutive unanswered flows that make a back end
-	// silent; a single one may be a lost packet. silentFalsePositiveRate is the accepted
-	// probability that packet loss alone explains them. It has to be low: copies of opening packets
-	// leave a silent back end, and if it is healthy, both back ends answer.
+	// minUnansweredFlows is the minimum number of unanswered flows in a row that make a back end
+	// silent, and silentFalsePositiveRate the accepted probability that packet loss alone explains
+	// them: copies of opening packets leave a silent back end, and a healthy one answers as well.
 	silentFlows    = 2
 	silentByChance = 1e-3
 	// initialSilentPeriod is how long a silent back end gets no new flows. It doubles with each
@@ -25,15 +24,14 @@
 	// initialSuspectPeriod is how long new flows avoid a suspect back end, unless it responds. It
 	// doubles with each renewal, up to maxAvoidPeriod.
 	doubtTime = 500 * time.Millisecond
-	// recentResponseWindow is the age up to which a response outweighs a report of another balancer
-	// that the back end is suspect.
+	// recentResponseWindow is how long a response outweighs reports that the back end is suspect.
 	recentResponseWindow = 250 * time.Millisecond
 	// recentDecay is the factor by which counts of recent events shrink per second.
 	recentDecay = 0.7
-	// requestFailureCost is the load, in requests, of a request that was left unanswered.
+	// requestFailureCost is the load, in requests, of an unanswered request.
 	faultCost = 12
-	// requestFailuresHigh and requestFailuresLow are the decayed numbers of unanswered requests at
-	// which the request failure state begins and ends.
+	// The request failure state begins at requestFailuresHigh unanswered requests, decayed, and
+	// ends below requestFailuresLow.
 	requestFailuresHigh = 1.5
 	requestFailuresLow  = 0.25
 )
@@ -41,30 +39,27 @@
 // backendState is what this balancer observes of one back end through the flows that pass it.
 type backendState struct {
 	id settings.BackendID
-	// born identifies the start of the back end process that the state belongs to. Until
-	// ignoreReportsUntil, reports of other balancers may still refer to an earlier start and are
-	// ignored.
+	// born identifies the start of the back end that the state belongs to. Reports received before
+	// ignoreReportsUntil may refer to an earlier start.
 	born      directory.Birth
 	deafUntil time.Duration
-	// events collects observations until the driver takes them.
+	// events are not yet taken by the driver.
 	events *[]BackendEvent
-	// flows counts the flows at the back end that the caller has not closed.
-	flows int
-	// opening counts the flows that have not opened yet.
+	// flows counts those that the caller has not closed, and opening those that have not opened
+	// yet.
+	flows   int
 	opening int
 	// active counts the requests under way.
 	active int
-	// recent counts the recent requests through this balancer, decaying; others holds the counts
-	// that other balancers reported.
+	// recent counts requests through this balancer, decaying; others is the load that other
+	// balancers reported.
 	recent float64
 	others Load
-	// steady counts requests over a longer time, decaying; steadySpan is the number of seconds that
-	// it covers, which is smaller for a new back end.
+	// steady counts requests over the last steadySpan seconds, decaying.
 	steady, spanned float64
 	// recentPlaced is the part of recent that began with a flow placed here.
 	recentPlaced float64
-	// placed counts the flows that this balancer placed at the back end within about placedWindow,
-	// decayed as of placedAt.
+	// placed counts flows placed here within about placedWindow, decayed as of placedAt.
 	placed   float64
 	placedAt time.Duration
 	// requestFailures counts recent requests that the back end left unanswered, decaying.
@@ -88,11 +83,9 @@
 	progress time.Duration
 	// unansweredFlows counts flows left unanswered since lastResponse.
 	unansweredFlows int
-	// unansweredSince is when the first opening packet was sent that has had no response, 0 for
-	// none.
+	// unansweredSince is when the first opening packet without a response was sent, 0 for none.
 	unansweredSince time.Duration
-	// warmUpNext is the earliest time at which this balancer may send another new flow while the
-	// back end warms up.
+	// warmUpNext is the earliest time for another new flow from this balancer during warm-up.
 	warmUpNext time.Duration
 	// suspectUntil is the end of the current suspect period, and suspectPeriod its length.
 	doubtUntil, doubt time.Duration
@@ -122,8 +115,8 @@
 	return state
 }
 
-// observedState returns the state of a back end for reading only. Back ends of which nothing was
-// observed share a blank state per pool, which saves memory in large fleets.
+// observedState returns the state of a back end for reading only. Unobserved back ends share a
+// blank state per pool, which saves memory in large fleets.
 func (s *Steerer) observed(member *directory.Member) *backendState {
 	if state := s.backends[member.ID]; state != nil {
 		return state
@@ -149,7 +142,6 @@
 	*b.events = append(*b.events, BackendEvent{Observation: observation, Backend: b.id, Silence: silence, Until: until})
 }
 
-// addRecord adds a flow record to the counts.
 func (b *backendState) join(rec *record) {
 	if !rec.closed {
 		b.flows++
@@ -162,7 +154,6 @@
 	}
 }
 
-// removeRecord removes a flow record from the counts.
 func (b *backendState) leave(rec *record) {
 	if !rec.closed {
 		b.flows--
@@ -175,8 +166,8 @@
 	}
 }
 
-// recordAnswer records the latency of an answered request. Latencies during warm-up (cold) only
-// count towards the pool's warm-up slowdown.
+// recordAnswer records the latency of an answered request. Latencies of cold back ends only count
+// towards the warm-up slowdown of the pool.
 func (b *backendState) recordAnswer(now, latency time.Duration, cold bool) {
 	b.active--
 	b.pool.rest.noteAnswer(now)
@@ -205,7 +196,7 @@
 	b.unansweredSince, b.doubtUntil, b.doubt, b.heardDoubtUntil = 0, 0, 0, 0
 }
 
-// recordOpening records that an opening packet was sent to the back end.
+// recordOpening records that an opening packet was sent.
 func (b *backendState) asked(now time.Duration) {
 	if b.unansweredSince == 0 {
 		b.unansweredSince = now
@@ -233,8 +224,8 @@
 	return true
 }
 
-// receiveSuspect records that another balancer reports the back end as suspect, unless the back end
-// has responded here recently.
+// receiveSuspect records a report that the back end is suspect, unless it has responded here
+// recently.
 func (b *backendState) hearDoubt(now time.Duration) {
 	if b.deaf(now) {
 		return
@@ -293,7 +284,7 @@
 // minObservation is the decayed value below which an observation is dropped.
 const minObservation = 0.01
 
-// idle reports whether the state holds no more information than a new one.
+// idle reports whether the state holds no more than a new one.
 func (b *backendState) idle(now time.Duration) bool {
 	if b.flows > 0 || b.opening > 0 || b.active > 0 || now-max(b.progress, b.placedAt) < idleTimeout {
 		return false
--- a/internal/steering/baseline.go
+++ b/internal/steering/baseline.go
@@ -25,14 +25,12 @@
 )
 
 // baselineKey identifies a baseline: the address of a service and, for a split service, the part. A
-// part may run another version or service, whose answers must not look like failures beside those
-// of a larger part.
+// part may run another version, whose answers must not look like failures.
 type baselineKey struct {
 	service netip.AddrPort
 	part    string
 }
 
-// baselineKeyOf returns the key of the baseline for a flow's answers.
 func (s *Steerer) baselineKeyOf(rec *record) baselineKey {
 	key := baselineKey{service: rec.key.Service}
 	if s.view.Settings == nil {
@@ -94,7 +92,6 @@
 	FailureRate uint32
 }
 
-// failureRateUnit is the rate that 1 in Baseline.FailureRate stands for.
 const failureRateUnit = 1e-5
 
 // Baselines returns the baselines of at most count addresses, those with the most answers first.
--- a/internal/steering/down.go
+++ b/internal/steering/down.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minDownCallers is the minimum number of different callers, over all balancers, that must have
-	// retransmitted data without a response before a back end is down. A healthy back end
-	// acknowledges data at once, even with a long queue, unless packets are lost.
+	// minDownCallers is the minimum number of callers, over all balancers, that must have
+	// retransmitted data without a response before a back end is down. A healthy one acknowledges
+	// data at once, even with a long queue.
 	minDownCallers = 4
 	// downFalsePositiveRate is the accepted probability that packet loss alone explains these
 	// retransmissions, given how often callers of healthy back ends retransmit.
@@ -24,8 +24,8 @@
 	downPeriod = 2 * time.Second
 	// maxUnansweredCallers bounds the callers that are stored per back end.
 	maxUnansweredCallers = 8
-	// responsiveWindow is the age up to which a response of another back end shows that this
-	// balancer is not isolated.
+	// responsiveWindow is how long a response of another back end shows that this balancer is not
+	// isolated.
 	responsiveWindow = 500 * time.Millisecond
 )
 
@@ -100,9 +100,8 @@
 }
 
 // likelyIsolated reports whether at least as many back ends are unresponsive as responsive to this
-// balancer's callers, in which case the balancer itself may be unable to reach them. Reports of
-// other balancers do not count: in a large fleet the back ends reported down can outnumber the few
-// that one balancer observes.
+// balancer's callers, so that the balancer itself may be cut off. Reports do not count: in a large
+// fleet they can outnumber what one balancer observes.
 func (s *Steerer) likelyIsolated(now time.Duration) bool {
 	unresponsive, responsive := 0, 0
 	for _, b := range s.backends {
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -8,10 +8,9 @@
 	"gaugeyard/internal/settings"
 )
 
-// resetFlowsAt resets flows at down back ends. Flows with a pending request are reset where
-// requests may be repeated. Idle flows are reset where requests must not be repeated, once per down
-// period: the next request would be sent to a back end that does not answer, and its caller may not
-// retry it.
+// resetFlowsAt resets flows at down back ends: those with a pending request where it may be
+// repeated, and, once per down period, idle ones where requests must not be repeated, since the
+// caller of the next one might not retry it.
 func (s *Steerer) endFlows(now time.Duration, down ...*backendState) {
 	withIdle := down[:0:0]
 	for _, b := range down {
@@ -46,7 +45,7 @@
 	return reporters > 1
 }
 
-// resetPending resets the flows at a down back end with a pending request that may be repeated.
+// resetPending resets flows with a pending request that may be repeated.
 func (s *Steerer) resetPending(b *backendState) {
 	for _, rec := range s.awaited.records {
 		if rec.backend == b && rec.waiting && !rec.closed && s.repeatable(rec.key) {
@@ -106,7 +105,6 @@
 	return a.Service.Compare(b.Service)
 }
 
-// reset resets one flow.
 func (s *Steerer) reset(rec *record) {
 	s.resets = append(s.resets, Reset{rec.key, rec.acknowledged, rec.backend.id})
 	s.forget(rec)
--- a/internal/steering/expect.go
+++ b/internal/steering/expect.go
@@ -43,7 +43,7 @@
 	return c.less(other, c.time, other.time)
 }
 
-// less compares two values, and on a tie the scores by the flow's hash.
+// less compares two values; on a tie the higher score by the flow's hash wins.
 func (c *candidate) less(other *candidate, value, otherValue float64) bool {
 	return value < otherValue || value == otherValue && c.score > other.score
 }
--- a/internal/steering/held.go
+++ b/internal/steering/held.go
@@ -15,9 +15,8 @@
 func lastAttempt(attempt uint32) uint8 { return uint8(min(attempt, maxAttempt)) }
 
 // hasBeenCopied reports whether the caller of a held opening packet has sent a later copy by now.
-// That copy may have opened the flow through another balancer, and an answer of a second back end
-// would take over the flow's next packets. If no other balancer received the copy, it came here as
-// well.
+// The copy may have opened the flow through another balancer, and the answer of a second back end
+// would divert the flow. If no other balancer received the copy, it came here as well.
 func (p *Packet) hasBeenCopied() bool {
 	switch p.Attempt {
 	case 0:
--- a/internal/steering/locate.go
+++ b/internal/steering/locate.go
@@ -42,8 +42,7 @@
 
 // search is the state of the inquiries about one flow: the time of the last one, their number, and
 // the back end to which another balancer has sent the opening packet, 0 for none. It is disputed
-// once copies are known to have gone to two back ends: either may have answered first, and the tag
-// is that of the later answer.
+// once copies are known to have gone to two back ends, since the tag is that of the later answer.
 type search struct {
 	at              time.Duration
 	attempts        int
@@ -117,8 +116,7 @@
 	return true
 }
 
-// takeSearchToken takes a token from the rate limiter for searches, and reports whether there was
-// one.
+// takeSearchToken reports whether the rate limit allows a search, and counts it.
 func (s *Steerer) takeSearchToken(now time.Duration) bool {
 	s.searchesLeft = min(s.searchesLeft+(now-s.searchedAt).Seconds()*searchRate, searchBurst)
 	s.searchedAt = now
--- a/internal/steering/observation.go
+++ b/internal/steering/observation.go
@@ -9,7 +9,7 @@
 // Observation is a change in the state of a back end as seen by this balancer.
 type Observation string
 
-// The observations, as they are logged.
+// These values are logged.
 const (
 	// Suspect back ends have not answered an opening packet in time.
 	Doubted Observation = "back end doubted"
--- a/internal/steering/outlier.go
+++ b/internal/steering/outlier.go
@@ -12,10 +12,9 @@
 	failingShare   = 0.75
 	minFailureRate = 0.001
 	priorAnswers   = 200
-	// minEvidence is the evidence at this balancer from which on an answer that looks like a
-	// failure counts as one. A balancer in a large zone sees few answers per back end, and many
-	// back ends may begin to fail at once: two suspicious answers must not raise the baseline so
-	// far that a third is ignored.
+	// minEvidence is the evidence from which on an answer that looks like a failure counts. It is
+	// low since a balancer in a large zone sees few answers per back end: two suspicious ones must
+	// not raise the baseline so far that a third is ignored.
 	minEvidence = 0.8
 	// A back end is ejected at ejectFailures, the decayed number of failures through all balancers
 	// (two within two seconds), and restored below restoreFailures. Below negligibleFailures it may
@@ -24,8 +23,7 @@
 	restoreFailures    = 0.2
 	negligibleFailures = 0.04
 	// maxEjectedShare is the share of ejected candidates above which ejection is ignored: the
-	// service itself is failing or the classification is wrong, and the other back ends could not
-	// take the load.
+	// service itself is failing, or the others could not take the load.
 	maxEjectedShare = 0.5
 	// maxReportedFailures bounds the failures accepted from reports, so that a wrong report decays
 	// within 16 s.
@@ -60,11 +58,10 @@
 	}
 }
 
-// weighFailures raises the load of ejected back ends. They are idle because callers leave them, and
-// would otherwise attract all new flows. They count with at least the mean load, plus for each
-// failure the mean load or requestFailureCost requests, whichever is more. A restored back end
-// counts with at least the mean load for a while, so that its first flows show whether it still
-// fails.
+// weighFailures raises the load of ejected back ends, which are idle and would otherwise attract
+// all new flows: to at least the mean load plus, per failure, the mean load or requestFailureCost
+// requests, whichever is more. A restored back end has at least the mean load for a while, so that
+// its first flows show whether it still fails.
 func (s *Steerer) weighFailures() {
 	ejected := 0
 	for i := range s.candidates {
@@ -108,7 +105,7 @@
 	return ejected
 }
 
-// meanLoads returns a candidate with the mean loads of all candidates.
+// meanLoads returns the mean loads as a candidate.
 func meanLoads(candidates []candidate) candidate {
 	var mean candidate
 	for i := range candidates {
--- a/internal/steering/placements.go
+++ b/internal/steering/placements.go
@@ -5,15 +5,13 @@
 	"time"
 )
 
-// placedWindow is the time constant of the decaying count of placed flows. It is a few times the
-// duration of a request, so that a back end that has just become free receives its share evenly and
-// not all at once.
+// placedWindow is the time constant of the decaying count of placed flows: a few times the duration
+// of a request, so that a newly idle back end receives its share evenly.
 const placedWindow = 200 * time.Millisecond
 
 // placedRetention is the age from which on placed flows are negligible in that count.
 const placedRetention = 8 * placedWindow
 
-// recordPlacement records that a flow was placed at the back end.
 func (b *backendState) notePlaced(now time.Duration) {
 	b.placed, b.placedAt = b.recentPlacements(now)+1, now
 	b.recent++
@@ -30,13 +28,10 @@
 	return b.placed * math.Exp(-(now-b.placedAt).Seconds()/placedWindow.Seconds())
 }
 
-// loadCorrection returns the difference between the current rate of requests to a back end and the
-// rate that the recent counts show, in requests per recentWindow.
-//
-// It extrapolates the requests of new flows from this balancer's latest placements. Counts over
-// recentWindow that others report half a second later would show a change too late: all balancers
-// see the same loads and decide by the same rule, and together they would overload a back end that
-// has just become free.
+// loadCorrection returns by how much the requests now going to a back end exceed the recent count,
+// extrapolated from this balancer's latest placements. Counts that others report half a second
+// later show a change too late: all balancers decide by the same loads and rule, and would together
+// overload a newly idle back end.
 func (s *Steerer) rush(now time.Duration, state *backendState, local bool) float64 {
 	if state.recentPlaced == 0 || s.config.Mechanisms.NoPacing {
 		return 0
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -131,10 +131,10 @@
 	}
 }
 
-// answeredAtUnknownTime reports whether the packet acknowledges data that the caller received at an
-// unknown time, through another balancer: it carries a new request or the end of the flow, and no
-// request was pending here, or only one that counted as unanswered. It is then no response: the
-// packet itself may be one that a silent back end never answers.
+// answeredAtUnknownTime reports whether the packet acknowledges data that the caller received
+// through another balancer: it carries a new request or the end of the flow, and no request was
+// pending here, or only an unanswered one. That is no response: the back end may have gone silent
+// since.
 func (r *record) answeredAtUnknownTime(packet *Packet) bool {
 	return (packet.Payload > 0 || packet.Kind != Established) && (!r.waiting || r.unanswered)
 }
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -13,10 +13,9 @@
 	// maxSlowness the upper bound of that ratio.
 	minSlowness = 1.6
 	slowMost    = 8
-	// minLocalAnswers is the number of answers through this balancer from which on their mean is
-	// preferred to that of all balancers, since it follows changes at once. localGain is the weight
-	// of each answer in that mean, and localLifetime how long the mean is valid without another
-	// answer.
+	// minLocalAnswers is the number of answers through this balancer from which on their moving
+	// average, with weight localGain per answer, is preferred to the mean of all balancers, since
+	// it follows changes at once. It expires localLifetime after the last answer.
 	minLocalAnswers = 5
 	localGain       = 0.2
 	localLifetime   = 3 * time.Second
@@ -37,7 +36,6 @@
 	last        time.Duration
 }
 
-// add counts an answer.
 func (a *answers) add(now, latency time.Duration) {
 	a.count++
 	a.time += latency.Seconds()
@@ -87,9 +85,8 @@
 	return s.means[(len(s.means)-1)/2]
 }
 
-// weighSlowness raises the slowdown of candidates that answer clearly slower than typical. New
-// flows then avoid them, so that too few answers show whether they have recovered; a single flow
-// probes them.
+// weighSlowness raises the slowdown of candidates that answer clearly slower than typical. Too few
+// flows then go there to show a recovery; a single flow probes it.
 func (s *Steerer) weighSlowness(now time.Duration, typical float64) {
 	if typical == 0 || s.config.Mechanisms.NoPace {
 		return
--- a/internal/steering/unanswered.go
+++ b/internal/steering/unanswered.go
@@ -3,7 +3,6 @@
 import "time"
 
 const (
-	// unansweredCheckInterval is how often pending requests are checked.
 	lookInterval = 250 * time.Millisecond
 	// answerTimeout is how long a request may be pending before it counts as unanswered.
 	answerPatience = 400 * time.Millisecond
@@ -41,9 +40,8 @@
 	a.records = pending
 }
 
-// checkUnanswered looks for requests that back ends left unanswered. A request that was pending
-// while the process was suspended is no evidence: its caller abandoned it or was answered through
-// another balancer.
+// checkUnanswered looks for unanswered requests. A request that was pending while the process was
+// suspended is no evidence: its caller abandoned it or was answered through another balancer.
 func (s *Steerer) noteUnanswered(now time.Duration) {
 	if now-s.resumed < answerPatience || s.lagging(now) {
 		// Answers may have been missed.
@@ -58,8 +56,8 @@
 	})
 }
 
-// checkUnanswered counts a request as unanswered whose caller has waited for answerTimeout with
-// nothing more to send: the back end has reset it or never answers, though it accepts new flows.
+// checkUnanswered counts a request as unanswered whose caller has waited for answerTimeout: the
+// back end has reset it or never answers, though it accepts new flows.
 func (r *record) noteUnanswered(now time.Duration) {
 	if !r.waiting || r.unanswered || now-r.lastSeen < answerPatience {
 		return
--- a/internal/steering/unresponsive.go
+++ b/internal/steering/unresponsive.go
@@ -22,9 +22,9 @@
 // response.
 type Stall struct {
 	Backend settings.BackendID
-	// Callers is the number of different callers that retransmitted data without a response since
-	// the last response that this balancer saw, at least one of them recently. It is 0 where there
-	// is none, and in a report that contradicts others.
+	// Callers is the number of callers that retransmitted data without a response since the last
+	// one that the sender saw. It is 0 where none did so recently, and in a report that contradicts
+	// others.
 	Callers int
 	// Silence is the time since that response.
 	Silence time.Duration
@@ -124,9 +124,8 @@
 	}
 }
 
-// receiveDown adopts the sender's down state for at most the time that the sender has left, so that
-// a balancer that has just started need not find out through callers of its own. A response that
-// the sender saw since the back end was marked down ends the state.
+// receiveDown adopts the sender's down state for no longer than the sender does. A response that
+// the sender has seen since the back end was marked down ends the state.
 func (b *backendState) receiveDown(now time.Duration, report *Stall) {
 	lastResponse := now - report.Silence
 	switch {
