--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -8,56 +8,56 @@
 	"gaugeyard/internal/settings"
 )
 
-// endFlows ends flows at lost back ends. Those whose callers await an answer end where requests may be
-// repeated. Those that rest end where requests may run only once, and only once for each loss: their next
-// request would go to a back end that answers nobody, and its caller may not repeat it.
-func (s *Steerer) endFlows(now time.Duration, lost ...*backendState) {
-	resting := lost[:0:0]
-	for _, b := range lost {
-		s.resetWaiting(b)
-		if b.flows > 0 && now >= b.restingUntil && s.severalSay(now, b) {
-			b.restingUntil = max(b.lostUntil, now+lostTime)
-			resting = append(resting, b)
+// resetFlowsAt resets flows at down back ends: those with a pending request where it may be
+// repeated, and, once per down period, idle ones where requests must not be repeated, since the
+// caller of the next one might not retry it.
+func (s *Steerer) endFlows(now time.Duration, down ...*backendState) {
+	withIdle := down[:0:0]
+	for _, b := range down {
+		s.resetPending(b)
+		if b.flows > 0 && now >= b.idleResetUntil && s.isDownConfirmed(now, b) {
+			b.idleResetUntil = max(b.lostUntil, now+downPeriod)
+			withIdle = append(withIdle, b)
 		}
 	}
-	if len(resting) == 0 {
+	if len(withIdle) == 0 {
 		return
 	}
-	// All flows are looked at once for all of them: 0.4 ms of a whole core at 10,000 flows.
-	s.resetAll(func(known *record) bool {
-		return slices.Contains(resting, known.backend) && !known.waiting && now-known.lastSeen < restTime && !s.repeatable(known.key)
+	// One pass over the flows for all back ends.
+	s.resetAll(func(rec *record) bool {
+		return slices.Contains(withIdle, rec.backend) && !rec.waiting && now-rec.lastSeen < idleTimeout && !s.repeatable(rec.key)
 	})
 }
 
-// severalSay tells whether more than one other balancer's word stands behind a loss: callers here ask in vain,
-// those of two others do, or the entry is gone. A single one may be cut off itself, and flows that rest would
-// end at all balancers for it.
-func (s *Steerer) severalSay(now time.Duration, b *backendState) bool {
-	if b.freshStall(now) || s.view.Departed(b.id) {
+// isDownConfirmed reports whether more than one balancer's report supports the down state: callers
+// here or at two other balancers retransmit without a response, or the entry was removed. A single
+// reporter may be isolated itself, and would cause the reset of idle flows at all balancers.
+func (s *Steerer) isDownConfirmed(now time.Duration, b *backendState) bool {
+	if b.recentlyUnanswered(now) || s.view.Departed(b.id) {
 		return true
 	}
-	tellers := 0
-	for _, heard := range b.stalls {
-		if heard.callers > 0 && now-heard.at <= stallLife {
-			tellers++
+	reporters := 0
+	for _, report := range b.reports {
+		if report.callers > 0 && now-report.receivedAt <= reportLifetime {
+			reporters++
 		}
 	}
-	return tellers > 1
+	return reporters > 1
 }
 
-// resetWaiting ends the flows at a lost back end whose callers await an answer and may ask again.
-func (s *Steerer) resetWaiting(b *backendState) {
-	for _, known := range s.awaited.records {
-		if known.backend == b && known.waiting && !known.closed && s.repeatable(known.key) {
-			s.reset(known)
+// resetPending resets flows with a pending request that may be repeated.
+func (s *Steerer) resetPending(b *backendState) {
+	for _, rec := range s.awaited.records {
+		if rec.backend == b && rec.waiting && !rec.closed && s.repeatable(rec.key) {
+			s.reset(rec)
 		}
 	}
 }
 
-// noteEnded looks in a new view for back ends that have ended for certain, since another one started at
-// the address. Every flow there is ended: nobody will answer it, whatever its requests are.
+// resetReplaced looks in a new view for back ends that have ended because another one started at
+// the address. All flows there are reset, whether or not requests may be repeated.
 func (s *Steerer) noteEnded() {
-	var gone []settings.BackendID
+	var removed []settings.BackendID
 	for id, b := range s.departed {
 		switch {
 		case !s.view.Knows(id):
@@ -66,36 +66,35 @@
 				delete(s.backends, id)
 			}
 		case !b.ended && b.flows > 0:
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	if len(gone) == 0 {
+	if len(removed) == 0 {
 		return
 	}
-	slices.Sort(gone)
-	replaced := s.view.Replaced(gone)
+	slices.Sort(removed)
+	replaced := s.view.Replaced(removed)
 	for _, id := range replaced {
 		b := s.backends[id]
 		b.ended = true
 		b.note(Ended, s.pulse-b.progress, 0)
 	}
 	if len(replaced) > 0 {
-		s.resetAll(func(known *record) bool { return known.backend.ended })
+		s.resetAll(func(rec *record) bool { return rec.backend.ended })
 	}
 }
 
-// resetAll ends the flows that have opened and not closed and that the condition holds for, in order
-// of flow.
-func (s *Steerer) resetAll(condition func(known *record) bool) {
-	var ended []*record
-	for _, known := range s.flows {
-		if !known.opening && !known.closed && condition(known) {
-			ended = append(ended, known)
+// resetMatching resets the open flows for which matches returns true, in order of flow.
+func (s *Steerer) resetAll(matches func(rec *record) bool) {
+	var matching []*record
+	for _, rec := range s.flows {
+		if !rec.opening && !rec.closed && matches(rec) {
+			matching = append(matching, rec)
 		}
 	}
-	slices.SortFunc(ended, func(a, b *record) int { return compareKeys(a.key, b.key) })
-	for _, known := range ended {
-		s.reset(known)
+	slices.SortFunc(matching, func(a, b *record) int { return compareKeys(a.key, b.key) })
+	for _, rec := range matching {
+		s.reset(rec)
 	}
 }
 
@@ -106,8 +105,7 @@
 	return a.Service.Compare(b.Service)
 }
 
-// reset ends one flow.
-func (s *Steerer) reset(known *record) {
-	s.resets = append(s.resets, Reset{known.key, known.acknowledged, known.backend.id})
-	s.forget(known)
+func (s *Steerer) reset(rec *record) {
+	s.resets = append(s.resets, Reset{rec.key, rec.acknowledged, rec.backend.id})
+	s.forget(rec)
 }
