--- a/internal/directory/build.go
+++ b/internal/directory/build.go
@@ -13,7 +13,7 @@
 func (d *Directory) View() *View {
 	next := *d.view
 	next.Revision, next.Settings, next.Version = d.revision, d.resolved, d.settings.Version
-	next.of, next.serial, next.changed = d, d.view.serial+1, slices.Collect(maps.Keys(d.changed))
+	next.builtBy, next.serial, next.changed = d, d.view.serial+1, slices.Collect(maps.Keys(d.changed))
 	b := builder{view: &next, ownGroups: map[int]bool{}, ownTags: map[int]bool{}, pools: map[string]*poolChange{}}
 	for id := range d.changed {
 		b.replace(d.view.Member(id), d.member(id))
@@ -36,8 +36,8 @@
 		}
 		return known.member
 	}
-	if left, gone := d.gone[id]; gone {
-		return &Member{Backend: left.Backend, Tag: TagOf(id), Since: left.start.since, StartedAfter: left.start.after, Gone: true, GoneAt: left.at, Announced: left.announced, LapsedUntil: left.lapsedUntil, Evacuated: d.evacuated(&left.Backend)}
+	if left, gone := d.removed[id]; gone {
+		return &Member{Backend: left.Backend, Tag: TagOf(id), Since: left.start.seenAt, StartedAfter: left.start.startedAfter, Gone: true, GoneAt: left.removedAt, AnnouncedRevision: left.announcedRevision, LapsedUntil: left.usableUntil, Evacuated: d.evacuated(&left.Backend)}
 	}
 	return nil
 }
@@ -53,27 +53,27 @@
 // poolChange is what changes in the pool of one group. Its lists are merged with those of the pool once, so
 // that a start among 10,000 back ends does not move half of a list for each of them.
 type poolChange struct {
-	out        []settings.BackendID
-	open, left []*Member
+	removedIDs    []settings.BackendID
+	open, removed []*Member
 }
 
 // replace puts a back end in the place of what was believed of it; nil is none.
 func (b *builder) replace(before, after *Member) {
 	if before != nil {
-		b.setTagged(before.Tag, without(slices.Clone(b.view.Tagged(before.Tag)), before.ID))
+		b.setTagged(before.Tag, deleteMember(slices.Clone(b.view.Tagged(before.Tag)), before.ID))
 		change := b.pool(before.Group)
-		change.out = append(change.out, before.ID)
+		change.removedIDs = append(change.removedIDs, before.ID)
 	}
 	if after == nil {
 		return
 	}
-	b.setTagged(after.Tag, with(slices.Clone(b.view.Tagged(after.Tag)), after))
+	b.setTagged(after.Tag, insertMember(slices.Clone(b.view.Tagged(after.Tag)), after))
 	if after.Draining || after.Evacuated {
 		return
 	}
 	change := b.pool(after.Group)
 	if after.Gone {
-		change.left = append(change.left, after)
+		change.removed = append(change.removed, after)
 		return
 	}
 	change.open = append(change.open, after)
@@ -110,9 +110,9 @@
 		}
 		known := b.view.Pool(group)
 		next := &Pool{LapsedUntil: known.LapsedUntil}
-		slices.Sort(change.out)
-		next.Open, next.Left = merged(known.Open, change.out, change.open), merged(known.Left, change.out, change.left)
-		for _, member := range change.left {
+		slices.Sort(change.removedIDs)
+		next.Open, next.Left = mergeMembers(known.Open, change.removedIDs, change.open), mergeMembers(known.Left, change.removedIDs, change.removed)
+		for _, member := range change.removed {
 			next.LapsedUntil = max(next.LapsedUntil, member.LapsedUntil)
 		}
 		b.view.groups[part][group] = next
@@ -120,7 +120,7 @@
 }
 
 // merged returns the members without those that are out, which are in order, and with more, in order of identifier.
-func merged(members []*Member, out []settings.BackendID, more []*Member) []*Member {
+func mergeMembers(members []*Member, out []settings.BackendID, more []*Member) []*Member {
 	slices.SortFunc(more, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
 	list := make([]*Member, 0, len(members)+len(more))
 	for _, member := range members {
@@ -146,13 +146,13 @@
 }
 
 // with puts the member at its place in order of identifier; the list is the caller's own.
-func with(members []*Member, member *Member) []*Member {
+func insertMember(members []*Member, member *Member) []*Member {
 	at, _ := slices.BinarySearchFunc(members, member.ID, compareID)
 	return slices.Insert(members, at, member)
 }
 
 // without takes the back end out of the list, which is the caller's own.
-func without(members []*Member, id settings.BackendID) []*Member {
+func deleteMember(members []*Member, id settings.BackendID) []*Member {
 	at, found := slices.BinarySearchFunc(members, id, compareID)
 	if !found {
 		return members
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -37,35 +37,35 @@
 // balancer keeps.
 type entry struct {
 	member *Member
-	start  start
+	start  serverStart
 }
 
 // record is the back end as it was told.
-func (e entry) record() Record { return Record{e.member.Backend, e.member.Announced} }
+func (e entry) record() Record { return Record{e.member.Backend, e.member.AnnouncedRevision} }
 
 // departed is a back end whose entry vanished.
-type departed struct {
+type removedBackend struct {
 	Record
-	at time.Duration
+	removedAt time.Duration
 	// announced is the revision at which it last wrote its entry, or a later one.
-	announced uint64
+	announcedRevision uint64
 	// lapsedUntil is how long it may take new flows all the same, since its entry vanished in an outage.
-	lapsedUntil time.Duration
-	start       start
+	usableUntil time.Duration
+	start       serverStart
 }
 
 // Directory is what this balancer believes. It is not safe for concurrent use;
 // the views that it builds are read-only and are.
 type Directory struct {
 	// keep is how long a departed back end is remembered: as long as a flow lives.
-	keep     time.Duration
-	revision uint64
-	settings Settings
-	resolved *settings.Snapshot
+	retention time.Duration
+	revision  uint64
+	settings  Settings
+	resolved  *settings.Snapshot
 	// steps lead to the settings in force, each from those of the step before.
-	steps []Step
-	live  map[settings.BackendID]entry
-	gone  map[settings.BackendID]departed
+	steps   []Step
+	live    map[settings.BackendID]entry
+	removed map[settings.BackendID]removedBackend
 	// evacuations has the newest word on each zone of which there was one; also taken back, so that
 	// an older one that comes late changes nothing.
 	evacuations map[string]Evacuation
@@ -73,33 +73,33 @@
 	view    *View
 	changed map[settings.BackendID]bool
 	// forgotten is the newest revision at which a forgotten back end departed.
-	forgotten uint64
+	forgottenRevision uint64
 	// gaps are where it may have missed departures.
 	gaps []gap
 	// lapse bounds the belief in lapsed back ends; lapsed has those of the last outage, which ended with
 	// returned, by address.
-	lapse    Lapse
-	returned storeReturn
-	lapsed   map[netip.AddrPort]settings.BackendID
+	expiryBounds ExpiryBounds
+	lastReturn   storeReturn
+	expired      map[netip.AddrPort]settings.BackendID
 	// certain is when the store last confirmed what is believed, and interval how often servers write.
-	certain, interval time.Duration
+	confirmedAt, interval time.Duration
 }
 
 // New returns an empty directory that remembers departed back ends for keep.
 func New(keep time.Duration) *Directory {
 	return &Directory{
-		keep:        keep,
+		retention:   keep,
 		live:        map[settings.BackendID]entry{},
-		gone:        map[settings.BackendID]departed{},
+		removed:     map[settings.BackendID]removedBackend{},
 		evacuations: map[string]Evacuation{},
 		view:        &View{},
 		changed:     map[settings.BackendID]bool{},
-		lapsed:      map[netip.AddrPort]settings.BackendID{},
+		expired:     map[netip.AddrPort]settings.BackendID{},
 	}
 }
 
 // Keep changes how long departed back ends are remembered.
-func (d *Directory) Keep(keep time.Duration) { d.keep = keep }
+func (d *Directory) Keep(keep time.Duration) { d.retention = keep }
 
 // Revision is the store's revision up to which the directory is complete, 0 for none.
 func (d *Directory) Revision() uint64 { return d.revision }
@@ -107,16 +107,16 @@
 // Replace takes over a listing of everything. An older listing than what is
 // believed already changes nothing.
 func (d *Directory) Replace(now time.Duration, listing *Listing) []Event {
-	for _, record := range listing.Departed {
-		d.rememberDeparted(now, record)
+	for _, record := range listing.Removed {
+		d.addRemoved(now, record)
 	}
-	d.lapseAll(now, listing.Lapsed)
+	d.markExpired(now, listing.Expired)
 	if listing.Revision < d.revision {
 		return nil
 	}
-	d.noteListed(listing.Revision)
+	d.recordGap(listing.Revision)
 	d.revision = listing.Revision
-	events := d.takeOver(nil, listing.Settings, nil, listing.Prepared)
+	events := d.applySettings(nil, listing.Settings, nil, listing.Prepared)
 	events = d.replaceEvacuations(events, listing)
 	listed := make(map[settings.BackendID]bool, len(listing.Records))
 	if len(d.live) == 0 {
@@ -134,19 +134,19 @@
 	}
 	var vanished []settings.BackendID
 	for id, known := range d.live {
-		if !listed[id] && known.member.Announced <= listing.Revision {
+		if !listed[id] && known.member.AnnouncedRevision <= listing.Revision {
 			vanished = append(vanished, id)
 		}
 	}
 	slices.Sort(vanished)
 	for _, id := range vanished {
-		events = d.applyGone(now, events, Gone{ID: id, Revision: listing.Revision})
+		events = d.applyRemoval(now, events, Gone{ID: id, Revision: listing.Revision})
 	}
 	if listing.Told {
-		vanished = listing.Lapsed
+		vanished = listing.Expired
 	}
-	d.lapseAll(now, vanished)
-	d.believeMissing(now, listing.Missing)
+	d.markExpired(now, vanished)
+	d.addMissing(now, listing.Missing)
 	return events
 }
 
@@ -157,7 +157,7 @@
 	if step := changes.Step; step != nil && step.Revision > d.settings.Revision && step.Base != d.settings.Revision {
 		return nil
 	}
-	events := d.takeOver(nil, changes.Settings, changes.Step, changes.Prepared)
+	events := d.applySettings(nil, changes.Settings, changes.Step, changes.Prepared)
 	for _, evacuation := range changes.Evacuations {
 		events = d.applyEvacuation(events, evacuation)
 	}
@@ -167,17 +167,17 @@
 	var vanished []settings.BackendID
 	for _, gone := range changes.Gone {
 		before := len(events)
-		if events = d.applyGone(now, events, gone); len(events) > before {
+		if events = d.applyRemoval(now, events, gone); len(events) > before {
 			vanished = append(vanished, gone.ID)
 		}
 	}
 	if changes.Told {
-		vanished = changes.Lapsed
+		vanished = changes.Expired
 	}
 	for _, unusable := range changes.Unusable {
 		events = d.applyUnusable(now, events, unusable)
 	}
-	d.lapseAll(now, vanished)
+	d.markExpired(now, vanished)
 	d.revision = max(d.revision, changes.Revision)
 	return events
 }
@@ -185,18 +185,18 @@
 func (d *Directory) applyRecord(now time.Duration, events []Event, record Record) []Event {
 	id := record.Backend.ID
 	known, live := d.live[id]
-	if live && record.Revision <= known.member.Announced {
+	if live && record.Revision <= known.member.AnnouncedRevision {
 		return events
 	}
-	left, remembered := d.gone[id]
+	left, remembered := d.removed[id]
 	if remembered && record.Revision <= left.Revision {
 		return events
 	}
 	d.changed[id] = true
-	d.endLapseAt(record.Backend.Address)
-	delete(d.gone, id)
+	d.clearExpiredAt(record.Backend.Address)
+	delete(d.removed, id)
 	var last Backend
-	begun := start{since: now}
+	begun := serverStart{seenAt: now}
 	switch {
 	case live:
 		last, begun = known.member.Backend, known.start
@@ -204,16 +204,16 @@
 		last, begun = left.Backend, left.start
 	}
 	born := record.Backend.Born
-	begun = begun.next(last.Born, born, now, d.certain, d.interval)
+	begun = begun.next(last.Born, born, now, d.confirmedAt, d.interval)
 	member := &Member{
-		Backend: record.Backend, Tag: TagOf(id), ColdUntil: now + record.Backend.WarmUp, Since: begun.since, StartedAfter: begun.after,
-		Announced: record.Revision, Evacuated: d.evacuated(&record.Backend),
+		Backend: record.Backend, Tag: TagOf(id), ColdUntil: now + record.Backend.WarmUp, Since: begun.seenAt, StartedAfter: begun.startedAfter,
+		AnnouncedRevision: record.Revision, Evacuated: d.evacuated(&record.Backend),
 	}
 	d.live[id] = entry{member, begun}
 	event := Event{Backend: &member.Backend, Revision: record.Revision}
 	switch {
 	case born.Differs(last.Born):
-		event.Transition = BackendBorn
+		event.Transition = BackendRestarted
 	case record.Backend.Draining && (!live || !last.Draining):
 		event.Transition = BackendDraining
 	case live && last.Draining && !record.Backend.Draining:
@@ -226,25 +226,25 @@
 	return append(events, event)
 }
 
-func (d *Directory) applyGone(now time.Duration, events []Event, gone Gone) []Event {
+func (d *Directory) applyRemoval(now time.Duration, events []Event, gone Gone) []Event {
 	known, live := d.live[gone.ID]
-	if !live || gone.Revision < known.member.Announced {
+	if !live || gone.Revision < known.member.AnnouncedRevision {
 		return events
 	}
 	d.changed[gone.ID] = true
 	delete(d.live, gone.ID)
-	d.gone[gone.ID] = departed{Record: Record{known.member.Backend, gone.Revision}, at: now, announced: known.member.Announced, start: known.start}
+	d.removed[gone.ID] = removedBackend{Record: Record{known.member.Backend, gone.Revision}, removedAt: now, announcedRevision: known.member.AnnouncedRevision, start: known.start}
 	return append(events, Event{Transition: BackendGone, Backend: &known.member.Backend, Revision: gone.Revision})
 }
 
 // rememberDeparted takes over from another balancer that a back end is gone.
-func (d *Directory) rememberDeparted(now time.Duration, record Record) {
+func (d *Directory) addRemoved(now time.Duration, record Record) {
 	if _, live := d.live[record.Backend.ID]; live {
 		return
 	}
-	if _, known := d.gone[record.Backend.ID]; !known {
+	if _, known := d.removed[record.Backend.ID]; !known {
 		d.changed[record.Backend.ID] = true
-		d.gone[record.Backend.ID] = departed{Record: record, at: now, announced: record.Revision, start: start{newest: record.Backend.Born, since: now}}
+		d.removed[record.Backend.ID] = removedBackend{Record: record, removedAt: now, announcedRevision: record.Revision, start: serverStart{latest: record.Backend.Born, seenAt: now}}
 	}
 }
 
@@ -252,14 +252,14 @@
 // It tells whether there were any.
 func (d *Directory) Forget(now time.Duration) bool {
 	forgotten := false
-	if !d.returning(now) {
-		clear(d.lapsed)
+	if !d.inReturnWindow(now) {
+		clear(d.expired)
 	}
-	for id, left := range d.gone {
-		if now-left.at > d.keep {
+	for id, left := range d.removed {
+		if now-left.removedAt > d.retention {
 			d.changed[id] = true
-			delete(d.gone, id)
-			d.forgotten = max(d.forgotten, left.Revision)
+			delete(d.removed, id)
+			d.forgottenRevision = max(d.forgottenRevision, left.Revision)
 			forgotten = true
 		}
 	}
@@ -270,7 +270,7 @@
 func MembershipChanged(events []Event) bool {
 	for i := range events {
 		switch events[i].Transition {
-		case BackendAdded, BackendGone, BackendDraining, BackendReturned, BackendBorn, BackendUnusable:
+		case BackendAdded, BackendGone, BackendDraining, BackendReturned, BackendRestarted, BackendUnusable:
 			return true
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -13,7 +13,7 @@
 	"gaugeyard/internal/settings"
 )
 
-const keep = 10 * time.Second
+const testRetention = 10 * time.Second
 
 func backend(id settings.BackendID, draining bool) Backend {
 	return Backend{
@@ -59,7 +59,7 @@
 // TestAnOlderRevisionIsNeverApplied: what another balancer or a late answer tells
 // may be older than what is believed.
 func TestAnOlderRevisionIsNeverApplied(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 20, Settings: version(t, 5, 18, "192.0.2.1:80"), Records: []Record{record(1, 10), record(2, 19)}})
 	t.Run("listing", func(t *testing.T) {
 		d.Replace(0, &Listing{Revision: 12, Settings: version(t, 4, 9, "192.0.2.9:80"), Records: []Record{record(1, 10), record(3, 11)}})
@@ -80,7 +80,7 @@
 // TestAnEntryThatVanishedBetweenTwoListingsIsGone: when the store has lost its
 // history, the changes in the gap are known from the difference alone.
 func TestAnEntryThatVanishedBetweenTwoListingsIsGone(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), record(2, 4)}})
 	events := d.Replace(time.Second, &Listing{Revision: 9, Records: []Record{record(2, 4)}})
 	wantOpen(t, d, 2)
@@ -92,7 +92,7 @@
 // TestPagesAreNoSnapshot: an entry may be newer than the listing's revision, and
 // the changes after it repeat what the pages showed or missed.
 func TestPagesAreNoSnapshot(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 10, Records: []Record{record(1, 12)}})
 	d.Apply(0, &Changes{Revision: 13, Records: []Record{record(1, 11), record(1, 12), record(3, 13)}, Gone: []Gone{{ID: 1, Revision: 11}}})
 	wantOpen(t, d, 1, 3)
@@ -100,7 +100,7 @@
 
 // TestDepartedBackEndsKeepTheirTag for as long as a flow may live.
 func TestDepartedBackEndsKeepTheirTag(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3)}})
 	d.Apply(time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
 	wantOpen(t, d)
@@ -108,16 +108,16 @@
 	if len(members) != 1 || !members[0].Gone || members[0].GoneAt != time.Second {
 		t.Fatalf("tagged %+v", members)
 	}
-	if d.Forget(keep) || len(d.View().Tagged(TagOf(1))) != 1 {
+	if d.Forget(testRetention) || len(d.View().Tagged(TagOf(1))) != 1 {
 		t.Error("forgotten too early")
 	}
-	if !d.Forget(2*keep) || len(d.View().Tagged(TagOf(1))) != 0 {
+	if !d.Forget(2*testRetention) || len(d.View().Tagged(TagOf(1))) != 0 {
 		t.Error("never forgotten")
 	}
 }
 
 func TestDrainingBackEndsTakeNoNewFlow(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), {Backend: backend(2, true), Revision: 4}}})
 	wantOpen(t, d, 1)
 	if len(d.View().Tagged(TagOf(2))) != 1 {
@@ -132,7 +132,7 @@
 
 // TestFaultySettingsLeaveTheLastGoodOnesInForce.
 func TestFaultySettingsLeaveTheLastGoodOnesInForce(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Settings: version(t, 1, 4, "192.0.2.1:80")})
 	broken := version(t, 2, 6, "192.0.2.2:80")
 	broken.Tree["lost/child"] = settings.Values{}
@@ -148,7 +148,7 @@
 // TestSinceLeadsAnotherDirectoryToTheSameView, and refuses when departures since
 // then are forgotten.
 func TestSinceLeadsAnotherDirectoryToTheSameView(t *testing.T) {
-	first, second := New(keep), New(keep)
+	first, second := New(testRetention), New(testRetention)
 	listing := &Listing{Revision: 5, Settings: version(t, 1, 2, "192.0.2.1:80"), Records: []Record{record(1, 3), record(2, 4)}}
 	first.Replace(0, listing)
 	second.Replace(0, first.Listing())
@@ -162,7 +162,7 @@
 	if second.Revision() != 9 || second.SettingsVersion() != 3 || len(second.View().Tagged(TagOf(1))) != 1 {
 		t.Errorf("revision %d, version %d", second.Revision(), second.SettingsVersion())
 	}
-	first.Forget(3 * keep)
+	first.Forget(3 * testRetention)
 	if _, known := first.Since(5, 2); known {
 		t.Error("a forgotten departure is not mentioned")
 	}
@@ -173,9 +173,9 @@
 
 // TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd.
 func TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd(t *testing.T) {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 8, Records: []Record{record(1, 8)}})
-	d.Replace(0, &Listing{Revision: 4, Departed: []Record{record(1, 3), record(2, 2)}})
+	d.Replace(0, &Listing{Revision: 4, Removed: []Record{record(1, 3), record(2, 2)}})
 	wantOpen(t, d, 1)
 	if members := d.View().Tagged(TagOf(2)); len(members) != 1 || !members[0].Gone {
 		t.Error("a back end that left before this balancer started is not known")
@@ -183,7 +183,7 @@
 }
 
 // many returns settings of the given number of services.
-func many(t testing.TB, number, revision uint64, services int) *Settings {
+func manyServices(t testing.TB, number, revision uint64, services int) *Settings {
 	t.Helper()
 	tree := settings.Tree{"": settings.Values{}}
 	for i := range services {
@@ -198,13 +198,13 @@
 // TestAnotherBalancerIsToldWhatDiffers: of a large configuration only what an edit
 // changed goes to those who have what was before, over several edits too.
 func TestAnotherBalancerIsToldWhatDiffers(t *testing.T) {
-	first, second, third := New(keep), New(keep), New(keep)
-	first.Replace(0, &Listing{Revision: 5, Settings: many(t, 1, 2, 500)})
+	first, second, third := New(testRetention), New(testRetention), New(testRetention)
+	first.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 2, 500)})
 	for _, d := range []*Directory{second, third} {
 		d.Replace(0, first.Listing())
 	}
-	first.Apply(0, &Changes{Revision: 6, Settings: many(t, 2, 6, 501)})
-	first.Apply(0, &Changes{Revision: 7, Settings: many(t, 3, 7, 502)})
+	first.Apply(0, &Changes{Revision: 6, Settings: manyServices(t, 2, 6, 501)})
+	first.Apply(0, &Changes{Revision: 7, Settings: manyServices(t, 3, 7, 502)})
 	changes, known := first.Since(5, 2)
 	if !known || changes.Settings != nil || changes.Step == nil || len(changes.Step.Changes) != 2 {
 		t.Fatalf("known %v, whole settings %v, step %+v", known, changes.Settings != nil, changes.Step)
@@ -217,7 +217,7 @@
 		t.Error("the newest service is not in force")
 	}
 	t.Run("with another base", func(t *testing.T) {
-		third.Apply(0, &Changes{Revision: 6, Settings: many(t, 2, 6, 501)})
+		third.Apply(0, &Changes{Revision: 6, Settings: manyServices(t, 2, 6, 501)})
 		if events := third.Apply(0, changes); len(events) != 0 || third.Revision() != 6 || third.SettingsVersion() != 2 {
 			t.Errorf("events %+v, revision %d, version %d", events, third.Revision(), third.SettingsVersion())
 		}
@@ -233,7 +233,7 @@
 // that would be built anew, and the one before stays as it was.
 func TestAViewOfChangesIsTheViewOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := New(keep)
+		d := New(testRetention)
 		now := time.Duration(0)
 		for revision := uint64(1); revision < 40; revision++ {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
@@ -246,17 +246,17 @@
 			case 2:
 				d.Apply(now, &Changes{Revision: revision, Gone: []Gone{{ID: id, Revision: revision}}})
 			case 3:
-				d.Replace(now, &Listing{Revision: revision, Records: []Record{record}, Departed: []Record{{Backend: backend(id+1, false), Revision: 1}}})
+				d.Replace(now, &Listing{Revision: revision, Records: []Record{record}, Removed: []Record{{Backend: backend(id+1, false), Revision: 1}}})
 			case 4:
 				d.Forget(now)
 			}
 			before, kept := d.view, fmt.Sprint(describe(d.view))
 			got := describe(d.View())
-			whole := &Directory{live: d.live, gone: d.gone, view: &View{}, changed: map[settings.BackendID]bool{}}
+			whole := &Directory{live: d.live, removed: d.removed, view: &View{}, changed: map[settings.BackendID]bool{}}
 			for id := range d.live {
 				whole.changed[id] = true
 			}
-			for id := range d.gone {
+			for id := range d.removed {
 				whole.changed[id] = true
 			}
 			if want := describe(whole.View()); !reflect.DeepEqual(got, want) {
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -39,7 +39,7 @@
 	if next.Active == known.Active {
 		return events
 	}
-	d.changeZone(next.Zone)
+	d.markZoneChanged(next.Zone)
 	event := Event{Transition: ZoneRestored, Zone: next.Zone, Revision: next.Revision}
 	if next.Active {
 		event.Transition = ZoneEvacuated
@@ -48,13 +48,13 @@
 }
 
 // changeZone lets the next view have all back ends of a zone anew.
-func (d *Directory) changeZone(zone string) {
+func (d *Directory) markZoneChanged(zone string) {
 	for id, known := range d.live {
 		if known.member.Zone == zone {
 			d.changed[id] = true
 		}
 	}
-	for id, left := range d.gone {
+	for id, left := range d.removed {
 		if left.Backend.Zone == zone {
 			d.changed[id] = true
 		}
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -14,7 +14,7 @@
 
 // twoZones believes in back ends 1 and 2 of zone a and 3 of zone b.
 func twoZones() *Directory {
-	d := New(keep)
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 2), record(2, 3), inZone(record(3, 4), "b")}})
 	return d
 }
@@ -102,7 +102,7 @@
 	d.Apply(0, evacuate("a", 6))
 	d.Apply(0, evacuate("b", 7))
 	d.Apply(0, restore("a", 8))
-	other := New(keep)
+	other := New(testRetention)
 	other.Replace(0, d.Listing())
 	wantOpen(t, other, 1, 2)
 	late := twoZones()
--- a/internal/directory/lapse.go
+++ b/internal/directory/expiry.go
@@ -16,33 +16,33 @@
 	// missingPart is for which part of the contact bound nobody had heard of the store before its
 	// return, for that to have been an outage: by the ages that balancers in touch keep, beliefs are
 	// 0.58 of the bound old at most.
-	missingPart = 0.75
+	minOutageFraction = 0.75
 	// returnTime is within what time of the store's return entries of sound back ends are back.
-	returnTime = 2 * time.Second
+	maxReturnWindow = 2 * time.Second
 	// returnPart is which part of the drain bound that is at most: a back end that left just as the
 	// store returned takes no flow after the bound, though balancers heard of the return later.
-	returnPart = 0.6
+	returnWindowFraction = 0.6
 )
 
 // Lapse bounds the belief in back ends whose entries vanished in an outage. The zero value is none.
-type Lapse struct {
+type ExpiryBounds struct {
 	// Missing is for how long the store had confirmed nothing, at least.
-	Missing time.Duration
+	MinOutage time.Duration
 	// Window is how long after the store's return the belief lasts.
 	Window time.Duration
 }
 
 // LapseWithin returns what the platform's bounds allow.
-func LapseWithin(contact, drain time.Duration) Lapse {
-	return Lapse{
-		Missing: time.Duration(missingPart * float64(contact)),
-		Window:  min(returnTime, time.Duration(returnPart*float64(drain))),
+func LapseWithin(contact, drain time.Duration) ExpiryBounds {
+	return ExpiryBounds{
+		MinOutage: time.Duration(minOutageFraction * float64(contact)),
+		Window:    min(maxReturnWindow, time.Duration(returnWindowFraction*float64(drain))),
 	}
 }
 
 // EndsInTime tells whether the belief, taken up by a process that has run for up, ends within the contact bound
 // of its start: until then it need not be in touch.
-func (l Lapse) EndsInTime(up, contact time.Duration) bool { return up+l.Window <= contact }
+func (l ExpiryBounds) EndsInTime(up, contact time.Duration) bool { return up+l.Window <= contact }
 
 // storeReturn is the end of the last outage of the store that is known here.
 type storeReturn struct {
@@ -51,95 +51,95 @@
 }
 
 // SetLapse changes the bounds of the belief in lapsed back ends.
-func (d *Directory) SetLapse(bounds Lapse) { d.lapse = bounds }
+func (d *Directory) SetLapse(bounds ExpiryBounds) { d.expiryBounds = bounds }
 
 // NoteConfirmed notes that the store confirmed age ago what is believed, where the confirmation before
 // is old by now. It tells whether that was the end of an outage. What vanishes from then on, or came
 // with it, lapsed. Call it before what came with the confirmation is applied.
 func (d *Directory) NoteConfirmed(now, age, old time.Duration) bool {
-	if d.revision == 0 || d.lapse.Window == 0 || old-age < d.lapse.Missing {
+	if d.revision == 0 || d.expiryBounds.Window == 0 || old-age < d.expiryBounds.MinOutage {
 		return false
 	}
-	if d.returned.known && d.returned.at > now-old {
+	if d.lastReturn.known && d.lastReturn.at > now-old {
 		// A listing that began after this outage did not end, so that nothing has been confirmed since.
 		return false
 	}
-	return d.noteReturn(now - age)
+	return d.startReturnWindow(now - age)
 }
 
 // HearReturn takes over from another balancer that the store returned at a time. Call it before
 // what that one told is applied. It tells whether the return is news.
-func (d *Directory) HearReturn(at time.Duration) bool { return d.noteReturn(at) }
+func (d *Directory) HearReturn(at time.Duration) bool { return d.startReturnWindow(at) }
 
 // IsLapsed tells whether the back end lapsed in the last outage.
-func (d *Directory) IsLapsed(id settings.BackendID) bool { return d.gone[id].lapsedUntil > 0 }
+func (d *Directory) IsLapsed(id settings.BackendID) bool { return d.removed[id].usableUntil > 0 }
 
 // noteReturn begins the time of a return that is not known yet; others saw the same return at about the
 // same time, and the belief must not last longer each time that it is told.
-func (d *Directory) noteReturn(at time.Duration) bool {
-	if d.returned.known && at < d.returned.at+d.lapse.Missing {
+func (d *Directory) startReturnWindow(at time.Duration) bool {
+	if d.lastReturn.known && at < d.lastReturn.at+d.expiryBounds.MinOutage {
 		return false
 	}
-	d.returned = storeReturn{known: true, at: at}
-	clear(d.lapsed)
+	d.lastReturn = storeReturn{known: true, at: at}
+	clear(d.expired)
 	return true
 }
 
 // ReturnAge is how long ago the store returned from an outage, while back ends may be lapsed.
 func (d *Directory) ReturnAge(now time.Duration) (age time.Duration, returning bool) {
-	return now - d.returned.at, d.returning(now)
+	return now - d.lastReturn.at, d.inReturnWindow(now)
 }
 
 // SinceReturn is how long ago the store returned from the last outage that is known here.
 func (d *Directory) SinceReturn(now time.Duration) (age time.Duration, known bool) {
-	return now - d.returned.at, d.returned.known
+	return now - d.lastReturn.at, d.lastReturn.known
 }
 
 // returning tells whether back ends may be lapsed.
-func (d *Directory) returning(now time.Duration) bool {
-	return d.returned.known && now < d.lapsedUntil()
+func (d *Directory) inReturnWindow(now time.Duration) bool {
+	return d.lastReturn.known && now < d.returnWindowEnd()
 }
 
 // lapsedUntil is when lapsed back ends of the last outage are no longer believed in.
-func (d *Directory) lapsedUntil() time.Duration { return d.returned.at + d.lapse.Window }
+func (d *Directory) returnWindowEnd() time.Duration { return d.lastReturn.at + d.expiryBounds.Window }
 
 // lapseAll takes those back ends for lapsed that are gone, were not draining, and that were the last to
 // announce their address.
-func (d *Directory) lapseAll(now time.Duration, ids []settings.BackendID) {
-	if len(ids) == 0 || !d.returning(now) {
+func (d *Directory) markExpired(now time.Duration, ids []settings.BackendID) {
+	if len(ids) == 0 || !d.inReturnWindow(now) {
 		return
 	}
 	vanished := make(map[settings.BackendID]bool, len(ids))
 	for _, id := range ids {
 		vanished[id] = true
 	}
-	for address, id := range d.lastAt(ids) {
-		left := d.gone[id]
+	for address, id := range d.lastAnnouncedAt(ids) {
+		left := d.removed[id]
 		if !vanished[id] || left.Backend.Draining {
 			continue
 		}
-		d.endLapseAt(address)
-		d.lapsed[address] = id
-		left.lapsedUntil = d.lapsedUntil()
-		d.gone[id] = left
+		d.clearExpiredAt(address)
+		d.expired[address] = id
+		left.usableUntil = d.returnWindowEnd()
+		d.removed[id] = left
 		d.changed[id] = true
 	}
 }
 
 // lastAt returns, of the addresses of the back ends that no live one has, which of those that are gone
 // announced itself there last: the ones before it have ended, and may have been of another service.
-func (d *Directory) lastAt(ids []settings.BackendID) map[netip.AddrPort]settings.BackendID {
+func (d *Directory) lastAnnouncedAt(ids []settings.BackendID) map[netip.AddrPort]settings.BackendID {
 	last := make(map[netip.AddrPort]settings.BackendID, len(ids))
 	for _, id := range ids {
-		if left, gone := d.gone[id]; gone {
+		if left, gone := d.removed[id]; gone {
 			last[left.Backend.Address] = id
 		}
 	}
 	for _, known := range d.live {
 		delete(last, known.member.Address)
 	}
-	for id, left := range d.gone {
-		if current, asked := last[left.Backend.Address]; asked && left.announced > d.gone[current].announced {
+	for id, left := range d.removed {
+		if current, asked := last[left.Backend.Address]; asked && left.announcedRevision > d.removed[current].announcedRevision {
 			last[left.Backend.Address] = id
 		}
 	}
@@ -148,42 +148,42 @@
 
 // believeMissing takes back ends that this balancer has never known for lapsed. The store has just
 // returned, as far as one can tell that knew nothing before.
-func (d *Directory) believeMissing(now time.Duration, missing []Record) {
+func (d *Directory) addMissing(now time.Duration, missing []Record) {
 	if len(missing) == 0 {
 		return
 	}
-	d.noteReturn(now)
+	d.startReturnWindow(now)
 	var ids []settings.BackendID
 	for _, record := range missing {
 		id := record.Backend.ID
 		_, live := d.live[id]
-		if _, gone := d.gone[id]; !live && !gone {
+		if _, gone := d.removed[id]; !live && !gone {
 			ids = append(ids, id)
-			d.rememberDeparted(now, record)
+			d.addRemoved(now, record)
 		}
 	}
-	d.lapseAll(now, ids)
+	d.markExpired(now, ids)
 }
 
 // endLapseAt ends the belief in a lapsed back end whose address another back end announces.
-func (d *Directory) endLapseAt(address netip.AddrPort) {
-	id, lapsed := d.lapsed[address]
+func (d *Directory) clearExpiredAt(address netip.AddrPort) {
+	id, lapsed := d.expired[address]
 	if !lapsed {
 		return
 	}
-	delete(d.lapsed, address)
-	if left, gone := d.gone[id]; gone {
-		left.lapsedUntil = 0
-		d.gone[id] = left
+	delete(d.expired, address)
+	if left, gone := d.removed[id]; gone {
+		left.usableUntil = 0
+		d.removed[id] = left
 		d.changed[id] = true
 	}
 }
 
 // lapsedNow returns the lapsed back ends, for other balancers, which compare no ages of their own.
-func (d *Directory) lapsedNow(after uint64) []settings.BackendID {
+func (d *Directory) expiredSince(after uint64) []settings.BackendID {
 	var ids []settings.BackendID
-	for _, id := range d.lapsed {
-		if left, gone := d.gone[id]; gone && left.Revision > after {
+	for _, id := range d.expired {
+		if left, gone := d.removed[id]; gone && left.Revision > after {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/directory/tell.go
+++ b/internal/directory/export.go
@@ -11,10 +11,10 @@
 // known when back ends that departed since then have been forgotten, or were never known here; the other balancer
 // then needs a Listing.
 func (d *Directory) Since(after, base uint64) (changes *Changes, known bool) {
-	if after == 0 || after < d.forgotten || d.missed(after) {
+	if after == 0 || after < d.forgottenRevision || d.inGap(after) {
 		return nil, false
 	}
-	changes = &Changes{Revision: d.revision, Told: true, Lapsed: d.lapsedNow(after)}
+	changes = &Changes{Revision: d.revision, Told: true, Expired: d.expiredSince(after)}
 	if d.settings.Revision > base {
 		if changes.Step = d.stepFrom(base); changes.Step == nil {
 			current := d.settings
@@ -22,11 +22,11 @@
 		}
 	}
 	for _, known := range d.live {
-		if known.member.Announced > after {
+		if known.member.AnnouncedRevision > after {
 			changes.Records = append(changes.Records, known.record())
 		}
 	}
-	for id, left := range d.gone {
+	for id, left := range d.removed {
 		if left.Revision > after {
 			changes.Gone = append(changes.Gone, Gone{ID: id, Revision: left.Revision})
 		}
@@ -39,7 +39,7 @@
 
 // Listing returns everything believed, for another balancer.
 func (d *Directory) Listing() *Listing {
-	listing := &Listing{Revision: d.revision, Told: true, Lapsed: d.lapsedNow(0)}
+	listing := &Listing{Revision: d.revision, Told: true, Expired: d.expiredSince(0)}
 	if d.settings.Revision > 0 {
 		current := d.settings
 		listing.Settings = &current
@@ -47,12 +47,12 @@
 	for _, known := range d.live {
 		listing.Records = append(listing.Records, known.record())
 	}
-	for _, left := range d.gone {
-		listing.Departed = append(listing.Departed, left.Record)
+	for _, left := range d.removed {
+		listing.Removed = append(listing.Removed, left.Record)
 	}
 	listing.Evacuations = d.evacuationsSince(0)
 	sortRecords(listing.Records)
-	sortRecords(listing.Departed)
+	sortRecords(listing.Removed)
 	return listing
 }
 
--- a/internal/directory/gap.go
+++ b/internal/directory/gap.go
@@ -9,7 +9,7 @@
 type gap struct{ from, to uint64 }
 
 // noteListed notes that everything was listed at a revision.
-func (d *Directory) noteListed(revision uint64) {
+func (d *Directory) recordGap(revision uint64) {
 	if revision <= d.revision {
 		return
 	}
@@ -22,7 +22,7 @@
 }
 
 // missed tells whether what changed since a revision is not known whole.
-func (d *Directory) missed(after uint64) bool {
+func (d *Directory) inGap(after uint64) bool {
 	for _, gap := range d.gaps {
 		if gap.from < after && after < gap.to {
 			return true
--- a/internal/directory/prepare_test.go
+++ b/internal/directory/prepare_test.go
@@ -14,11 +14,11 @@
 		{"a newer one", 8, 7, 8, 503, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := New(keep)
-			d.Replace(0, &Listing{Revision: 5, Settings: many(t, 1, 5, 500)})
-			changes := &Changes{Revision: c.prepared, Settings: many(t, 2, c.prepared, c.preparedServices)}
+			d := New(testRetention)
+			d.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 5, 500)})
+			changes := &Changes{Revision: c.prepared, Settings: manyServices(t, 2, c.prepared, c.preparedServices)}
 			changes.Prepared = d.Base().Prepare(changes.Settings, nil, func() {})
-			d.Apply(0, &Changes{Revision: c.meanwhile, Settings: many(t, 3, c.meanwhile, 502)})
+			d.Apply(0, &Changes{Revision: c.meanwhile, Settings: manyServices(t, 3, c.meanwhile, 502)})
 			d.Apply(0, changes)
 			if got := d.View().Settings; d.SettingsRevision() != c.inForce || len(got.Services) != c.wantServices || got.Revision != c.inForce {
 				t.Errorf("revision %d with %d services is in force", d.SettingsRevision(), len(got.Services))
@@ -29,15 +29,15 @@
 
 // TestPreparingChangesNothing that is in force, and a step from other settings is not prepared.
 func TestPreparingChangesNothing(t *testing.T) {
-	d := New(keep)
-	d.Replace(0, &Listing{Revision: 5, Settings: many(t, 1, 5, 500)})
+	d := New(testRetention)
+	d.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 5, 500)})
 	before := d.View().Settings
-	d.Base().Prepare(many(t, 2, 6, 501), nil, func() {
+	d.Base().Prepare(manyServices(t, 2, 6, 501), nil, func() {
 		if d.SettingsRevision() != 5 || d.View().Settings != before {
 			t.Error("what is in force has changed")
 		}
 	})
-	if d.Base().Prepare(nil, &Step{Base: 4, Revision: 6}, func() {}) != nil || d.Base().Prepare(many(t, 1, 5, 9), nil, func() {}) != nil {
+	if d.Base().Prepare(nil, &Step{Base: 4, Revision: 6}, func() {}) != nil || d.Base().Prepare(manyServices(t, 1, 5, 9), nil, func() {}) != nil {
 		t.Error("a step from other settings or old ones are prepared")
 	}
 }
--- a/internal/directory/records_test.go
+++ b/internal/directory/records_test.go
@@ -17,7 +17,7 @@
 	}
 	six := append(slices.Clone(four), Record{Backend{ID: 3, Group: "fonts", Zone: "b", Address: netip.MustParseAddrPort("[2001:db8::1]:443"), Slots: 3}, 2})
 	for _, told := range []Records{nil, four, six} {
-		data, err := msgpack.Marshal(&Listing{Revision: 5, Records: told, Departed: told})
+		data, err := msgpack.Marshal(&Listing{Revision: 5, Records: told, Removed: told})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,7 +25,7 @@
 		if err := msgpack.Unmarshal(data, &read); err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(read.Records, told) || !slices.Equal(read.Departed, told) {
+		if !slices.Equal(read.Records, told) || !slices.Equal(read.Removed, told) {
 			t.Errorf("read %+v, told %+v", read, told)
 		}
 	}
--- a/internal/directory/reuse.go
+++ b/internal/directory/reuse.go
@@ -25,14 +25,14 @@
 		for _, members := range part {
 			for _, member := range members {
 				if newest, asked := left[member.Address]; asked && !member.Gone {
-					left[member.Address] = max(newest, member.Announced)
+					left[member.Address] = max(newest, member.AnnouncedRevision)
 				}
 			}
 		}
 	}
 	var replaced []settings.BackendID
 	for _, id := range ids {
-		if member := v.Member(id); member != nil && member.Gone && left[member.Address] > member.Announced {
+		if member := v.Member(id); member != nil && member.Gone && left[member.Address] > member.AnnouncedRevision {
 			replaced = append(replaced, id)
 		}
 	}
--- a/internal/directory/reuse_test.go
+++ b/internal/directory/reuse_test.go
@@ -55,7 +55,7 @@
 		d.Replace(0, &Listing{
 			Revision: 10,
 			Records:  []Record{{Backend{ID: 2, Group: "b", Address: address}, test.revision}},
-			Departed: []Record{{Backend{ID: 1, Group: "a", Address: address}, 5}},
+			Removed:  []Record{{Backend{ID: 1, Group: "a", Address: address}, 5}},
 		})
 		if replaced := d.View().Replaced([]settings.BackendID{1}); len(replaced) != test.want {
 			t.Errorf("gone at revision 5, another entry of %d: %v has ended", test.revision, replaced)
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -40,7 +40,7 @@
 
 // takeOver puts newer settings in force, prepared ones where they were prepared on those that
 // still are; faulty ones are refused and leave the last good ones in force.
-func (d *Directory) takeOver(events []Event, next *Settings, step *Step, prepared *Prepared) []Event {
+func (d *Directory) applySettings(events []Event, next *Settings, step *Step, prepared *Prepared) []Event {
 	if prepared == nil || prepared.base != d.settings.Revision {
 		prepared = d.Base().Prepare(next, step, func() {})
 	}
--- a/internal/directory/birth.go
+++ b/internal/directory/start_time.go
@@ -12,31 +12,31 @@
 func (b Birth) Differs(other Birth) bool { return b != other && b != 0 && other != 0 }
 
 // entryLife is how many of its intervals a server may be silent until its entry vanishes.
-const entryLife = 3
+const maxSilentIntervals = 3
 
 // start is what is known of the start that a back end announces itself by.
-type start struct {
+type serverStart struct {
 	// newest is the largest birth that was told under the identifier.
-	newest Birth
+	latest Birth
 	// since is when it was first heard of.
-	since time.Duration
+	seenAt time.Duration
 	// after is a time before this start: what a flow did earlier, it did with a start before. 0 is not known.
-	after time.Duration
+	startedAfter time.Duration
 }
 
 // next returns what is known once a newer entry than that of the birth last tells another one, at now; nothing
 // was told of it until certain.
-func (s start) next(last, told Birth, now, certain, interval time.Duration) start {
+func (s serverStart) next(last, told Birth, now, certain, interval time.Duration) serverStart {
 	if told.Differs(last) {
-		s.since = now
+		s.seenAt = now
 	}
-	if told.Differs(last) && told > s.newest {
+	if told.Differs(last) && told > s.latest {
 		// The server wrote after certain, and had started entryLife intervals earlier at most: else the
 		// entry of the start before had vanished. A birth that goes back may be a late word of an earlier
 		// start, and says nothing of flows.
-		s.after = certain - entryLife*interval
+		s.startedAfter = certain - maxSilentIntervals*interval
 	}
-	s.newest = max(s.newest, told)
+	s.latest = max(s.latest, told)
 	return s
 }
 
@@ -45,18 +45,18 @@
 
 // NoteCertain notes when the store last confirmed that what is believed is complete. Call it before what
 // follows is applied.
-func (d *Directory) NoteCertain(at time.Duration) { d.certain = max(d.certain, at) }
+func (d *Directory) NoteCertain(at time.Duration) { d.confirmedAt = max(d.confirmedAt, at) }
 
 // applyUnusable takes over that an entry names no server to use. Flows that rest at the server before it are
 // left alone; a later entry that names one brings it back. It is no lapse: the store was there.
 func (d *Directory) applyUnusable(now time.Duration, events []Event, unusable Gone) []Event {
 	before := len(events)
-	if events = d.applyGone(now, events, unusable); len(events) == before {
+	if events = d.applyRemoval(now, events, unusable); len(events) == before {
 		return events
 	}
-	left := d.gone[unusable.ID]
+	left := d.removed[unusable.ID]
 	left.Backend.Draining = true
-	d.gone[unusable.ID] = left
+	d.removed[unusable.ID] = left
 	events[before].Transition = BackendUnusable
 	return events
 }
--- a/internal/directory/birth_test.go
+++ b/internal/directory/start_time_test.go
@@ -12,20 +12,20 @@
 // interval is how often servers write in these tests.
 const interval = 2 * time.Second
 
-func born(id settings.BackendID, birth Birth, revision uint64) Record {
+func recordStartedAt(id settings.BackendID, birth Birth, revision uint64) Record {
 	told := record(id, revision)
 	told.Backend.Born = birth
 	return told
 }
 
-func startsKnown(records ...Record) *Directory {
-	d := New(keep)
+func newListedDirectory(records ...Record) *Directory {
+	d := New(testRetention)
 	d.SetInterval(interval)
 	d.Replace(0, &Listing{Revision: 5, Records: records})
 	return d
 }
 
-func tell(d *Directory, now time.Duration, told Record) []Event {
+func applyRecordAt(d *Directory, now time.Duration, told Record) []Event {
 	d.NoteCertain(now - 500*time.Millisecond)
 	return d.Apply(now, &Changes{Revision: told.Revision, Records: []Record{told}})
 }
@@ -34,7 +34,7 @@
 // back ends no flow, since a late write tells it too.
 func TestAnotherBirthIsAnotherStart(t *testing.T) {
 	const now = 30 * time.Second
-	const after = now - 500*time.Millisecond - entryLife*interval
+	const after = now - 500*time.Millisecond - maxSilentIntervals*interval
 	for _, test := range []struct {
 		name        string
 		first, then Birth
@@ -47,9 +47,9 @@
 		{"not told any more", 100, 0, false, 0},
 		{"told for the first time", 0, 100, false, 0},
 	} {
-		d := startsKnown(born(1, test.first, 3))
-		events := tell(d, now, born(1, test.then, 6))
-		if anew := len(events) == 1 && events[0].Transition == BackendBorn; anew != test.anew {
+		d := newListedDirectory(recordStartedAt(1, test.first, 3))
+		events := applyRecordAt(d, now, recordStartedAt(1, test.then, 6))
+		if anew := len(events) == 1 && events[0].Transition == BackendRestarted; anew != test.anew {
 			t.Errorf("%s: events %+v", test.name, events)
 		}
 		if got := d.View().Member(1).StartedAfter; got != test.after {
@@ -60,12 +60,12 @@
 
 // TestALateWordOfAnEarlierStartEndsNoFlow of the present one, whose next entry tells its birth again.
 func TestALateWordOfAnEarlierStartEndsNoFlow(t *testing.T) {
-	d := startsKnown(born(1, 100, 3))
-	tell(d, 20*time.Second, born(1, 200, 6))
+	d := newListedDirectory(recordStartedAt(1, 100, 3))
+	applyRecordAt(d, 20*time.Second, recordStartedAt(1, 200, 6))
 	after := d.View().Member(1).StartedAfter
 	for i, birth := range []Birth{100, 200} {
 		now := 40*time.Second + time.Duration(i)*interval
-		if events := tell(d, now, born(1, birth, uint64(7+i))); len(events) != 1 || events[0].Transition != BackendBorn {
+		if events := applyRecordAt(d, now, recordStartedAt(1, birth, uint64(7+i))); len(events) != 1 || events[0].Transition != BackendRestarted {
 			t.Errorf("birth %d: events %+v", birth, events)
 		}
 		if got := d.View().Member(1).StartedAfter; got != after {
@@ -76,12 +76,12 @@
 
 // TestAStartBehindAGapIsKnown: the entry went meanwhile, or all were listed anew.
 func TestAStartBehindAGapIsKnown(t *testing.T) {
-	d := startsKnown(born(1, 100, 3))
+	d := newListedDirectory(recordStartedAt(1, 100, 3))
 	d.Apply(10*time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
-	tell(d, 12*time.Second, born(1, 300, 9))
-	listed := startsKnown(born(1, 100, 3))
+	applyRecordAt(d, 12*time.Second, recordStartedAt(1, 300, 9))
+	listed := newListedDirectory(recordStartedAt(1, 100, 3))
 	listed.NoteCertain(11500 * time.Millisecond)
-	listed.Replace(12*time.Second, &Listing{Revision: 9, Records: []Record{born(1, 300, 9)}})
+	listed.Replace(12*time.Second, &Listing{Revision: 9, Records: []Record{recordStartedAt(1, 300, 9)}})
 	for _, d := range []*Directory{d, listed} {
 		if got := d.View().Member(1); got.Born != 300 || got.StartedAfter != 5500*time.Millisecond {
 			t.Errorf("%+v", got)
@@ -93,7 +93,7 @@
 func TestAnEntryThatNamesNoServerEndsTheBelief(t *testing.T) {
 	unusable := []Gone{{ID: 1, Revision: 8}, {ID: 7, Revision: 8}}
 	for _, listed := range []bool{false, true} {
-		d := confirmedLast()
+		d := newConfirmedDirectory()
 		d.NoteConfirmed(outage, 0, outage)
 		var events []Event
 		if listed {
@@ -105,7 +105,7 @@
 			t.Errorf("events %+v", events)
 		}
 		wantOpen(t, d, 2, 3)
-		wantLapsed(t, d, outage)
+		wantUsable(t, d, outage)
 		if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Gone {
 			t.Errorf("open flows there have %+v", members)
 		}
@@ -134,10 +134,10 @@
 			case 1:
 				words[i].Unusable = []Gone{{ID: 1, Revision: revision}}
 			default:
-				words[i].Records = []Record{born(1, Birth(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
+				words[i].Records = []Record{recordStartedAt(1, Birth(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
 			}
 		}
-		inOrder, mixed := startsKnown(born(1, 1, 3)), startsKnown(born(1, 1, 3))
+		inOrder, mixed := newListedDirectory(recordStartedAt(1, 1, 3)), newListedDirectory(recordStartedAt(1, 1, 3))
 		for i := range words {
 			inOrder.Apply(0, &words[i])
 		}
--- a/internal/directory/outline.go
+++ b/internal/directory/summary.go
@@ -5,7 +5,7 @@
 // outlineSize is how many back ends an outline has at most: 4 to 7 kB compressed, told over 20 Mbit/s in 3 ms and
 // put in force in a few ms of a fifth of a core. What a fleet places in the second until all are known must be
 // little beside what so many bear.
-const outlineSize = 512
+const maxSummaryBackends = 512
 
 // Outline returns what a balancer that starts can place new flows by before it knows everything: the settings and
 // some back ends that take flows, those of the zone first, by chance so that those who ask different
@@ -20,15 +20,15 @@
 	// The order of a map's entries differs each time.
 	for _, known := range d.live {
 		switch {
-		case len(outline.Records) == outlineSize:
+		case len(outline.Records) == maxSummaryBackends:
 		case known.member.Draining || d.evacuated(&known.member.Backend):
 		case known.member.Zone == zone:
 			outline.Records = append(outline.Records, known.record())
-		case len(elsewhere) < outlineSize:
+		case len(elsewhere) < maxSummaryBackends:
 			elsewhere = append(elsewhere, known.record())
 		}
 	}
-	room := outlineSize - len(outline.Records)
+	room := maxSummaryBackends - len(outline.Records)
 	outline.Records = append(outline.Records, elsewhere[:min(room, len(elsewhere))]...)
 	sortRecords(outline.Records)
 	return outline
@@ -40,7 +40,7 @@
 	if d.revision > 0 {
 		return nil
 	}
-	events := d.takeOver(nil, outline.Settings, nil, outline.Prepared)
+	events := d.applySettings(nil, outline.Settings, nil, outline.Prepared)
 	for _, evacuation := range outline.Evacuations {
 		events = d.applyEvacuation(events, evacuation)
 	}
--- a/internal/directory/outline_test.go
+++ b/internal/directory/summary_test.go
@@ -8,8 +8,8 @@
 )
 
 // fleetOf has back ends 1 to count, every third in zone b, and one of zone a that drains.
-func fleetOf(t *testing.T, count int) *Directory {
-	d := New(keep)
+func newFleetDirectory(t *testing.T, count int) *Directory {
+	d := New(testRetention)
 	listing := &Listing{Revision: uint64(count), Settings: version(t, 5, 1, "192.0.2.1:80")}
 	for i := 1; i <= count; i++ {
 		told := Record{Backend: backend(settings.BackendID(i), i == 1), Revision: uint64(i)}
@@ -24,7 +24,7 @@
 
 // TestAnOutlineHasTheSettingsAndBackEndsOfTheZoneFirst, none that drains or is evacuated.
 func TestAnOutlineHasTheSettingsAndBackEndsOfTheZoneFirst(t *testing.T) {
-	d := fleetOf(t, 900)
+	d := newFleetDirectory(t, 900)
 	outline := d.Outline("b")
 	inB := 0
 	for _, told := range outline.Records {
@@ -35,7 +35,7 @@
 			inB++
 		}
 	}
-	if outline.Settings == nil || outline.Revision != 0 || len(outline.Records) != outlineSize || inB != 300 {
+	if outline.Settings == nil || outline.Revision != 0 || len(outline.Records) != maxSummaryBackends || inB != 300 {
 		t.Errorf("%d back ends, %d of the zone, settings %v, revision %d", len(outline.Records), inB, outline.Settings, outline.Revision)
 	}
 	d.Apply(0, &Changes{Revision: 1000, Evacuations: []Evacuation{{Zone: "b", Active: true, Revision: 1000}}})
@@ -48,9 +48,9 @@
 
 // TestAfterAnOutlineEverythingIsStillAskedFor, and what it told wrongly ends with the listing.
 func TestAfterAnOutlineEverythingIsStillAskedFor(t *testing.T) {
-	whole, d := fleetOf(t, 900), New(keep)
+	whole, d := newFleetDirectory(t, 900), New(testRetention)
 	d.TakeOutline(0, whole.Outline("a"))
-	if d.Revision() != 0 || d.SettingsVersion() != 5 || len(d.View().Pool("fonts").Open) != outlineSize {
+	if d.Revision() != 0 || d.SettingsVersion() != 5 || len(d.View().Pool("fonts").Open) != maxSummaryBackends {
 		t.Fatalf("revision %d, version %d, %d back ends", d.Revision(), d.SettingsVersion(), len(d.View().Pool("fonts").Open))
 	}
 	if _, known := d.Since(0, 0); known {
@@ -62,7 +62,7 @@
 	if d.Revision() != 1001 || want != got {
 		t.Errorf("revision %d, %d back ends, want %d", d.Revision(), got, want)
 	}
-	if events := d.TakeOutline(time.Second, fleetOf(t, 3).Outline("a")); events != nil {
+	if events := d.TakeOutline(time.Second, newFleetDirectory(t, 3).Outline("a")); events != nil {
 		t.Errorf("one that comes late changes %+v", events)
 	}
 }
--- a/internal/directory/told.go
+++ b/internal/directory/types.go
@@ -46,11 +46,11 @@
 	Unusable []Gone
 	// Departed are back ends that are gone and may still serve flows; only
 	// listings from other balancers have any.
-	Departed Records
+	Removed Records `msgpack:"Departed"`
 	// Told is set in what another balancer tells, and Lapsed are those of Departed whose entries
 	// vanished in an outage of the store by what that one knows.
-	Told   bool
-	Lapsed []settings.BackendID
+	Told    bool                 `msgpack:"Told"`
+	Expired []settings.BackendID `msgpack:"Lapsed"`
 	// Missing are back ends that were there before an outage took their entries, by what a snapshot says.
 	Missing []Record `msgpack:"-"`
 }
@@ -66,14 +66,14 @@
 	// Prepared is Settings or Step prepared beforehand, nil where they were not.
 	Prepared *Prepared `msgpack:"-"`
 	Records  Records
-	Gone     []Gone
+	Gone     []Gone `msgpack:"Gone"`
 	// Unusable are back ends whose entries are there and name no server to use.
 	Unusable []Gone
 	// Evacuations are what operators said of zones, the newest word on each last.
 	Evacuations []Evacuation
 	// Told and Lapsed are as in a Listing, of Gone.
-	Told   bool
-	Lapsed []settings.BackendID
+	Told    bool                 `msgpack:"Told"`
+	Expired []settings.BackendID `msgpack:"Lapsed"`
 }
 
 // Count is how many entries the changes are of.
@@ -92,16 +92,16 @@
 
 // The transitions.
 const (
-	SettingsApplied Transition = "settings applied"
-	SettingsRefused Transition = "settings refused"
-	BackendAdded    Transition = "back end added"
-	BackendDraining Transition = "back end draining"
-	BackendReturned Transition = "back end returned"
-	BackendGone     Transition = "back end gone"
-	BackendBorn     Transition = "back end started anew"
-	BackendUnusable Transition = "back end entry unusable"
-	ZoneEvacuated   Transition = "zone evacuated"
-	ZoneRestored    Transition = "zone restored"
+	SettingsApplied  Transition = "settings applied"
+	SettingsRefused  Transition = "settings refused"
+	BackendAdded     Transition = "back end added"
+	BackendDraining  Transition = "back end draining"
+	BackendReturned  Transition = "back end returned"
+	BackendGone      Transition = "back end gone"
+	BackendRestarted Transition = "back end started anew"
+	BackendUnusable  Transition = "back end entry unusable"
+	ZoneEvacuated    Transition = "zone evacuated"
+	ZoneRestored     Transition = "zone restored"
 )
 
 // Event is one transition with what it is about.
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -35,7 +35,7 @@
 	GoneAt time.Duration
 	// Announced is the store's revision at which it last wrote its entry; of one that is gone, that or a
 	// later one.
-	Announced uint64
+	AnnouncedRevision uint64
 	// LapsedUntil is how long a gone one may take new flows all the same, since its entry vanished in
 	// an outage of the store.
 	LapsedUntil time.Duration
@@ -56,7 +56,7 @@
 	groups [viewParts]map[string]*Pool
 	tags   [viewParts]map[Tag][]*Member
 	// of is the directory that built the view as its serial-th, and changed what differs from the one before.
-	of      *Directory
+	builtBy *Directory
 	serial  uint64
 	changed []settings.BackendID
 }
@@ -64,7 +64,7 @@
 // ChangedSince returns the back ends that differ from an earlier view, in no order, where that is the
 // one before; else it is not known which do.
 func (v *View) ChangedSince(before *View) (ids []settings.BackendID, known bool) {
-	return v.changed, v.of != nil && v.of == before.of && v.serial == before.serial+1
+	return v.changed, v.builtBy != nil && v.builtBy == before.builtBy && v.serial == before.serial+1
 }
 
 // viewParts is in how many parts the tables of a view are divided.
--- a/internal/directory/view_bench_test.go
+++ b/internal/directory/view_bench_test.go
@@ -16,12 +16,12 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			d := New(keep)
+			d := New(testRetention)
 			for i := range backends {
 				address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
 				d.live[settings.BackendID(i+1)] = entry{member: &Member{Backend: Backend{
 					ID: settings.BackendID(i + 1), Group: fmt.Sprintf("g%d", i/100), Zone: "a", Address: address, Slots: 2,
-				}, Tag: TagOf(settings.BackendID(i + 1)), Announced: 1}}
+				}, Tag: TagOf(settings.BackendID(i + 1)), AnnouncedRevision: 1}}
 				d.changed[settings.BackendID(i+1)] = true
 			}
 			view := d.View()
@@ -43,12 +43,12 @@
 	const zones = 30
 	for _, backends := range []int{300, 3000, 130000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
-			d := New(keep)
+			d := New(testRetention)
 			for i := range backends {
 				address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
 				d.live[settings.BackendID(i+1)] = entry{member: &Member{Backend: Backend{
 					ID: settings.BackendID(i + 1), Group: fmt.Sprintf("g%d", i/100), Zone: fmt.Sprintf("z%d", i%zones), Address: address, Slots: 2,
-				}, Tag: TagOf(settings.BackendID(i + 1)), Announced: 1}}
+				}, Tag: TagOf(settings.BackendID(i + 1)), AnnouncedRevision: 1}}
 				d.changed[settings.BackendID(i+1)] = true
 			}
 			d.View()
--- a/internal/follow/call.go
+++ b/internal/follow/call.go
@@ -47,14 +47,14 @@
 	Now time.Duration
 	// Spare is set while a live balancer of lower rank is known, which asks the store first, and
 	// Index is how many of those are of the own zone.
-	Spare bool
-	Index int
+	Backup   bool
+	ZoneRank int
 	// Abler is set while a live balancer on an abler machine is known, and Alone while none has been heard. Zone
 	// is how many of the own zone are, the balancer itself included.
-	Abler, Alone bool
-	Zone         int
+	MoreCapable, Alone bool
+	ZoneSize           int
 	// Failing is how many other live balancers say that the store does not answer them.
-	Failing int
+	FailingPeers int
 	// Revision is up to where the beliefs are complete, 0 for nothing.
 	Revision uint64
 	// Upstream is the balancer to follow, Freshest one with a newer revision;
@@ -67,9 +67,9 @@
 // StateOf returns the state of a balancer that believes what it does up to a revision, from what
 // it knows of others. contactBound is the platform's bound for being in touch.
 func StateOf(now time.Duration, revision uint64, known *peers.Table, contactBound time.Duration) State {
-	state := State{Now: now, Revision: revision, Spare: known.HasLower(now), Failing: known.Failing(now)}
+	state := State{Now: now, Revision: revision, Backup: known.HasLower(now), FailingPeers: known.Failing(now)}
 	index, zone, fleet := known.Place(now)
-	state.Index, state.Zone, state.Abler, state.Alone = index, zone, known.HasAbler(now), fleet == 1
+	state.ZoneRank, state.ZoneSize, state.MoreCapable, state.Alone = index, zone, known.HasAbler(now), fleet == 1
 	if peer, found := known.Upstream(now, MaxPeerAge(contactBound)); found {
 		state.Upstream, state.UpstreamAge = peer.Control, peer.Age(now)
 	}
@@ -112,7 +112,7 @@
 // The changes of contact.
 const (
 	// Same is no change.
-	Same Contact = iota
+	Unchanged Contact = iota
 	// Lost means that the store no longer answers.
 	Lost
 	// Regained means that it does again.
--- a/internal/follow/confirmation.go
+++ b/internal/follow/confirmation.go
@@ -16,7 +16,7 @@
 }
 
 // renewStep is by how much newer a confirmation must be for others to hear of it at once.
-const renewStep = 200 * time.Millisecond
+const minRenewal = 200 * time.Millisecond
 
 // Note takes over that the store confirmed the beliefs age before now, on the steady clock
 // of the process. An older confirmation than the known one changes nothing. It tells whether
@@ -27,14 +27,14 @@
 	if c.known && at <= c.at {
 		return false
 	}
-	renewed = !c.known || at-c.at >= renewStep
+	renewed = !c.known || at-c.at >= minRenewal
 	c.at, c.known = at, true
 	return renewed
 }
 
 // Renews tells whether this confirmation is news to a balancer that has one of the age.
 func (c *Confirmation) Renews(now, age time.Duration) bool {
-	return c.Age(now)+renewStep <= age
+	return c.Age(now)+minRenewal <= age
 }
 
 // Age is how long before now the store confirmed the beliefs.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -31,7 +31,7 @@
 }
 
 // later is the state when all pauses after failures are over.
-func (s State) later() State {
+func (s State) afterRetries() State {
 	s.Now += time.Minute
 	return s
 }
@@ -60,7 +60,7 @@
 		case Pause:
 			state.Now += call.Wait * 3 / 2
 		case WatchStore:
-			if age := state.Now + call.Wait - confirmed; age > bound/storeWaitPart+bound/storeWaitPart/4 {
+			if age := state.Now + call.Wait - confirmed; age > bound/storeWaitDivisor+bound/storeWaitDivisor/4 {
 				t.Fatalf("beliefs may be %v old", age)
 			}
 			calls++
@@ -137,10 +137,10 @@
 		t.Errorf("contact %v", contact)
 	}
 	step(t, f, state, Pause, Outcome{})
-	if contact := step(t, f, state.later(), ListStore, Outcome{}); contact != Regained {
+	if contact := step(t, f, state.afterRetries(), ListStore, Outcome{}); contact != Regained {
 		t.Errorf("contact %v", contact)
 	}
-	step(t, f, state.later(), WatchStore, Outcome{})
+	step(t, f, state.afterRetries(), WatchStore, Outcome{})
 }
 
 func TestAFailureIsToldOnceAndPeersAreAsked(t *testing.T) {
@@ -153,25 +153,25 @@
 		t.Errorf("call %+v", call)
 	}
 	f.Done(state, Call{Kind: AskPeer}, Outcome{Result: Failed})
-	if asked := retries(t, f, State{Revision: 5}, 10*lastRetry); asked < 10 || asked > 15 {
-		t.Errorf("the store is asked %d times in %v", asked, 10*lastRetry)
+	if asked := countStoreCalls(t, f, State{Revision: 5}, 10*maxRetry); asked < 10 || asked > 15 {
+		t.Errorf("the store is asked %d times in %v", asked, 10*maxRetry)
 	}
 }
 
 // retries lets all calls fail for a time and counts those to the store.
-func retries(t *testing.T, f *Follower, state State, length time.Duration) (asked int) {
+func countStoreCalls(t *testing.T, f *Follower, state State, length time.Duration) (asked int) {
 	t.Helper()
 	for end := state.Now + length; state.Now < end; {
 		call := f.Next(state)
 		if call.Kind == Pause {
-			if call.Wait <= 0 || call.Wait > pauseStep {
+			if call.Wait <= 0 || call.Wait > maxPause {
 				t.Fatalf("call %+v", call)
 			}
 			state.Now += call.Wait
 		} else {
 			asked++
 		}
-		if contact := f.Done(state, call, Outcome{Result: Failed}); contact != Same {
+		if contact := f.Done(state, call, Outcome{Result: Failed}); contact != Unchanged {
 			t.Errorf("contact %v", contact)
 		}
 	}
@@ -182,10 +182,10 @@
 // from those at once.
 func TestInAnOutageFewAskTheStore(t *testing.T) {
 	f := running()
-	state := State{Revision: 5, Spare: true}
+	state := State{Revision: 5, Backup: true}
 	step(t, f, state, WatchStore, Outcome{Result: Failed})
-	if asked := retries(t, f, state, 10*lastRetry); asked > 3 {
-		t.Errorf("the store is asked %d times in %v", asked, 10*lastRetry)
+	if asked := countStoreCalls(t, f, state, 10*maxRetry); asked > 3 {
+		t.Errorf("the store is asked %d times in %v", asked, 10*maxRetry)
 	}
 	f = running()
 	step(t, f, state, WatchStore, Outcome{Result: Failed})
@@ -201,7 +201,7 @@
 func TestADeadConnectionIsFoundOutInTime(t *testing.T) {
 	for _, spare := range []bool{false, true} {
 		f := running()
-		state := State{Revision: 5, Spare: spare}
+		state := State{Revision: 5, Backup: spare}
 		watch := f.Next(state)
 		f.Done(state, watch, Outcome{Result: Failed})
 		if total := watch.Timeout + f.storeAfter - state.Now + PageTimeout/2; total > bound*3/4 {
@@ -220,7 +220,7 @@
 func TestABalancerThatIsBehindAsksAnother(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Freshest: freshest}
-	if contact := step(t, f, state, WatchStore, Outcome{Result: Overtaken}); contact != Same {
+	if contact := step(t, f, state, WatchStore, Outcome{Result: Overtaken}); contact != Unchanged {
 		t.Errorf("contact %v", contact)
 	}
 	if call := f.Next(state); call.Kind != AskPeer || call.Peer != freshest {
@@ -265,7 +265,7 @@
 	if ended > 4 || longest < 2*time.Second {
 		t.Errorf("%d calls were ended in 7 s, the longest had %v", ended, longest)
 	}
-	if lag.Note(7*time.Second, 9, 10) || !lag.Note(7*time.Second+overtakenAfter, 9, 10) {
+	if lag.Note(7*time.Second, 9, 10) || !lag.Note(7*time.Second+initialLagTimeout, 9, 10) {
 		t.Error("after progress the patience is short again")
 	}
 }
@@ -276,11 +276,11 @@
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{Result: Failed})
 	step(t, f, State{Revision: 5}, Pause, Outcome{})
-	if contact := step(t, f, state, AskPeer, Outcome{Age: 2 * MaxPeerAge(bound)}); contact != Same {
+	if contact := step(t, f, state, AskPeer, Outcome{Age: 2 * MaxPeerAge(bound)}); contact != Unchanged {
 		t.Errorf("through a stale peer: %v", contact)
 	}
-	step(t, f, state.later(), WatchStore, Outcome{Result: Failed})
-	if contact := step(t, f, state.later(), AskPeer, Outcome{}); contact != Regained {
+	step(t, f, state.afterRetries(), WatchStore, Outcome{Result: Failed})
+	if contact := step(t, f, state.afterRetries(), AskPeer, Outcome{}); contact != Regained {
 		t.Errorf("through a fresh peer: %v", contact)
 	}
 }
@@ -291,16 +291,16 @@
 		linkMbps   float64
 		firstStart bool
 		want       time.Duration
-	}{{0, false, 0}, {200, false, 0}, {200, true, 0}, {10, false, narrowPause}, {10, true, firstPause}} {
+	}{{0, false, 0}, {200, false, 0}, {200, true, 0}, {10, false, narrowLinkDelay}, {10, true, fleetStartDelay}} {
 		if got := StartPause(test.linkMbps, test.firstStart); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
-	f := New(bound, narrowPause)
+	f := New(bound, narrowLinkDelay)
 	step(t, f, State{}, Pause, Outcome{})
 	step(t, f, State{}, ListStore, Outcome{})
-	told := New(bound, narrowPause)
-	if call := told.Next(State{Revision: 7}); call.Kind != Pause || call.Wait != bound/gatherPart {
+	told := New(bound, narrowLinkDelay)
+	if call := told.Next(State{Revision: 7}); call.Kind != Pause || call.Wait != bound/batchDivisor {
 		t.Errorf("one that others told: %+v", call)
 	}
 	step(t, told, State{Revision: 7}, WatchStore, Outcome{})
@@ -319,13 +319,13 @@
 
 // outage is a state in which the source's word is old, at a balancer that index others of its zone
 // come before.
-func outage(index, failing int) State {
-	return State{Now: time.Minute, Revision: 5, Spare: true, Index: index, Failing: failing}
+func outageState(index, failing int) State {
+	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: index, FailingPeers: failing}
 }
 
 // asksAfter returns how long after its source's word is old a balancer asks the store, a minute
 // if it does not.
-func asksAfter(f *Follower, state State) time.Duration {
+func storeTakeoverAfter(f *Follower, state State) time.Duration {
 	for begin := state.Now; state.Now < begin+time.Minute; {
 		call := f.Next(state)
 		if call.Kind == WatchStore {
@@ -341,36 +341,36 @@
 // and configuration unless several say that the store does not answer them either.
 func TestTheFirstByRankAskInPlaceOfOthers(t *testing.T) {
 	last := time.Duration(-1)
-	for index := range firstAskers {
-		after := asksAfter(running(), outage(index, enoughFailing))
-		if after <= last || after > firstAskers*turnStep*3/2 {
+	for index := range primaryPollers {
+		after := storeTakeoverAfter(running(), outageState(index, minFailingPeers))
+		if after <= last || after > primaryPollers*takeoverStep*3/2 {
 			t.Errorf("the one at %d asks after %v, the one before after %v", index, after, last)
 		}
 		last = after
 	}
-	rest := asksAfter(running(), outage(firstAskers, enoughFailing-1))
+	rest := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers-1))
 	if rest <= last || MaxPeerAge(bound)+peerSlack+rest > bound*3/4 {
 		t.Errorf("another one asks after %v, the first ones up to %v", rest, last)
 	}
-	if rest := asksAfter(running(), outage(firstAskers, enoughFailing)); rest < restRetry || rest > 2*restRetry {
+	if rest := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers)); rest < outageRetry || rest > 2*outageRetry {
 		t.Errorf("in an outage another one asks after %v", rest)
 	}
 	f := running()
-	f.broken = true
-	if asked := retries(t, f, outage(firstAskers, enoughFailing), 3*restRetry); asked > 3 {
-		t.Errorf("and %d times in %v", asked, 3*restRetry)
+	f.disconnected = true
+	if asked := countStoreCalls(t, f, outageState(primaryPollers, minFailingPeers), 3*outageRetry); asked > 3 {
+		t.Errorf("and %d times in %v", asked, 3*outageRetry)
 	}
 }
 
 // TestOneThatOthersLeanOnGoesOn: it asks without a pause while it is answered.
 func TestOneThatOthersLeanOnGoesOn(t *testing.T) {
 	f := running()
-	state := outage(5, 0)
+	state := outageState(5, 0)
 	step(t, f, state, Pause, Outcome{})
 	state.Now += time.Second
 	for range 5 {
 		step(t, f, state, WatchStore, Outcome{})
-		state.Now += bound / storeWaitPart
+		state.Now += bound / storeWaitDivisor
 	}
 	state.Upstream = upstream
 	step(t, f, state, AskPeer, Outcome{})
@@ -379,10 +379,10 @@
 // TestWhoKnowsMoreIsAskedMeanwhile: while the store is left to others, and also long after.
 func TestWhoKnowsMoreIsAskedMeanwhile(t *testing.T) {
 	f := running()
-	state := outage(firstAskers, enoughFailing)
+	state := outageState(primaryPollers, minFailingPeers)
 	for range 10 {
 		step(t, f, state, Pause, Outcome{})
-		state.Now += pauseStep
+		state.Now += maxPause
 	}
 	state.Freshest = freshest
 	if call := f.Next(state); call.Kind != AskPeer || call.Peer != freshest {
@@ -392,20 +392,20 @@
 
 // TestALongListingIsLeftToOthersOnce by a balancer behind a narrow link that knows nothing yet.
 func TestALongListingIsLeftToOthersOnce(t *testing.T) {
-	f := New(bound, narrowPause)
+	f := New(bound, narrowLinkDelay)
 	step(t, f, State{}, Pause, Outcome{})
 	call := f.Next(State{})
 	if call.Kind != ListStore || call.Transfer != LongTransfer {
 		t.Fatalf("the first listing: %+v", call)
 	}
 	f.Done(State{}, call, Outcome{Result: TooLong})
-	if call = f.Next(State{}); call.Kind != Pause || call.Wait != longPause {
+	if call = f.Next(State{}); call.Kind != Pause || call.Wait != longListingDelay {
 		t.Errorf("after a long one: %+v", call)
 	}
 	if call = f.Next(State{}); call.Kind != ListStore || call.Transfer != 0 {
 		t.Errorf("the second listing: %+v", call)
 	}
-	for _, pause := range []time.Duration{0, firstPause} {
+	for _, pause := range []time.Duration{0, fleetStartDelay} {
 		wide := New(bound, pause)
 		wide.Next(State{})
 		if call := wide.Next(State{}); call.Transfer != 0 {
@@ -435,18 +435,18 @@
 		from, to   time.Duration
 	}{
 		{"an able one", State{}, 0, 0, 0},
-		{"the first of a large zone", State{Zone: largeZone}, 0, 0, 0},
-		{"another one of a small zone", State{Spare: true, Zone: largeZone - 1}, 0, 0, 0},
-		{"another one of a large zone", State{Spare: true, Zone: largeZone}, 0, ablerTime, ablerTime + startPoll},
-		{"one that knows an able one", State{Spare: true, Abler: true}, narrowPause, ablerTime, ablerTime + startPoll},
-		{"one behind a narrow link that knows nobody", State{Alone: true}, narrowPause, aloneTime, aloneTime + startPoll},
+		{"the first of a large zone", State{ZoneSize: minLargeZone}, 0, 0, 0},
+		{"another one of a small zone", State{Backup: true, ZoneSize: minLargeZone - 1}, 0, 0, 0},
+		{"another one of a large zone", State{Backup: true, ZoneSize: minLargeZone}, 0, maxDeferral, maxDeferral + startPollInterval},
+		{"one that knows an able one", State{Backup: true, MoreCapable: true}, narrowLinkDelay, maxDeferral, maxDeferral + startPollInterval},
+		{"one behind a narrow link that knows nobody", State{Alone: true}, narrowLinkDelay, peerDiscoveryTime, peerDiscoveryTime + startPollInterval},
 		{"one behind a wide link that knows nobody", State{Alone: true}, 0, 0, 0},
 	} {
 		if after := listsAfter(New(bound, test.startPause), test.state); after < test.from || after > test.to {
 			t.Errorf("%s lists after %v, want %v to %v", test.name, after, test.from, test.to)
 		}
 	}
-	if restart := New(bound, 0).Next(State{Revision: 5, Abler: true, Upstream: upstream}); restart.Kind != AskPeer {
+	if restart := New(bound, 0).Next(State{Revision: 5, MoreCapable: true, Upstream: upstream}); restart.Kind != AskPeer {
 		t.Errorf("one that was told: %+v", restart)
 	}
 }
--- a/internal/follow/listing.go
+++ b/internal/follow/listing.go
@@ -6,10 +6,10 @@
 	// listPatience is how long a large listing waits for another balancer to learn
 	// first. When a whole fleet starts, the store's link is the bottleneck; balancers
 	// hand a listing on much faster.
-	listPatience = 800 * time.Millisecond
+	primaryListWait = 800 * time.Millisecond
 	// restPatience is that time for all but firstAskers of a zone: those few need longer too when more than
 	// them have begun.
-	restPatience = 4 * time.Second
+	backupListWait = 4 * time.Second
 	// ListPoll is how long a driver waits before it asks a listing again.
 	ListPoll = 20 * time.Millisecond
 	// pageRetries is how often in a row a page is asked for again. Where listings are
@@ -17,7 +17,7 @@
 	// that came before.
 	pageRetries = 4
 	// refusalTime is how long a refusal may take; what takes longer is silence.
-	refusalTime = PageTimeout / 2
+	maxRefusalTime = PageTimeout / 2
 )
 
 // ListingStep says how a listing goes on after a page.
@@ -35,9 +35,9 @@
 
 // Listing decides, between the pages of a listing of the store, how it goes on.
 type Listing struct {
-	known   uint64
-	begun   time.Duration
-	patient bool
+	known     uint64
+	beganAt   time.Duration
+	committed bool
 	// read is set once a page was read, and failures counts what failed since the last.
 	read     bool
 	failures int
@@ -46,7 +46,7 @@
 // NewListing begins a listing at now by a balancer that knows everything up to the
 // revision known, 0 for nothing.
 func NewListing(now time.Duration, known uint64) *Listing {
-	return &Listing{known: known, begun: now}
+	return &Listing{known: known, beganAt: now}
 }
 
 // Failed returns, after a call for a page has failed within took, how long to wait before
@@ -54,10 +54,10 @@
 // or when the store was silent and did not refuse: the follower then decides whom to ask.
 func (l *Listing) Failed(took time.Duration) (wait time.Duration, again bool) {
 	l.failures++
-	if !l.read || l.failures > pageRetries || took >= refusalTime {
+	if !l.read || l.failures > pageRetries || took >= maxRefusalTime {
 		return 0, false
 	}
-	return min(firstRetry<<(l.failures-1), lastRetry), true
+	return min(minRetry<<(l.failures-1), maxRetry), true
 }
 
 // Next returns the step after a page was read, where revision is known now, lower tells whether
@@ -65,15 +65,15 @@
 // history was lost, waits for nobody: few do at once, and others know no more.
 func (l *Listing) Next(now time.Duration, revision uint64, lower bool, index int) ListingStep {
 	l.read, l.failures = true, 0
-	patience := listPatience
-	if index >= firstAskers {
-		patience = restPatience
+	patience := primaryListWait
+	if index >= primaryPollers {
+		patience = backupListWait
 	}
 	switch {
 	case revision > l.known:
 		return LeaveListing
-	case l.known > 0, l.patient, !lower, now-l.begun >= patience:
-		l.patient = true
+	case l.known > 0, l.committed, !lower, now-l.beganAt >= patience:
+		l.committed = true
 		return ReadOn
 	}
 	return WaitForOthers
--- a/internal/follow/listing_test.go
+++ b/internal/follow/listing_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("after the first page: %v", step)
 	}
 	l = NewListing(time.Second, 0)
-	if step := l.Next(time.Second+listPatience, 0, true, 0); step != ReadOn {
+	if step := l.Next(time.Second+primaryListWait, 0, true, 0); step != ReadOn {
 		t.Errorf("when its patience is over: %v", step)
 	}
 }
@@ -52,7 +52,7 @@
 		for wait, again := l.Failed(time.Millisecond); again; wait, again = l.Failed(time.Millisecond) {
 			waited = append(waited, wait)
 		}
-		if len(waited) != pageRetries || waited[0] != firstRetry || waited[pageRetries-1] != lastRetry {
+		if len(waited) != pageRetries || waited[0] != minRetry || waited[pageRetries-1] != maxRetry {
 			t.Errorf("a page is asked for again after %v", waited)
 		}
 	}
@@ -69,9 +69,9 @@
 		after time.Duration
 		want  ListingStep
 	}{
-		{firstAskers - 1, listPatience, ReadOn},
-		{firstAskers, listPatience, WaitForOthers},
-		{firstAskers, restPatience, ReadOn},
+		{primaryPollers - 1, primaryListWait, ReadOn},
+		{primaryPollers, primaryListWait, WaitForOthers},
+		{primaryPollers, backupListWait, ReadOn},
 	} {
 		l := NewListing(time.Second, 0)
 		if step := l.Next(time.Second+test.after, 0, true, test.index); step != test.want {
