--- a/internal/directory/build.go
+++ b/internal/directory/build.go
@@ -8,8 +8,8 @@
 	"gaugeyard/internal/settings"
 )
 
-// View returns the view of what is believed now. It is built from the last one: its cost
-// grows with what changed since, not with all that is believed.
+// View returns a view of the current state. It is built from the previous one: its cost grows with
+// the changes since then, not with the size of the state.
 func (d *Directory) View() *View {
 	next := *d.view
 	next.Revision, next.Settings, next.Version = d.revision, d.resolved, d.settings.Version
@@ -19,13 +19,13 @@
 		b.replace(d.view.Member(id), d.member(id))
 	}
 	b.changePools()
-	// A table that was large once would take as long to clear and to go through for a single change.
+	// Clearing the map would keep its size, and so the cost of later iterations, after a large change.
 	d.changed = map[settings.BackendID]bool{}
 	d.view = &next
 	return d.view
 }
 
-// member returns a back end as views hold it, nil for one that is not believed in.
+// member returns a back end as views hold it, nil if it is not known.
 func (d *Directory) member(id settings.BackendID) *Member {
 	if known, live := d.live[id]; live {
 		if evacuated := d.evacuated(&known.member.Backend); evacuated != known.member.Evacuated {
@@ -36,28 +36,31 @@
 		}
 		return known.member
 	}
-	if left, gone := d.removed[id]; gone {
-		return &Member{Backend: left.Backend, Tag: TagOf(id), Since: left.start.seenAt, StartedAfter: left.start.startedAfter, Gone: true, GoneAt: left.removedAt, AnnouncedRevision: left.announcedRevision, LapsedUntil: left.usableUntil, Evacuated: d.evacuated(&left.Backend)}
+	if removed, found := d.removed[id]; found {
+		return &Member{
+			Backend: removed.Backend, Tag: TagOf(id), Since: removed.start.seenAt, StartedAfter: removed.start.startedAfter, Gone: true,
+			GoneAt: removed.removedAt, AnnouncedRevision: removed.announcedRevision, LapsedUntil: removed.usableUntil, Evacuated: d.evacuated(&removed.Backend),
+		}
 	}
 	return nil
 }
 
-// builder changes a copy of a view. Parts that are shared with the view before are copied
-// before they are changed.
+// builder changes a copy of a view. It copies parts that are shared with the previous view before
+// changing them.
 type builder struct {
 	view               *View
 	ownGroups, ownTags map[int]bool
 	pools              map[string]*poolChange
 }
 
-// poolChange is what changes in the pool of one group. Its lists are merged with those of the pool once, so
-// that a start among 10,000 back ends does not move half of a list for each of them.
+// poolChange holds the changes to the pool of one group. They are merged into the pool at once: inserting many
+// back ends one at a time would move half of the list for each.
 type poolChange struct {
 	removedIDs    []settings.BackendID
 	open, removed []*Member
 }
 
-// replace puts a back end in the place of what was believed of it; nil is none.
+// replace replaces a back end of the previous view; nil stands for none.
 func (b *builder) replace(before, after *Member) {
 	if before != nil {
 		b.setTagged(before.Tag, deleteMember(slices.Clone(b.view.Tagged(before.Tag)), before.ID))
@@ -92,7 +95,7 @@
 	b.view.tags[part][tag] = members
 }
 
-// pool returns what changes in the pool of a group.
+// pool returns the changes to the pool of a group.
 func (b *builder) pool(group string) *poolChange {
 	if b.pools[group] == nil {
 		b.pools[group] = &poolChange{}
@@ -100,7 +103,7 @@
 	return b.pools[group]
 }
 
-// changePools carries out what changes in pools.
+// changePools applies the changes to all pools.
 func (b *builder) changePools() {
 	for group, change := range b.pools {
 		part := groupPart(group)
@@ -119,23 +122,24 @@
 	}
 }
 
-// merged returns the members without those that are out, which are in order, and with more, in order of identifier.
-func mergeMembers(members []*Member, out []settings.BackendID, more []*Member) []*Member {
-	slices.SortFunc(more, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
-	list := make([]*Member, 0, len(members)+len(more))
+// mergeMembers returns the members without the removed ones, whose identifiers are sorted, and with the added
+// ones, in order of identifier. It sorts added.
+func mergeMembers(members []*Member, removed []settings.BackendID, added []*Member) []*Member {
+	slices.SortFunc(added, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
+	list := make([]*Member, 0, len(members)+len(added))
 	for _, member := range members {
-		for len(out) > 0 && out[0] < member.ID {
-			out = out[1:]
+		for len(removed) > 0 && removed[0] < member.ID {
+			removed = removed[1:]
 		}
-		if len(out) > 0 && out[0] == member.ID {
+		if len(removed) > 0 && removed[0] == member.ID {
 			continue
 		}
-		for len(more) > 0 && more[0].ID < member.ID {
-			list, more = append(list, more[0]), more[1:]
+		for len(added) > 0 && added[0].ID < member.ID {
+			list, added = append(list, added[0]), added[1:]
 		}
 		list = append(list, member)
 	}
-	return append(list, more...)
+	return append(list, added...)
 }
 
 func cloneOrNew[K comparable, V any](m map[K]V) map[K]V {
@@ -145,13 +149,13 @@
 	return maps.Clone(m)
 }
 
-// with puts the member at its place in order of identifier; the list is the caller's own.
+// insertMember inserts the member in order of identifier. It may change the list, which the caller must own.
 func insertMember(members []*Member, member *Member) []*Member {
 	at, _ := slices.BinarySearchFunc(members, member.ID, compareID)
 	return slices.Insert(members, at, member)
 }
 
-// without takes the back end out of the list, which is the caller's own.
+// deleteMember deletes the back end from the list, which it changes and the caller must own.
 func deleteMember(members []*Member, id settings.BackendID) []*Member {
 	at, found := slices.BinarySearchFunc(members, id, compareID)
 	if !found {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,18 +1,23 @@
-// Package directory keeps what one balancer believes of the desired state: the
-// operators' settings and the back ends that announced themselves, with the
-// store's revision of each. It merges what the store and other balancers tell,
-// never goes back to an older revision, and remembers back ends that are gone for
-// as long as flows may rest on them. It has no clock and does no input or output.
+// Package directory holds the desired state as known to one balancer: the operators' settings
+// and the back ends that announced themselves, each with the store's revision. It merges what
+// it receives from the store and from other balancers, never goes back to an older revision,
+// and remembers removed back ends for as long as flows may be pinned to them. It has no clock
+// and does no I/O.
 //
-// Terms: a listing is everything at one revision, changes are what came after one, a step
-// is what differs between two versions of the settings, a view is what packets are
-// steered by, an evacuation is the operators' word that a zone takes no new flow. Whatever is told twice, late or out of order leads to the same beliefs:
-// each entry has the store's revision, and only a higher one replaces it. A back end
-// whose entry vanished is departed; it takes no new flow and keeps its tag. One that is lapsed departed in
-// an outage of the store, and may take new flows for a moment.
+// Messages may be received twice, late or out of order and lead to the same state: each entry
+// has the store's revision, and only a higher one replaces it.
 //
-// A Directory is not safe for concurrent use. Its views are read-only and are; a new one
-// shares with the one before all that did not change.
+// Terms:
+//   - A listing is the whole state at one revision; changes are the writes after a revision.
+//   - A step is the difference between two versions of the settings.
+//   - A view is the immutable state by which packets are steered.
+//   - An evacuation is the operators' request that a zone take no new flows.
+//   - A removed back end is one whose entry is removed. It takes no new flows and keeps its tag.
+//   - An expired back end was removed in an outage of the store, and may still take new flows
+//     for a short time after the store's return.
+//
+// A Directory is not safe for concurrent use. Its views are read-only and safe for concurrent
+// use; each shares the unchanged parts with the previous one.
 //
 // # Usage
 //
@@ -20,9 +25,9 @@
 //	events := d.Replace(now, listing)         // at the start, or when history is lost
 //	base := d.Base()                          // like every method of d, one caller at a time
 //	changes.Prepared = base.Prepare(changes.Settings, changes.Step, pause) // needs no lock
-//	events = d.Apply(now, changes)            // for each answer after that
-//	steerer.SetView(d.View())                 // packets are steered by it from now on
-//	changes, known := d.Since(after, base)    // what another balancer lacks
+//	events = d.Apply(now, changes)            // for each later response
+//	steerer.SetView(d.View())                 // steers packets by the new state
+//	changes, known := d.ChangesSince(after, base) // what another balancer lacks
 package directory
 
 import (
@@ -33,62 +38,60 @@
 	"gaugeyard/internal/settings"
 )
 
-// entry is a live back end, once for the directory and the views: of 10,000 it is a third of what a
-// balancer keeps.
+// entry is a live back end. It shares the member with the views, to save memory in large fleets.
 type entry struct {
 	member *Member
 	start  serverStart
 }
 
-// record is the back end as it was told.
+// record returns the back end as received.
 func (e entry) record() Record { return Record{e.member.Backend, e.member.AnnouncedRevision} }
 
-// departed is a back end whose entry vanished.
+// removedBackend is a back end whose entry is removed.
 type removedBackend struct {
 	Record
 	removedAt time.Duration
-	// announced is the revision at which it last wrote its entry, or a later one.
+	// announcedRevision is the revision at which it last wrote its entry, or a later one.
 	announcedRevision uint64
-	// lapsedUntil is how long it may take new flows all the same, since its entry vanished in an outage.
+	// usableUntil is until when it may still take new flows, since its entry expired in an outage. 0 if it may not.
 	usableUntil time.Duration
 	start       serverStart
 }
 
-// Directory is what this balancer believes. It is not safe for concurrent use;
-// the views that it builds are read-only and are.
+// Directory is the desired state as known to this balancer. It is not safe for concurrent use;
+// the views that it builds are read-only and safe for concurrent use.
 type Directory struct {
-	// keep is how long a departed back end is remembered: as long as a flow lives.
+	// retention is how long a removed back end is remembered: as long as a flow lives.
 	retention time.Duration
 	revision  uint64
 	settings  Settings
 	resolved  *settings.Snapshot
-	// steps lead to the settings in force, each from those of the step before.
+	// steps lead to the settings in force, each from the result of the previous one.
 	steps   []Step
 	live    map[settings.BackendID]entry
 	removed map[settings.BackendID]removedBackend
-	// evacuations has the newest word on each zone of which there was one; also taken back, so that
-	// an older one that comes late changes nothing.
+	// evacuations has the newest evacuation of each zone, also a revoked one, so that an older one
+	// received late changes nothing.
 	evacuations map[string]Evacuation
-	// view is the last one that was built, and changed what differs from it since.
+	// view is the last view built, and changed are the back ends that changed since.
 	view    *View
 	changed map[settings.BackendID]bool
-	// forgotten is the newest revision at which a forgotten back end departed.
+	// forgottenRevision is the highest revision at which a back end forgotten since was removed.
 	forgottenRevision uint64
-	// gaps are where it may have missed departures.
+	// gaps are the ranges of revisions in which removals may have been missed.
 	gaps []gap
-	// lapse bounds the belief in lapsed back ends; lapsed has those of the last outage, which ended with
-	// returned, by address.
+	// expired has the expired back ends of the last outage, which ended with lastReturn, by address.
 	expiryBounds ExpiryBounds
 	lastReturn   storeReturn
 	expired      map[netip.AddrPort]settings.BackendID
-	// certain is when the store last confirmed what is believed, and interval how often servers write.
+	// confirmedAt is when the store last confirmed the known state, and interval how often servers write.
 	confirmedAt, interval time.Duration
 }
 
-// New returns an empty directory that remembers departed back ends for keep.
-func New(keep time.Duration) *Directory {
+// New returns an empty directory that remembers removed back ends for the retention.
+func New(retention time.Duration) *Directory {
 	return &Directory{
-		retention:   keep,
+		retention:   retention,
 		live:        map[settings.BackendID]entry{},
 		removed:     map[settings.BackendID]removedBackend{},
 		evacuations: map[string]Evacuation{},
@@ -98,14 +101,14 @@
 	}
 }
 
-// Keep changes how long departed back ends are remembered.
-func (d *Directory) Keep(keep time.Duration) { d.retention = keep }
+// SetRetention sets how long removed back ends are remembered.
+func (d *Directory) Keep(retention time.Duration) { d.retention = retention }
 
-// Revision is the store's revision up to which the directory is complete, 0 for none.
+// Revision returns the store's revision up to which the directory is complete, 0 for none.
 func (d *Directory) Revision() uint64 { return d.revision }
 
-// Replace takes over a listing of everything. An older listing than what is
-// believed already changes nothing.
+// Replace replaces the known state by a listing. Of a listing that is older than the known state it
+// applies only the removed back ends.
 func (d *Directory) Replace(now time.Duration, listing *Listing) []Event {
 	for _, record := range listing.Removed {
 		d.addRemoved(now, record)
@@ -120,7 +123,7 @@
 	events = d.replaceEvacuations(events, listing)
 	listed := make(map[settings.BackendID]bool, len(listing.Records))
 	if len(d.live) == 0 {
-		// A start: the table has its size at once, and the list of events too.
+		// Allocates for the first listing at once.
 		d.live = make(map[settings.BackendID]entry, len(listing.Records))
 		events = slices.Grow(events, len(listing.Records))
 	}
@@ -150,9 +153,9 @@
 	return events
 }
 
-// Apply takes over changes that follow what the directory is complete to. With a step
-// from settings that are not those in force it stays complete to where it was, so that
-// the same is asked for again.
+// Apply applies changes after the revision up to which the directory is complete. If they have a
+// step from settings that are not in force, it applies nothing and the revision stays, so that the
+// same changes are requested again.
 func (d *Directory) Apply(now time.Duration, changes *Changes) []Event {
 	if step := changes.Step; step != nil && step.Revision > d.settings.Revision && step.Base != d.settings.Revision {
 		return nil
@@ -165,10 +168,10 @@
 		events = d.applyRecord(now, events, record)
 	}
 	var vanished []settings.BackendID
-	for _, gone := range changes.Gone {
+	for _, removal := range changes.Gone {
 		before := len(events)
-		if events = d.applyRemoval(now, events, gone); len(events) > before {
-			vanished = append(vanished, gone.ID)
+		if events = d.applyRemoval(now, events, removal); len(events) > before {
+			vanished = append(vanished, removal.ID)
 		}
 	}
 	if changes.Told {
@@ -188,35 +191,35 @@
 	if live && record.Revision <= known.member.AnnouncedRevision {
 		return events
 	}
-	left, remembered := d.removed[id]
-	if remembered && record.Revision <= left.Revision {
+	removed, remembered := d.removed[id]
+	if remembered && record.Revision <= removed.Revision {
 		return events
 	}
 	d.changed[id] = true
 	d.clearExpiredAt(record.Backend.Address)
 	delete(d.removed, id)
-	var last Backend
-	begun := serverStart{seenAt: now}
+	var previous Backend
+	started := serverStart{seenAt: now}
 	switch {
 	case live:
-		last, begun = known.member.Backend, known.start
+		previous, started = known.member.Backend, known.start
 	case remembered:
-		last, begun = left.Backend, left.start
+		previous, started = removed.Backend, removed.start
 	}
-	born := record.Backend.Born
-	begun = begun.next(last.Born, born, now, d.confirmedAt, d.interval)
+	startTime := record.Backend.Born
+	started = started.next(previous.Born, startTime, now, d.confirmedAt, d.interval)
 	member := &Member{
-		Backend: record.Backend, Tag: TagOf(id), ColdUntil: now + record.Backend.WarmUp, Since: begun.seenAt, StartedAfter: begun.startedAfter,
+		Backend: record.Backend, Tag: TagOf(id), ColdUntil: now + record.Backend.WarmUp, Since: started.seenAt, StartedAfter: started.startedAfter,
 		AnnouncedRevision: record.Revision, Evacuated: d.evacuated(&record.Backend),
 	}
-	d.live[id] = entry{member, begun}
+	d.live[id] = entry{member, started}
 	event := Event{Backend: &member.Backend, Revision: record.Revision}
 	switch {
-	case born.Differs(last.Born):
+	case startTime.Differs(previous.Born):
 		event.Transition = BackendRestarted
-	case record.Backend.Draining && (!live || !last.Draining):
+	case record.Backend.Draining && (!live || !previous.Draining):
 		event.Transition = BackendDraining
-	case live && last.Draining && !record.Backend.Draining:
+	case live && previous.Draining && !record.Backend.Draining:
 		event.Transition = BackendReturned
 	case !live:
 		event.Transition = BackendAdded
@@ -226,18 +229,18 @@
 	return append(events, event)
 }
 
-func (d *Directory) applyRemoval(now time.Duration, events []Event, gone Gone) []Event {
-	known, live := d.live[gone.ID]
-	if !live || gone.Revision < known.member.AnnouncedRevision {
+func (d *Directory) applyRemoval(now time.Duration, events []Event, removal Gone) []Event {
+	known, live := d.live[removal.ID]
+	if !live || removal.Revision < known.member.AnnouncedRevision {
 		return events
 	}
-	d.changed[gone.ID] = true
-	delete(d.live, gone.ID)
-	d.removed[gone.ID] = removedBackend{Record: Record{known.member.Backend, gone.Revision}, removedAt: now, announcedRevision: known.member.AnnouncedRevision, start: known.start}
-	return append(events, Event{Transition: BackendGone, Backend: &known.member.Backend, Revision: gone.Revision})
+	d.changed[removal.ID] = true
+	delete(d.live, removal.ID)
+	d.removed[removal.ID] = removedBackend{Record: Record{known.member.Backend, removal.Revision}, removedAt: now, announcedRevision: known.member.AnnouncedRevision, start: known.start}
+	return append(events, Event{Transition: BackendGone, Backend: &known.member.Backend, Revision: removal.Revision})
 }
 
-// rememberDeparted takes over from another balancer that a back end is gone.
+// addRemoved adds a back end that another balancer reports as removed, unless it is known.
 func (d *Directory) addRemoved(now time.Duration, record Record) {
 	if _, live := d.live[record.Backend.ID]; live {
 		return
@@ -248,25 +251,26 @@
 	}
 }
 
-// Forget drops back ends that departed so long ago that no flow rests on them.
-// It tells whether there were any.
+// Forget deletes back ends that were removed more than the retention ago, to which no flow is
+// pinned any more. It reports whether there were any.
 func (d *Directory) Forget(now time.Duration) bool {
 	forgotten := false
 	if !d.inReturnWindow(now) {
 		clear(d.expired)
 	}
-	for id, left := range d.removed {
-		if now-left.removedAt > d.retention {
+	for id, removed := range d.removed {
+		if now-removed.removedAt > d.retention {
 			d.changed[id] = true
 			delete(d.removed, id)
-			d.forgottenRevision = max(d.forgottenRevision, left.Revision)
+			d.forgottenRevision = max(d.forgottenRevision, removed.Revision)
 			forgotten = true
 		}
 	}
 	return forgotten
 }
 
-// MembershipChanged tells whether any event is of a back end that came, went, started anew, drains or no longer does.
+// MembershipChanged reports whether any event is of a back end that was added or removed, restarted, became
+// unusable, or started or stopped draining.
 func MembershipChanged(events []Event) bool {
 	for i := range events {
 		switch events[i].Transition {
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -6,18 +6,17 @@
 	"slices"
 )
 
-// Evacuation is the newest word of the operators on one zone: whether its back ends may take
-// new flows. It stands beside the settings, with a revision of its own: a zone is emptied and
-// taken back at a moment's notice, and neither order of the two writes may undo the other.
+// Evacuation is the operators' latest request on whether the back ends of a zone may take new flows.
+// It has a revision of its own, apart from the settings, so that neither write can undo the other.
 type Evacuation struct {
 	Zone string
-	// Active zones take no new flow; open flows stay.
+	// Active is set while the zone takes no new flows; open flows stay.
 	Active bool
 	// Revision is the store's revision of the write or of the removal.
 	Revision uint64
 }
 
-// Evacuated returns the zones that take no new flow, in order of name.
+// EvacuatedZones returns the zones that take no new flows, in order of name.
 func (d *Directory) Evacuated() []string {
 	var zones []string
 	for zone, known := range d.evacuations {
@@ -29,7 +28,7 @@
 	return zones
 }
 
-// applyEvacuation takes over a newer word on a zone.
+// applyEvacuation applies an evacuation or its end, unless a newer one of the zone is known.
 func (d *Directory) applyEvacuation(events []Event, next Evacuation) []Event {
 	known := d.evacuations[next.Zone]
 	if next.Revision <= known.Revision {
@@ -47,22 +46,22 @@
 	return append(events, event)
 }
 
-// changeZone lets the next view have all back ends of a zone anew.
+// markZoneChanged marks all back ends of a zone as changed for the next view.
 func (d *Directory) markZoneChanged(zone string) {
 	for id, known := range d.live {
 		if known.member.Zone == zone {
 			d.changed[id] = true
 		}
 	}
-	for id, left := range d.removed {
-		if left.Backend.Zone == zone {
+	for id, removed := range d.removed {
+		if removed.Backend.Zone == zone {
 			d.changed[id] = true
 		}
 	}
 }
 
-// replaceEvacuations takes over what a listing has; zones that it does not name are taken back, so
-// that a removal that fell into lost history cannot keep a zone empty.
+// replaceEvacuations applies the evacuations of a listing and ends all others, so that a zone does
+// not stay evacuated if the end of its evacuation is in lost history.
 func (d *Directory) replaceEvacuations(events []Event, listing *Listing) []Event {
 	listed := map[string]bool{}
 	for _, next := range listing.Evacuations {
@@ -77,7 +76,7 @@
 	return events
 }
 
-// evacuationsSince returns what was said of zones after a revision, in order of name.
+// evacuationsSince returns the evacuations and their ends after a revision, in order of zone.
 func (d *Directory) evacuationsSince(after uint64) []Evacuation {
 	var since []Evacuation
 	for _, known := range d.evacuations {
@@ -89,7 +88,7 @@
 	return since
 }
 
-// evacuated tells whether the back end is in a zone that takes no new flow.
+// evacuated reports whether the back end is in a zone that takes no new flows.
 func (d *Directory) evacuated(backend *Backend) bool {
 	return d.evacuations[backend.Zone].Active
 }
--- a/internal/directory/prepare.go
+++ b/internal/directory/prepare.go
@@ -2,21 +2,21 @@
 
 import "gaugeyard/internal/settings"
 
-// Base is the settings in force, on which newer ones are prepared. It is read-only.
+// Base holds the settings in force, from which newer ones are prepared. It is read-only.
 type Base struct {
 	revision uint64
 	resolved *settings.Snapshot
 }
 
-// Prepared is newer settings with the work of taking them over done. It is read-only.
+// Prepared holds newer settings, validated and resolved. It is read-only.
 type Prepared struct {
-	// base is the revision of the settings that it was prepared on.
+	// base is the revision of the settings that they were prepared from.
 	base              uint64
 	version, revision uint64
 	resolved          *settings.Snapshot
-	// step leads there from the base, nil where there are no settings to step from.
+	// step leads there from the base, nil if no settings were in force.
 	step *Step
-	// err is why the settings are refused.
+	// err is why the settings are rejected.
 	err error
 }
 
@@ -25,10 +25,10 @@
 	return Base{d.settings.Revision, d.resolved}
 }
 
-// Prepare does the work of taking over newer settings, whole ones or a step, and calls pause
-// between pieces of it. It returns nil where there is nothing newer, or the step starts from
-// others. It needs no lock, and what is in force stays as it is until a Directory takes over
-// the changes or the listing.
+// Prepare validates and resolves newer settings, given as a whole or as a step, and calls pause
+// between pieces of the work. It returns nil if there is nothing newer, or if the step has another
+// base. It needs no lock, and changes nothing in force until a Directory applies the changes or
+// the listing.
 func (b Base) Prepare(next *Settings, step *Step, pause func()) *Prepared {
 	if next != nil && next.Revision > b.revision {
 		whole := &Prepared{base: b.revision, version: next.Version, revision: next.Revision}
@@ -41,7 +41,7 @@
 			whole.resolved = settings.Resolve(next.Tree, next.Revision)
 			return whole
 		}
-		// Most of a new version is as it was before.
+		// A step avoids resolving the unchanged part of the settings again.
 		step = &Step{Base: b.revision, Version: next.Version, Revision: next.Revision, Changes: settings.Diff(b.resolved.Tree, next.Tree)}
 		pause()
 	}
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -11,26 +11,26 @@
 	"gaugeyard/internal/settings"
 )
 
-// Records are back ends as balancers tell them to each other: field by field and names once, since a balancer that
-// starts is told of all. 10,000 of them take 9 ms of a whole core to read in this form, and 42 ms one after
-// the other with the names of their fields, which on a fifth of a core is 0.16 s later for every caller
-// (BenchmarkLearnLargeFleet).
+// Records are back ends as balancers send them to each other. They are encoded by column, with each name once,
+// since a starting balancer receives all of them and decodes this form several times faster than a list of
+// structures (see BenchmarkLearnLargeFleet).
 type Records []Record
 
-// columns has an element of each list for each record.
+// columns is the encoded form of records. Lists have one element for each record unless noted otherwise.
 type columns struct {
+	// Groups and Zones have each name once.
 	Groups, Zones []string
 	IDs           []uint64
 	Revisions     []uint64
 	Births        []int64
-	// GroupAt and ZoneAt are indexes of the names.
+	// GroupAt and ZoneAt are indexes in Groups and Zones.
 	GroupAt, ZoneAt []int
-	// Hosts has hostBytes for each, and Ports the ports there.
+	// Hosts has 4 bytes for each record, or 16 bytes for each if any address is not IPv4.
 	Hosts   []byte
 	Ports   []int
 	Slots   []int
 	WarmUps []int64
-	// Draining has a byte for each, 1 for one that drains.
+	// Draining is 1 for draining back ends, else 0.
 	Draining []byte
 }
 
@@ -77,7 +77,7 @@
 	if err := decoder.Decode(&c); err != nil {
 		return err
 	}
-	hostBytes, err := c.check()
+	hostBytes, err := c.validate()
 	if err != nil || len(c.IDs) == 0 {
 		return err
 	}
@@ -94,12 +94,12 @@
 	return nil
 }
 
-// check tells what contradicts itself, and how many bytes each host has.
-func (c *columns) check() (hostBytes int, err error) {
+// validate returns the number of bytes of each host, or an error if the lists are inconsistent.
+func (c *columns) validate() (hostBytes int, err error) {
 	count := len(c.IDs)
 	for _, length := range []int{len(c.Revisions), len(c.Births), len(c.GroupAt), len(c.ZoneAt), len(c.Ports), len(c.Slots), len(c.WarmUps), len(c.Draining)} {
 		if length != count {
-			return 0, fmt.Errorf("records: %d of a field of %d records", length, count)
+			return 0, fmt.Errorf("records: column of %d elements for %d records", length, count)
 		}
 	}
 	switch len(c.Hosts) {
@@ -108,14 +108,14 @@
 	case hostBytes6 * count:
 		hostBytes = hostBytes6
 	default:
-		return 0, fmt.Errorf("records: %d bytes are the hosts of %d records", len(c.Hosts), count)
+		return 0, fmt.Errorf("records: %d bytes of hosts for %d records", len(c.Hosts), count)
 	}
 	for i := range c.IDs {
 		if c.GroupAt[i] < 0 || c.GroupAt[i] >= len(c.Groups) || c.ZoneAt[i] < 0 || c.ZoneAt[i] >= len(c.Zones) {
-			return 0, fmt.Errorf("records: back end %x has no name of a group or zone", c.IDs[i])
+			return 0, fmt.Errorf("records: back end %x has an invalid group or zone index", c.IDs[i])
 		}
 		if c.Ports[i] < 0 || c.Ports[i] > 0xffff {
-			return 0, fmt.Errorf("records: back end %x has port %d", c.IDs[i], c.Ports[i])
+			return 0, fmt.Errorf("records: back end %x has invalid port %d", c.IDs[i], c.Ports[i])
 		}
 	}
 	return hostBytes, nil
--- a/internal/directory/reuse.go
+++ b/internal/directory/reuse.go
@@ -6,33 +6,32 @@
 	"gaugeyard/internal/settings"
 )
 
-// Replaced returns those of the back ends that have ended for certain, in the order given: the entry is
-// gone, and another start of a server announced itself at the address, later than this one last did. No
-// address has two servers, so that this holds as well where the entry lapsed by mistake: of a server
-// that lives behind a cut no other one announces the address, and the one that had it before announced
-// itself earlier.
+// Replaced returns those of the back ends that have certainly ended, in the order given: the entry is removed,
+// and a server announced itself at the address later than this one last did. An address has only one server at
+// a time, so this also holds if the entry expired by mistake: no other server announces the address of one that
+// runs behind a partition, and its previous owner announced it earlier.
 func (v *View) Replaced(ids []settings.BackendID) []settings.BackendID {
-	left := map[netip.AddrPort]uint64{}
+	newestAt := map[netip.AddrPort]uint64{}
 	for _, id := range ids {
 		if member := v.Member(id); member != nil && member.Gone {
-			left[member.Address] = 0
+			newestAt[member.Address] = 0
 		}
 	}
-	if len(left) == 0 {
+	if len(newestAt) == 0 {
 		return nil
 	}
 	for _, part := range v.tags {
 		for _, members := range part {
 			for _, member := range members {
-				if newest, asked := left[member.Address]; asked && !member.Gone {
-					left[member.Address] = max(newest, member.AnnouncedRevision)
+				if newest, found := newestAt[member.Address]; found && !member.Gone {
+					newestAt[member.Address] = max(newest, member.AnnouncedRevision)
 				}
 			}
 		}
 	}
 	var replaced []settings.BackendID
 	for _, id := range ids {
-		if member := v.Member(id); member != nil && member.Gone && left[member.Address] > member.AnnouncedRevision {
+		if member := v.Member(id); member != nil && member.Gone && newestAt[member.Address] > member.AnnouncedRevision {
 			replaced = append(replaced, id)
 		}
 	}
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -16,30 +16,28 @@
 	Tree settings.Tree
 }
 
-// Step leads from the settings of one revision to those of a later one, without
-// repeating what both have.
+// Step is the difference between the settings of two revisions.
 type Step struct {
 	// Base is the store's revision of the settings that the step starts from.
 	Base uint64
-	// Version and Revision are those of the settings that it leads to.
+	// Version and Revision are those of the resulting settings.
 	Version  uint64
 	Revision uint64
 	Changes  settings.Changes
 }
 
-// maxSteps is how many steps to the settings in force are kept for those who ask:
-// more than come while a balancer is out of touch for a few seconds in a quick
-// succession of edits.
+// maxSteps is how many steps to the settings in force are retained for other balancers:
+// more than operators write while a balancer is out of contact for a few seconds.
 const maxSteps = 32
 
-// SettingsRevision is the store's revision of the settings in force, 0 for none.
+// SettingsRevision returns the store's revision of the settings in force, 0 for none.
 func (d *Directory) SettingsRevision() uint64 { return d.settings.Revision }
 
-// SettingsVersion is the operators' version in force, 0 for none.
+// SettingsVersion returns the operators' version of the settings in force, 0 for none.
 func (d *Directory) SettingsVersion() uint64 { return d.settings.Version }
 
-// takeOver puts newer settings in force, prepared ones where they were prepared on those that
-// still are; faulty ones are refused and leave the last good ones in force.
+// applySettings puts newer settings in force. It uses prepared settings if their base is still in
+// force. Invalid settings are rejected, and the last valid ones stay in force.
 func (d *Directory) applySettings(events []Event, next *Settings, step *Step, prepared *Prepared) []Event {
 	if prepared == nil || prepared.base != d.settings.Revision {
 		prepared = d.Base().Prepare(next, step, func() {})
@@ -63,8 +61,8 @@
 	return append(events, event)
 }
 
-// stepFrom returns one step from the settings of an earlier revision to those in
-// force, nil where they are not remembered.
+// stepFrom returns a single step from the settings of an earlier revision to those in
+// force, nil if the steps between them are not retained.
 func (d *Directory) stepFrom(base uint64) *Step {
 	merged := &Step{Base: base, Version: d.settings.Version, Revision: d.settings.Revision}
 	for i := range d.steps {
--- a/internal/directory/export.go
+++ b/internal/directory/tell.go
@@ -6,10 +6,9 @@
 	"slices"
 )
 
-// Since returns what changed after an earlier revision, for another balancer that
-// is complete up to there and has the settings of the revision base in force. It is not
-// known when back ends that departed since then have been forgotten, or were never known here; the other balancer
-// then needs a Listing.
+// ChangesSince returns what changed after an earlier revision, for another balancer that is complete up to there
+// and has the settings of the revision base in force. known is false if back ends removed since then have been
+// forgotten or were never known here; the other balancer then needs a Listing.
 func (d *Directory) Since(after, base uint64) (changes *Changes, known bool) {
 	if after == 0 || after < d.forgottenRevision || d.inGap(after) {
 		return nil, false
@@ -26,9 +25,9 @@
 			changes.Records = append(changes.Records, known.record())
 		}
 	}
-	for id, left := range d.removed {
-		if left.Revision > after {
-			changes.Gone = append(changes.Gone, Gone{ID: id, Revision: left.Revision})
+	for id, removed := range d.removed {
+		if removed.Revision > after {
+			changes.Gone = append(changes.Gone, Gone{ID: id, Revision: removed.Revision})
 		}
 	}
 	changes.Evacuations = d.evacuationsSince(after)
@@ -37,7 +36,7 @@
 	return changes, true
 }
 
-// Listing returns everything believed, for another balancer.
+// Listing returns the whole known state, for another balancer.
 func (d *Directory) Listing() *Listing {
 	listing := &Listing{Revision: d.revision, Told: true, Expired: d.expiredSince(0)}
 	if d.settings.Revision > 0 {
@@ -47,8 +46,8 @@
 	for _, known := range d.live {
 		listing.Records = append(listing.Records, known.record())
 	}
-	for _, left := range d.removed {
-		listing.Removed = append(listing.Removed, left.Record)
+	for _, removed := range d.removed {
+		listing.Removed = append(listing.Removed, removed.Record)
 	}
 	listing.Evacuations = d.evacuationsSince(0)
 	sortRecords(listing.Records)
@@ -56,7 +55,7 @@
 	return listing
 }
 
-// Live returns how many back ends are not gone, and all of these in no order.
+// Live returns the number of live back ends and their records in no order.
 func (d *Directory) Live() (count int, records iter.Seq[Record]) {
 	return len(d.live), func(yield func(Record) bool) {
 		for _, known := range d.live {
@@ -67,7 +66,7 @@
 	}
 }
 
-// sortRecords puts records in order of identifier, so that equal beliefs are told alike.
+// sortRecords sorts records by identifier, so that equal states are sent as equal messages.
 func sortRecords(records []Record) {
 	slices.SortFunc(records, func(a, b Record) int { return cmp.Compare(a.Backend.ID, b.Backend.ID) })
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -8,86 +8,87 @@
 	"gaugeyard/internal/settings"
 )
 
-// Tag is what packets of an established flow carry to name their back end. It is
-// the back end's identifier folded to 32 bits, so that every balancer computes
-// the same tag and none has to hand tags out.
+// Tag identifies a back end in the packets of an established flow. It is the back end's
+// identifier folded to 32 bits, so that every balancer computes the same tag without
+// coordination.
 type Tag uint32
 
-// TagOf returns the tag of a back end. Identifiers of up to 32 bits have tags of
-// their own; of longer ones, two back ends may share a tag.
+// TagOf returns the tag of a back end. Identifiers of up to 32 bits have unique tags;
+// back ends with longer identifiers may share a tag.
 func TagOf(id settings.BackendID) Tag {
 	return Tag(uint32(id) ^ uint32(id>>32))
 }
 
-// Member is one back end as a view holds it. It is read-only.
+// Member is a back end in a view. It is read-only.
 type Member struct {
 	Backend
 	Tag Tag
-	// ColdUntil is when the back end's warm-up ends.
+	// WarmUpUntil is when the back end's warm-up ends.
 	ColdUntil time.Duration
-	// Since is when this process learned of this start of the back end.
+	// StartSeenAt is when this process learned of the current start of the back end.
 	Since time.Duration
-	// StartedAfter is a time before its present start: what a flow did earlier, it did with a start before. 0
-	// where no other start is known.
+	// StartedAfter is a lower bound of the current start: earlier packets of a flow went to an earlier start. 0 if
+	// no other start is known.
 	StartedAfter time.Duration
-	// Gone is set once the entry vanished; GoneAt is when that was learned.
+	// Removed is set once the entry is removed; RemovedAt is when this process learned of that.
 	Gone   bool
 	GoneAt time.Duration
-	// Announced is the store's revision at which it last wrote its entry; of one that is gone, that or a
-	// later one.
+	// AnnouncedRevision is the store's revision at which the back end last wrote its entry; for a removed one,
+	// that or a later one.
 	AnnouncedRevision uint64
-	// LapsedUntil is how long a gone one may take new flows all the same, since its entry vanished in
-	// an outage of the store.
+	// UsableUntil is until when a removed back end may still take new flows, since its entry expired in an outage
+	// of the store. 0 if it may not.
 	LapsedUntil time.Duration
-	// Evacuated is set while the back end's zone takes no new flow.
+	// Evacuated is set while the back end's zone takes no new flows.
 	Evacuated bool
 }
 
-// View is what packets are steered by. It is read-only.
+// View is the immutable state by which packets are steered.
 type View struct {
-	// Revision is up to where the view is complete.
+	// Revision is the store's revision up to which the view is complete.
 	Revision uint64
-	// Settings is nil while none are known.
+	// Settings is nil until settings are known.
 	Settings *settings.Snapshot
 	// Version is the operators' version of Settings.
 	Version uint64
-	// groups and tags are divided, so that a view is built from the one before by
-	// copying the parts that changed alone.
+	// groups and tags are partitioned, so that building a view from the previous one
+	// copies only the parts that changed.
 	groups [viewParts]map[string]*Pool
 	tags   [viewParts]map[Tag][]*Member
-	// of is the directory that built the view as its serial-th, and changed what differs from the one before.
+	// builtBy is the directory that built the view, serial the number of the view there, and changed lists the
+	// back ends that differ from the previous view.
 	builtBy *Directory
 	serial  uint64
 	changed []settings.BackendID
 }
 
-// ChangedSince returns the back ends that differ from an earlier view, in no order, where that is the
-// one before; else it is not known which do.
+// ChangedSince returns the back ends that differ from an earlier view, in no order. known is false unless that
+// is the view built directly before.
 func (v *View) ChangedSince(before *View) (ids []settings.BackendID, known bool) {
 	return v.changed, v.builtBy != nil && v.builtBy == before.builtBy && v.serial == before.serial+1
 }
 
-// viewParts is in how many parts the tables of a view are divided.
+// viewParts is the number of parts of each table of a view.
 const viewParts = 256
 
 func groupPart(name string) int { return int(xxh3.HashString(name) % viewParts) }
 
 func tagPart(tag Tag) int { return int(tag % viewParts) }
 
-// Pool is the back ends of one group, in order of identifier.
+// Pool holds the back ends of one group, in order of identifier.
 type Pool struct {
-	// Open take new flows.
+	// Open are the back ends that take new flows.
 	Open []*Member
-	// Left are those that are gone and remembered, but for evacuated zones.
+	// Removed are the remembered removed back ends, except draining ones and those of evacuated zones.
 	Left []*Member
-	// LapsedUntil is how long any of Left may take new flows.
+	// UsableUntil is until when any of Removed may take new flows.
 	LapsedUntil time.Duration
 }
 
-// emptyPool stands for groups that no back end announces.
+// emptyPool is returned for groups that no back end announces.
 var emptyPool = &Pool{}
 
-// Pool returns the back ends that announce the name.
+// Pool returns the back ends that announce the group, an empty pool if there are none.
 func (v *View) Pool(discover string) *Pool {
 	if pool := v.groups[groupPart(discover)][discover]; pool != nil {
 		return pool
@@ -95,12 +96,12 @@
 	return emptyPool
 }
 
-// Tagged returns the back ends with the tag, mostly one.
+// Tagged returns the back ends with the tag, usually one.
 func (v *View) Tagged(tag Tag) []*Member {
 	return v.tags[tagPart(tag)][tag]
 }
 
-// Backends counts the back ends that are not gone.
+// Backends returns the number of back ends that are not removed.
 func (v *View) Backends() int {
 	count := 0
 	for _, part := range v.tags {
@@ -115,7 +116,7 @@
 	return count
 }
 
-// Member returns the back end, live or gone, or nil.
+// Member returns the back end, live or removed, or nil if it is not known.
 func (v *View) Member(id settings.BackendID) *Member {
 	for _, member := range v.Tagged(TagOf(id)) {
 		if member.ID == id {
@@ -125,13 +126,13 @@
 	return nil
 }
 
-// Departed tells whether the entry of a back end that the view has vanished.
+// IsRemoved reports whether the view has the back end and its entry is removed.
 func (v *View) Departed(id settings.BackendID) bool {
 	member := v.Member(id)
 	return member != nil && member.Gone
 }
 
-// Knows tells whether the view has the back end, live or gone.
+// Contains reports whether the view has the back end, live or removed.
 func (v *View) Knows(id settings.BackendID) bool {
 	return v.Member(id) != nil
 }
