--- a/internal/directory/birth_test.go
+++ b/internal/directory/birth_test.go
@@ -9,13 +9,13 @@
 	"gaugeyard/internal/settings"
 )
 
-// interval is how often servers write in these tests.
+// interval is the announce interval of servers in these tests.
 const interval = 2 * time.Second
 
-func recordStartedAt(id settings.BackendID, birth Birth, revision uint64) Record {
-	told := record(id, revision)
-	told.Backend.Born = birth
-	return told
+func recordStartedAt(id settings.BackendID, startTime Birth, revision uint64) Record {
+	r := record(id, revision)
+	r.Backend.Born = startTime
+	return r
 }
 
 func newListedDirectory(records ...Record) *Directory {
@@ -25,31 +25,31 @@
 	return d
 }
 
-func applyRecordAt(d *Directory, now time.Duration, told Record) []Event {
+func applyRecordAt(d *Directory, now time.Duration, r Record) []Event {
 	d.NoteCertain(now - 500*time.Millisecond)
-	return d.Apply(now, &Changes{Revision: told.Revision, Records: []Record{told}})
+	return d.Apply(now, &Changes{Revision: r.Revision, Records: []Record{r}})
 }
 
-// TestAnotherBirthIsAnotherStart: one that is told first, is missing or the same is none, and one that goes
-// back ends no flow, since a late write tells it too.
-func TestAnotherBirthIsAnotherStart(t *testing.T) {
+// TestStartTimeChangeIsRestart: an equal, missing or first reported start time is no restart. One that goes back
+// moves no bound for flows, since a delayed write reports it too.
+func TestStartTimeChangeIsRestart(t *testing.T) {
 	const now = 30 * time.Second
 	const after = now - 500*time.Millisecond - maxSilentIntervals*interval
 	for _, test := range []struct {
 		name        string
 		first, then Birth
-		anew        bool
+		restarted   bool
 		after       time.Duration
 	}{
 		{"later", 100, 200, true, after},
 		{"earlier", 200, 100, true, 0},
 		{"the same", 100, 100, false, 0},
-		{"not told any more", 100, 0, false, 0},
-		{"told for the first time", 0, 100, false, 0},
+		{"no longer reported", 100, 0, false, 0},
+		{"reported for the first time", 0, 100, false, 0},
 	} {
 		d := newListedDirectory(recordStartedAt(1, test.first, 3))
 		events := applyRecordAt(d, now, recordStartedAt(1, test.then, 6))
-		if anew := len(events) == 1 && events[0].Transition == BackendRestarted; anew != test.anew {
+		if restarted := len(events) == 1 && events[0].Transition == BackendRestarted; restarted != test.restarted {
 			t.Errorf("%s: events %+v", test.name, events)
 		}
 		if got := d.View().Member(1).StartedAfter; got != test.after {
@@ -58,24 +58,26 @@
 	}
 }
 
-// TestALateWordOfAnEarlierStartEndsNoFlow of the present one, whose next entry tells its birth again.
-func TestALateWordOfAnEarlierStartEndsNoFlow(t *testing.T) {
+// TestDelayedWriteOfEarlierStart: it does not move the bound of the current start, whose next entry reports its
+// start time again.
+func TestDelayedWriteOfEarlierStart(t *testing.T) {
 	d := newListedDirectory(recordStartedAt(1, 100, 3))
 	applyRecordAt(d, 20*time.Second, recordStartedAt(1, 200, 6))
 	after := d.View().Member(1).StartedAfter
-	for i, birth := range []Birth{100, 200} {
+	for i, startTime := range []Birth{100, 200} {
 		now := 40*time.Second + time.Duration(i)*interval
-		if events := applyRecordAt(d, now, recordStartedAt(1, birth, uint64(7+i))); len(events) != 1 || events[0].Transition != BackendRestarted {
-			t.Errorf("birth %d: events %+v", birth, events)
+		if events := applyRecordAt(d, now, recordStartedAt(1, startTime, uint64(7+i))); len(events) != 1 || events[0].Transition != BackendRestarted {
+			t.Errorf("start time %d: events %+v", startTime, events)
 		}
 		if got := d.View().Member(1).StartedAfter; got != after {
-			t.Errorf("birth %d: started after %v, not %v", birth, got, after)
+			t.Errorf("start time %d: started after %v, want %v", startTime, got, after)
 		}
 	}
 }
 
-// TestAStartBehindAGapIsKnown: the entry went meanwhile, or all were listed anew.
-func TestAStartBehindAGapIsKnown(t *testing.T) {
+// TestRestartAfterRemovalOrListing: a restart is detected if the entry was removed before it, or if it comes with
+// a new listing.
+func TestRestartAfterRemovalOrListing(t *testing.T) {
 	d := newListedDirectory(recordStartedAt(1, 100, 3))
 	d.Apply(10*time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
 	applyRecordAt(d, 12*time.Second, recordStartedAt(1, 300, 9))
@@ -84,13 +86,14 @@
 	listed.Replace(12*time.Second, &Listing{Revision: 9, Records: []Record{recordStartedAt(1, 300, 9)}})
 	for _, d := range []*Directory{d, listed} {
 		if got := d.View().Member(1); got.Born != 300 || got.StartedAfter != 5500*time.Millisecond {
-			t.Errorf("%+v", got)
+			t.Errorf("member %+v, want start time 300, started after 5.5s", got)
 		}
 	}
 }
 
-// TestAnEntryThatNamesNoServerEndsTheBelief in it at once, by a listing or by changes, and is no lapse.
-func TestAnEntryThatNamesNoServerEndsTheBelief(t *testing.T) {
+// TestUnusableEntryRemovesBackend: it removes the back end at once, by a listing or by changes, and does not count
+// as expired.
+func TestUnusableEntryRemovesBackend(t *testing.T) {
 	unusable := []Gone{{ID: 1, Revision: 8}, {ID: 7, Revision: 8}}
 	for _, listed := range []bool{false, true} {
 		d := newConfirmedDirectory()
@@ -107,10 +110,10 @@
 		wantOpen(t, d, 2, 3)
 		wantUsable(t, d, outage)
 		if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Gone {
-			t.Errorf("open flows there have %+v", members)
+			t.Errorf("members with the tag: %+v, want one that is removed", members)
 		}
-		if left := d.View().Pool("fonts").Left; len(left) > 0 {
-			t.Errorf("a last resort %+v", left)
+		if removed := d.View().Pool("fonts").Left; len(removed) > 0 {
+			t.Errorf("removed back ends in the pool: %+v, want none", removed)
 		}
 		d.Apply(outage, &Changes{Revision: 10, Records: []Record{record(1, 7)}})
 		wantOpen(t, d, 2, 3)
@@ -119,36 +122,36 @@
 	}
 }
 
-// TestNoOrderOfWordsLeavesAnOlderStart in force: the store's history of one identifier comes as changes and
-// listings, from the store and from others, late, twice and in any order.
-func TestNoOrderOfWordsLeavesAnOlderStart(t *testing.T) {
+// TestMessageOrderDoesNotMatter: changes of one identifier that are received late, twice and in any order must not
+// leave an older start in force.
+func TestMessageOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count := rapid.IntRange(2, 8).Draw(t, "words")
-		words := make([]Changes, count)
-		for i := range words {
+		count := rapid.IntRange(2, 8).Draw(t, "messages")
+		messages := make([]Changes, count)
+		for i := range messages {
 			revision := uint64(10 + i)
-			words[i].Revision = revision
+			messages[i].Revision = revision
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				words[i].Gone = []Gone{{ID: 1, Revision: revision}}
+				messages[i].Gone = []Gone{{ID: 1, Revision: revision}}
 			case 1:
-				words[i].Unusable = []Gone{{ID: 1, Revision: revision}}
+				messages[i].Unusable = []Gone{{ID: 1, Revision: revision}}
 			default:
-				words[i].Records = []Record{recordStartedAt(1, Birth(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
+				messages[i].Records = []Record{recordStartedAt(1, Birth(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
 			}
 		}
 		inOrder, mixed := newListedDirectory(recordStartedAt(1, 1, 3)), newListedDirectory(recordStartedAt(1, 1, 3))
-		for i := range words {
-			inOrder.Apply(0, &words[i])
+		for i := range messages {
+			inOrder.Apply(0, &messages[i])
 		}
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, count-1), 0, 3*count).Draw(t, "order") {
-			mixed.Apply(0, &words[i])
+			mixed.Apply(0, &messages[i])
 		}
-		last := words[count-1]
+		last := messages[count-1]
 		mixed.Apply(0, &last)
 		want, got := inOrder.View().Member(1), mixed.View().Member(1)
 		if live := len(last.Records) > 0; live && (got == nil || got.Gone || got.Born != want.Born) || !live && got != nil && !got.Gone {
-			t.Fatalf("believed is %+v, in order %+v", got, want)
+			t.Fatalf("member %+v, applied in order %+v", got, want)
 		}
 	})
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestAnOlderRevisionIsNeverApplied: what another balancer or a late answer tells
-// may be older than what is believed.
-func TestAnOlderRevisionIsNeverApplied(t *testing.T) {
+// TestOlderRevisionIsIgnored: another balancer or a late response may send a state that is
+// older than the known one.
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 20, Settings: version(t, 5, 18, "192.0.2.1:80"), Records: []Record{record(1, 10), record(2, 19)}})
 	t.Run("listing", func(t *testing.T) {
@@ -73,13 +73,13 @@
 		t.Errorf("version %d, revision %d", d.SettingsVersion(), d.Revision())
 	}
 	if d.View().Settings.ServiceAt(netip.MustParseAddrPort("192.0.2.1:80")) == nil {
-		t.Error("the newer settings are not in force any more")
+		t.Error("the newer settings are no longer in force")
 	}
 }
 
-// TestAnEntryThatVanishedBetweenTwoListingsIsGone: when the store has lost its
-// history, the changes in the gap are known from the difference alone.
-func TestAnEntryThatVanishedBetweenTwoListingsIsGone(t *testing.T) {
+// TestListingRemovesMissingEntries: when the store has lost its history, removals are
+// known only from the difference of two listings.
+func TestListingRemovesMissingEntries(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), record(2, 4)}})
 	events := d.Replace(time.Second, &Listing{Revision: 9, Records: []Record{record(2, 4)}})
@@ -89,17 +89,17 @@
 	}
 }
 
-// TestPagesAreNoSnapshot: an entry may be newer than the listing's revision, and
-// the changes after it repeat what the pages showed or missed.
-func TestPagesAreNoSnapshot(t *testing.T) {
+// TestListingEntryNewerThanRevision: the pages of a listing are not a snapshot, and the
+// changes after its revision repeat what they have or miss.
+func TestListingEntryNewerThanRevision(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 10, Records: []Record{record(1, 12)}})
 	d.Apply(0, &Changes{Revision: 13, Records: []Record{record(1, 11), record(1, 12), record(3, 13)}, Gone: []Gone{{ID: 1, Revision: 11}}})
 	wantOpen(t, d, 1, 3)
 }
 
-// TestDepartedBackEndsKeepTheirTag for as long as a flow may live.
-func TestDepartedBackEndsKeepTheirTag(t *testing.T) {
+// TestRemovedBackendKeepsTag: its tag is known for as long as a flow may live.
+func TestRemovedBackendKeepsTag(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3)}})
 	d.Apply(time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
@@ -109,19 +109,19 @@
 		t.Fatalf("tagged %+v", members)
 	}
 	if d.Forget(testRetention) || len(d.View().Tagged(TagOf(1))) != 1 {
-		t.Error("forgotten too early")
+		t.Error("forgotten before the retention ended")
 	}
 	if !d.Forget(2*testRetention) || len(d.View().Tagged(TagOf(1))) != 0 {
 		t.Error("never forgotten")
 	}
 }
 
-func TestDrainingBackEndsTakeNoNewFlow(t *testing.T) {
+func TestDrainingBackendTakesNoNewFlows(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), {Backend: backend(2, true), Revision: 4}}})
 	wantOpen(t, d, 1)
 	if len(d.View().Tagged(TagOf(2))) != 1 {
-		t.Error("a draining back end must keep its flows")
+		t.Error("a draining back end is not found by its tag")
 	}
 	events := d.Apply(0, &Changes{Revision: 6, Records: []Record{{Backend: backend(1, true), Revision: 6}}})
 	wantOpen(t, d)
@@ -130,8 +130,7 @@
 	}
 }
 
-// TestFaultySettingsLeaveTheLastGoodOnesInForce.
-func TestFaultySettingsLeaveTheLastGoodOnesInForce(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Settings: version(t, 1, 4, "192.0.2.1:80")})
 	broken := version(t, 2, 6, "192.0.2.2:80")
@@ -141,13 +140,13 @@
 		t.Fatalf("events %+v", events)
 	}
 	if d.SettingsVersion() != 1 || d.View().Settings.ServiceAt(netip.MustParseAddrPort("192.0.2.1:80")) == nil {
-		t.Error("the last good settings are not in force")
+		t.Error("the last valid settings are not in force")
 	}
 }
 
-// TestSinceLeadsAnotherDirectoryToTheSameView, and refuses when departures since
-// then are forgotten.
-func TestSinceLeadsAnotherDirectoryToTheSameView(t *testing.T) {
+// TestChangesSince: the changes lead another directory to the same view, and are not known
+// once removals among them are forgotten.
+func TestChangesSince(t *testing.T) {
 	first, second := New(testRetention), New(testRetention)
 	listing := &Listing{Revision: 5, Settings: version(t, 1, 2, "192.0.2.1:80"), Records: []Record{record(1, 3), record(2, 4)}}
 	first.Replace(0, listing)
@@ -164,25 +163,25 @@
 	}
 	first.Forget(3 * testRetention)
 	if _, known := first.Since(5, 2); known {
-		t.Error("a forgotten departure is not mentioned")
+		t.Error("changes are known though a removal among them is forgotten")
 	}
 	if _, known := first.Since(9, 7); !known {
-		t.Error("nothing has been forgotten since revision 9")
+		t.Error("changes since revision 9 are not known, though nothing was forgotten since")
 	}
 }
 
-// TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd.
-func TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd(t *testing.T) {
+// TestOldListingDoesNotRemoveLiveBackend: an old listing of another balancer may have a live back end as removed.
+func TestOldListingDoesNotRemoveLiveBackend(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 8, Records: []Record{record(1, 8)}})
 	d.Replace(0, &Listing{Revision: 4, Removed: []Record{record(1, 3), record(2, 2)}})
 	wantOpen(t, d, 1)
 	if members := d.View().Tagged(TagOf(2)); len(members) != 1 || !members[0].Gone {
-		t.Error("a back end that left before this balancer started is not known")
+		t.Error("a back end removed before this balancer started is not known")
 	}
 }
 
-// many returns settings of the given number of services.
+// manyServices returns settings with the given number of services.
 func manyServices(t testing.TB, number, revision uint64, services int) *Settings {
 	t.Helper()
 	tree := settings.Tree{"": settings.Values{}}
@@ -195,9 +194,9 @@
 	return &Settings{Version: number, Revision: revision, Tree: tree}
 }
 
-// TestAnotherBalancerIsToldWhatDiffers: of a large configuration only what an edit
-// changed goes to those who have what was before, over several edits too.
-func TestAnotherBalancerIsToldWhatDiffers(t *testing.T) {
+// TestSettingsAreSentAsStep: a balancer with earlier settings gets only the difference,
+// also over several edits.
+func TestSettingsAreSentAsStep(t *testing.T) {
 	first, second, third := New(testRetention), New(testRetention), New(testRetention)
 	first.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 2, 500)})
 	for _, d := range []*Directory{second, third} {
@@ -229,9 +228,9 @@
 	})
 }
 
-// TestAViewOfChangesIsTheViewOfAll: a view that was built from the one before is the one
-// that would be built anew, and the one before stays as it was.
-func TestAViewOfChangesIsTheViewOfAll(t *testing.T) {
+// TestIncrementalViewEqualsFullView: a view built from the previous one equals one built from
+// scratch, and the previous one does not change.
+func TestIncrementalViewEqualsFullView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(testRetention)
 		now := time.Duration(0)
@@ -263,13 +262,13 @@
 				t.Fatalf("revision %d:\n%v\nwant\n%v", revision, got, want)
 			}
 			if now := fmt.Sprint(describe(before)); now != kept {
-				t.Fatalf("the view before has changed:\n%s\nwas\n%s", now, kept)
+				t.Fatalf("the previous view has changed to\n%s\nfrom\n%s", now, kept)
 			}
 		}
 	})
 }
 
-// describe lists what a view says of each back end and pool.
+// describe returns the members and pools of a view as lines.
 func describe(v *View) []string {
 	var lines []string
 	for _, part := range v.tags {
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -12,7 +12,7 @@
 	return record
 }
 
-// twoZones believes in back ends 1 and 2 of zone a and 3 of zone b.
+// twoZones returns a directory with back ends 1 and 2 in zone a and 3 in zone b.
 func twoZones() *Directory {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 2), record(2, 3), inZone(record(3, 4), "b")}})
@@ -27,8 +27,8 @@
 	return &Changes{Revision: revision, Evacuations: []Evacuation{{Zone: zone, Revision: revision}}}
 }
 
-// TestAnEvacuatedZoneTakesNoNewFlow until it is taken back; its back ends keep their tags.
-func TestAnEvacuatedZoneTakesNoNewFlow(t *testing.T) {
+// TestEvacuatedZoneTakesNoNewFlows until the evacuation ends; its back ends keep their tags.
+func TestEvacuatedZoneTakesNoNewFlows(t *testing.T) {
 	d := twoZones()
 	wantOpen(t, d, 1, 2, 3)
 	events := d.Apply(0, evacuate("a", 6))
@@ -37,10 +37,10 @@
 		t.Errorf("events %+v", events)
 	}
 	if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Evacuated || members[0].Gone {
-		t.Errorf("the tag of a back end there names %+v", members)
+		t.Errorf("members with the tag: %+v, want one that is evacuated", members)
 	}
 	if !slices.Equal(d.Evacuated(), []string{"a"}) {
-		t.Errorf("evacuated are %v", d.Evacuated())
+		t.Errorf("evacuated zones %v, want a", d.Evacuated())
 	}
 	events = d.Apply(0, restore("a", 7))
 	wantOpen(t, d, 1, 2, 3)
@@ -49,25 +49,24 @@
 	}
 }
 
-// TestBackEndsThatComeToAnEvacuatedZoneTakeNoNewFlow, also those that leave there and might be
-// a last resort.
-func TestBackEndsThatComeToAnEvacuatedZoneTakeNoNewFlow(t *testing.T) {
+// TestChangesInEvacuatedZone: back ends added or removed there are not used for new flows either.
+func TestChangesInEvacuatedZone(t *testing.T) {
 	d := twoZones()
 	d.Apply(0, evacuate("a", 6))
 	d.Apply(0, &Changes{Revision: 8, Records: []Record{record(4, 7)}, Gone: []Gone{{ID: 1, Revision: 8}}})
 	wantOpen(t, d, 3)
-	if left := d.View().Pool("fonts").Left; len(left) != 0 {
-		t.Errorf("last resorts %+v", left)
+	if removed := d.View().Pool("fonts").Left; len(removed) != 0 {
+		t.Errorf("removed back ends in the pool: %+v, want none", removed)
 	}
 	d.Apply(time.Second, restore("a", 9))
 	wantOpen(t, d, 2, 3, 4)
-	if left := d.View().Pool("fonts").Left; len(left) != 1 || left[0].ID != 1 {
-		t.Errorf("last resorts once the zone is back %+v", left)
+	if removed := d.View().Pool("fonts").Left; len(removed) != 1 || removed[0].ID != 1 {
+		t.Errorf("removed back ends in the pool after the evacuation: %+v, want 1", removed)
 	}
 }
 
-// TestAnOlderWordOnAZoneChangesNothing, in whichever order they come.
-func TestAnOlderWordOnAZoneChangesNothing(t *testing.T) {
+// TestOlderEvacuationIsIgnored, and so is an older end of one.
+func TestOlderEvacuationIsIgnored(t *testing.T) {
 	d := twoZones()
 	d.Apply(0, restore("a", 9))
 	d.Apply(0, evacuate("a", 6))
@@ -77,8 +76,8 @@
 	wantOpen(t, d, 3)
 }
 
-// TestAListingTakesBackWhatItDoesNotName: the removal fell into lost history.
-func TestAListingTakesBackWhatItDoesNotName(t *testing.T) {
+// TestListingEndsMissingEvacuations: the end of an evacuation may be in lost history.
+func TestListingEndsMissingEvacuations(t *testing.T) {
 	d := twoZones()
 	d.Apply(0, evacuate("a", 6))
 	records := d.Listing().Records
@@ -87,17 +86,17 @@
 	if len(events) != 2 {
 		t.Errorf("events %+v", events)
 	}
-	// The change that the listing showed already comes again.
+	// A change that the listing had already is received again.
 	d.Apply(0, &Changes{Revision: 20, Evacuations: []Evacuation{{Zone: "a", Revision: 14}}})
 	wantOpen(t, d, 1, 2)
-	// What was written after the listing began stands.
+	// An evacuation written after the listing began stays.
 	d.Apply(0, evacuate("a", 25))
 	d.Replace(0, &Listing{Revision: 22, Records: records})
 	wantOpen(t, d)
 }
 
-// TestEvacuationsAreToldToOthers, as changes and as a listing, those taken back too.
-func TestEvacuationsAreToldToOthers(t *testing.T) {
+// TestEvacuationsAreSentToPeers, as changes and in a listing, and their ends too.
+func TestEvacuationsAreSentToPeers(t *testing.T) {
 	d := twoZones()
 	d.Apply(0, evacuate("a", 6))
 	d.Apply(0, evacuate("b", 7))
@@ -114,6 +113,6 @@
 	late.Apply(0, changes)
 	wantOpen(t, late, 1, 2)
 	if !slices.Equal(late.Evacuated(), []string{"b"}) {
-		t.Errorf("evacuated are %v", late.Evacuated())
+		t.Errorf("evacuated zones %v, want b", late.Evacuated())
 	}
 }
--- a/internal/directory/lapse_test.go
+++ b/internal/directory/lapse_test.go
@@ -11,12 +11,12 @@
 const (
 	contactBound = 4 * time.Second
 	drainBound   = 3 * time.Second
-	// outage is long enough to be one, and window how long lapsed back ends are believed in.
+	// outage is long enough to count as one, and window how long expired back ends are usable after it.
 	outage = 5 * time.Second
 	window = 1800 * time.Millisecond
 )
 
-// confirmedLast is a directory with back ends 1 to 4, of which 4 drains, as the store confirmed at 0.
+// newConfirmedDirectory returns a directory with back ends 1 to 4, of which 4 drains, confirmed by the store at 0.
 func newConfirmedDirectory() *Directory {
 	d := New(time.Minute)
 	d.SetLapse(LapseWithin(contactBound, drainBound))
@@ -24,7 +24,7 @@
 	return d
 }
 
-// gone are changes in which back ends vanished.
+// removals returns changes that remove back ends.
 func removals(revision uint64, ids ...settings.BackendID) *Changes {
 	changes := &Changes{Revision: revision}
 	for _, id := range ids {
@@ -33,7 +33,7 @@
 	return changes
 }
 
-// lapsedAt returns the back ends that may take new flows at a time though they are gone.
+// usableAt returns the removed back ends that may take new flows at a time.
 func usableAt(d *Directory, now time.Duration) []settings.BackendID {
 	var ids []settings.BackendID
 	pool := d.View().Pool("fonts")
@@ -48,56 +48,55 @@
 func wantUsable(t *testing.T, d *Directory, now time.Duration, want ...settings.BackendID) {
 	t.Helper()
 	if got := usableAt(d, now); !slices.Equal(got, want) {
-		t.Errorf("lapsed at %v: %v, want %v", now, got, want)
+		t.Errorf("removed back ends usable at %v: %v, want %v", now, got, want)
 	}
 }
 
-// TestEntriesThatVanishInAnOutageLapse for a bounded time; the draining one does not.
-func TestEntriesThatVanishInAnOutageLapse(t *testing.T) {
+// TestBackendsExpireInOutage: removed ones stay usable for a bounded time, unless they were draining.
+func TestBackendsExpireInOutage(t *testing.T) {
 	d := newConfirmedDirectory()
 	if !d.NoteConfirmed(outage, 0, outage) {
-		t.Fatal("the end of an outage is not noticed")
+		t.Fatal("the end of an outage is not detected")
 	}
 	d.Apply(outage, removals(8, 1, 2, 4))
 	wantUsable(t, d, outage, 1, 2)
 	wantOpen(t, d, 3)
-	// One lapses later, as long as entries come back.
+	// A back end may expire later within the window.
 	d.NoteConfirmed(outage+time.Second, 0, time.Second)
 	d.Apply(outage+time.Second, removals(9, 3))
 	wantUsable(t, d, outage+window-1, 1, 2, 3)
 	wantUsable(t, d, outage+window)
-	// After that what vanishes is gone.
+	// Back ends removed after the window are not usable.
 	d.Apply(outage+window, &Changes{Revision: 10, Records: []Record{record(1, 10)}})
 	d.Apply(outage+window, removals(11, 1))
 	wantUsable(t, d, outage+window)
 }
 
-// TestAListingAfterAnOutageLapses what it does not have.
-func TestAListingAfterAnOutageLapses(t *testing.T) {
+func TestListingAfterOutageExpiresMissingBackends(t *testing.T) {
 	d := newConfirmedDirectory()
 	d.NoteConfirmed(outage, 0, outage)
 	d.Replace(outage, &Listing{Revision: 9, Records: []Record{record(2, 2)}})
 	wantUsable(t, d, outage, 1, 3)
 }
 
-// TestASoundDepartureIsNoLapse: the store had confirmed what was believed a moment before.
-func TestASoundDepartureIsNoLapse(t *testing.T) {
+// TestRemovalWithoutOutageIsNotExpiry: the store had confirmed the known state shortly before.
+func TestRemovalWithoutOutageIsNotExpiry(t *testing.T) {
 	d := newConfirmedDirectory()
-	old := time.Duration(0.6 * float64(contactBound))
-	if d.NoteConfirmed(old, 0, old) {
+	staleness := time.Duration(0.6 * float64(contactBound))
+	if d.NoteConfirmed(staleness, 0, staleness) {
 		t.Error("a late confirmation is taken for the end of an outage")
 	}
-	d.Apply(old, removals(8, 1))
-	wantUsable(t, d, old)
-	// Nor is one that had departed before an outage.
-	d.NoteConfirmed(old+outage, 0, outage)
-	d.Apply(old+outage, removals(9, 1, 2))
-	wantUsable(t, d, old+outage, 2)
+	d.Apply(staleness, removals(8, 1))
+	wantUsable(t, d, staleness)
+	// A back end removed before an outage does not expire either.
+	d.NoteConfirmed(staleness+outage, 0, outage)
+	d.Apply(staleness+outage, removals(9, 1, 2))
+	wantUsable(t, d, staleness+outage, 2)
 }
 
-// TestALapsedBackEndIsNotBelievedInFurther once its entry is back, its address is another one's, or its
-// zone is evacuated.
-func TestALapsedBackEndIsNotBelievedInFurther(t *testing.T) {
+// TestExpiredBackendBecomesUnusable once its entry is back, another back end announces its address, or its zone is
+// evacuated.
+func TestExpiredBackendBecomesUnusable(t *testing.T) {
 	d := newConfirmedDirectory()
 	d.NoteConfirmed(outage, 0, outage)
 	other := record(9, 7)
@@ -119,8 +118,8 @@
 	wantOpen(t, d, 1, 10)
 }
 
-// TestOthersHearWhatLapsed, and until when: neither how late it is told nor how often makes it last longer.
-func TestOthersHearWhatLapsed(t *testing.T) {
+// TestExpiryIsSentToPeers: late or repeated messages must not extend the window.
+func TestExpiryIsSentToPeers(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		first, second, later := newConfirmedDirectory(), newConfirmedDirectory(), outage+time.Second
 		first.NoteConfirmed(outage, 0, outage)
@@ -129,10 +128,10 @@
 			second = New(time.Minute)
 			second.SetLapse(LapseWithin(contactBound, drainBound))
 		}
-		tell := func() {
-			age, returning := first.ReturnAge(later)
-			if !returning {
-				t.Fatal("the return is not told")
+		send := func() {
+			age, inWindow := first.ReturnAge(later)
+			if !inWindow {
+				t.Fatal("the return is not sent")
 			}
 			second.HearReturn(later - age)
 			if whole {
@@ -142,22 +141,22 @@
 			changes, _ := first.Since(5, 0)
 			second.Apply(later, changes)
 		}
-		tell()
+		send()
 		wantUsable(t, second, outage+window-1, 1)
 		wantUsable(t, second, outage+window)
 		if second.HearReturn(outage + 500*time.Millisecond) {
-			t.Error("the same return begins anew")
+			t.Error("the same return starts a new window")
 		}
-		tell()
+		send()
 		wantUsable(t, second, outage+window)
-		if _, returning := first.ReturnAge(outage + window); returning {
-			t.Error("the return is told for longer than it matters")
+		if _, inWindow := first.ReturnAge(outage + window); inWindow {
+			t.Error("the return is sent after the end of the window")
 		}
 	}
 }
 
-// TestAFollowerTakesOthersWord on what lapsed: that it was cut off itself says nothing of the store.
-func TestAFollowerTakesOthersWord(t *testing.T) {
+// TestFollowerTakesExpiryFromSender: a follower that was partitioned itself must not infer an outage of the store.
+func TestFollowerTakesExpiryFromSender(t *testing.T) {
 	first, second := newConfirmedDirectory(), newConfirmedDirectory()
 	first.Apply(outage, removals(8, 1))
 	changes, _ := first.Since(5, 0)
@@ -166,12 +165,12 @@
 	wantUsable(t, second, outage)
 }
 
-// TestOfTwoAtAnAddressTheLastOneLapses: the one before it has ended, and was of another service.
-func TestOfTwoAtAnAddressTheLastOneLapses(t *testing.T) {
+// TestLastAtAddressExpires: of two back ends at an address the earlier one has ended, and was of another service.
+func TestLastAtAddressExpires(t *testing.T) {
 	for name, test := range map[string]struct {
-		vanish []*Changes
-		// lapses is whether the last one does; while another entry names its address it does not.
-		lapses bool
+		removals []*Changes
+		// expires is whether the last one does; it does not while another entry has its address.
+		expires bool
 	}{
 		"together":   {[]*Changes{removals(8, 2, 7)}, true},
 		"last first": {[]*Changes{removals(8, 2), removals(9, 7)}, false},
@@ -184,34 +183,35 @@
 			newer.Backend.Group, newer.Backend.Address, newer.Backend.Draining = "sounds", older.Backend.Address, draining
 			d.Replace(0, &Listing{Revision: 5, Records: []Record{older, newer}})
 			d.NoteConfirmed(outage, 0, outage)
-			for _, changes := range test.vanish {
+			for _, changes := range test.removals {
 				d.Apply(outage, changes)
 			}
-			if d.IsLapsed(7) || d.IsLapsed(2) != (test.lapses && !draining) {
-				t.Errorf("%s, the last one drains %v: the first lapsed %v, the last %v", name, draining, d.IsLapsed(7), d.IsLapsed(2))
+			if d.IsLapsed(7) || d.IsLapsed(2) != (test.expires && !draining) {
+				t.Errorf("%s, last one draining %v: first expired %v, last expired %v", name, draining, d.IsLapsed(7), d.IsLapsed(2))
 			}
 		}
 	}
 }
 
-// TestASnapshotBringsNobodyBackWhoIsKnownToBeGone: another balancer has told of the departure meanwhile.
-func TestASnapshotBringsNobodyBackWhoIsKnownToBeGone(t *testing.T) {
+// TestSnapshotDoesNotRestoreRemovedBackend: another balancer may have sent the removal before the snapshot is read.
+func TestSnapshotDoesNotRestoreRemovedBackend(t *testing.T) {
 	d := New(time.Minute)
 	d.SetLapse(LapseWithin(contactBound, drainBound))
 	d.Replace(0, &Listing{Revision: 6, Told: true, Records: []Record{record(1, 1)}, Removed: []Record{record(2, 6)}})
 	d.Replace(1, &Listing{Revision: 7, Records: []Record{record(1, 1)}, Missing: []Record{record(2, 2), record(3, 2)}})
 	if d.IsLapsed(2) || !d.IsLapsed(3) {
-		t.Errorf("one that is known to be gone counts as lapsed: %v; one that nobody knows: %v", d.IsLapsed(2), d.IsLapsed(3))
+		t.Errorf("known removed back end expired %v, want false; unknown back end expired %v, want true", d.IsLapsed(2), d.IsLapsed(3))
 	}
 }
 
-// TestAListingThatDoesNotEndIsNoOtherReturn: nothing was confirmed between its first page and the next try's.
-func TestAListingThatDoesNotEndIsNoOtherReturn(t *testing.T) {
+// TestIncompleteListingIsNoSecondReturn: nothing is confirmed between the first page of a listing that fails and
+// that of the next one.
+func TestIncompleteListingIsNoSecondReturn(t *testing.T) {
 	d := newConfirmedDirectory()
 	if !d.NoteConfirmed(outage, 0, outage) {
-		t.Fatal("no return")
+		t.Fatal("the end of the outage is not detected")
 	}
 	if d.NoteConfirmed(outage+contactBound, 0, outage+contactBound) {
-		t.Error("the next try's first page is the end of another outage")
+		t.Error("the first page of the next listing counts as the end of another outage")
 	}
 }
--- a/internal/directory/outline_test.go
+++ b/internal/directory/outline_test.go
@@ -7,54 +7,54 @@
 	"gaugeyard/internal/settings"
 )
 
-// fleetOf has back ends 1 to count, every third in zone b, and one of zone a that drains.
+// newFleetDirectory returns a directory with back ends 1 to count, every third in zone b, and one of zone a draining.
 func newFleetDirectory(t *testing.T, count int) *Directory {
 	d := New(testRetention)
 	listing := &Listing{Revision: uint64(count), Settings: version(t, 5, 1, "192.0.2.1:80")}
 	for i := 1; i <= count; i++ {
-		told := Record{Backend: backend(settings.BackendID(i), i == 1), Revision: uint64(i)}
+		r := Record{Backend: backend(settings.BackendID(i), i == 1), Revision: uint64(i)}
 		if i%3 == 0 {
-			told = inZone(told, "b")
+			r = inZone(r, "b")
 		}
-		listing.Records = append(listing.Records, told)
+		listing.Records = append(listing.Records, r)
 	}
 	d.Replace(0, listing)
 	return d
 }
 
-// TestAnOutlineHasTheSettingsAndBackEndsOfTheZoneFirst, none that drains or is evacuated.
-func TestAnOutlineHasTheSettingsAndBackEndsOfTheZoneFirst(t *testing.T) {
+// TestSummary: it has the settings and back ends of the zone first, none that is draining or evacuated.
+func TestSummary(t *testing.T) {
 	d := newFleetDirectory(t, 900)
-	outline := d.Outline("b")
+	summary := d.Outline("b")
 	inB := 0
-	for _, told := range outline.Records {
-		if told.Backend.Draining {
-			t.Error("one that drains is told")
+	for _, r := range summary.Records {
+		if r.Backend.Draining {
+			t.Error("the summary has a draining back end")
 		}
-		if told.Backend.Zone == "b" {
+		if r.Backend.Zone == "b" {
 			inB++
 		}
 	}
-	if outline.Settings == nil || outline.Revision != 0 || len(outline.Records) != maxSummaryBackends || inB != 300 {
-		t.Errorf("%d back ends, %d of the zone, settings %v, revision %d", len(outline.Records), inB, outline.Settings, outline.Revision)
+	if summary.Settings == nil || summary.Revision != 0 || len(summary.Records) != maxSummaryBackends || inB != 300 {
+		t.Errorf("%d back ends, %d of the zone, settings %v, revision %d", len(summary.Records), inB, summary.Settings, summary.Revision)
 	}
 	d.Apply(0, &Changes{Revision: 1000, Evacuations: []Evacuation{{Zone: "b", Active: true, Revision: 1000}}})
-	for _, told := range d.Outline("b").Records {
-		if told.Backend.Zone == "b" {
-			t.Fatal("one of an evacuated zone is told")
+	for _, r := range d.Outline("b").Records {
+		if r.Backend.Zone == "b" {
+			t.Fatal("the summary has a back end of an evacuated zone")
 		}
 	}
 }
 
-// TestAfterAnOutlineEverythingIsStillAskedFor, and what it told wrongly ends with the listing.
-func TestAfterAnOutlineEverythingIsStillAskedFor(t *testing.T) {
+// TestListingAfterSummary: a summary does not replace a listing, which corrects what the summary had wrong.
+func TestListingAfterSummary(t *testing.T) {
 	whole, d := newFleetDirectory(t, 900), New(testRetention)
 	d.TakeOutline(0, whole.Outline("a"))
 	if d.Revision() != 0 || d.SettingsVersion() != 5 || len(d.View().Pool("fonts").Open) != maxSummaryBackends {
 		t.Fatalf("revision %d, version %d, %d back ends", d.Revision(), d.SettingsVersion(), len(d.View().Pool("fonts").Open))
 	}
 	if _, known := d.Since(0, 0); known {
-		t.Error("it tells others changes")
+		t.Error("changes since revision 0 are known after a summary")
 	}
 	whole.Apply(time.Second, &Changes{Revision: 1001, Gone: []Gone{{ID: 2, Revision: 1001}}})
 	d.Replace(time.Second, whole.Listing())
@@ -63,6 +63,6 @@
 		t.Errorf("revision %d, %d back ends, want %d", d.Revision(), got, want)
 	}
 	if events := d.TakeOutline(time.Second, newFleetDirectory(t, 3).Outline("a")); events != nil {
-		t.Errorf("one that comes late changes %+v", events)
+		t.Errorf("a late summary has events %+v", events)
 	}
 }
--- a/internal/directory/prepare_test.go
+++ b/internal/directory/prepare_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestWhatWasPreparedOnOtherSettingsIsNotTakenOver: what came meanwhile stays in force, and what
-// is newer still is made from it.
-func TestWhatWasPreparedOnOtherSettingsIsNotTakenOver(t *testing.T) {
+// TestPreparedFromOtherSettings: settings prepared from a base that was replaced meanwhile must not be
+// applied as prepared. Older ones are ignored, and newer ones are prepared again.
+func TestPreparedFromOtherSettings(t *testing.T) {
 	for _, c := range []struct {
 		name                           string
 		prepared, meanwhile, inForce   uint64
@@ -27,17 +27,17 @@
 	}
 }
 
-// TestPreparingChangesNothing that is in force, and a step from other settings is not prepared.
-func TestPreparingChangesNothing(t *testing.T) {
+// TestPrepareDoesNotChangeDirectory, and does not prepare a step from other settings.
+func TestPrepareDoesNotChangeDirectory(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 5, 500)})
 	before := d.View().Settings
 	d.Base().Prepare(manyServices(t, 2, 6, 501), nil, func() {
 		if d.SettingsRevision() != 5 || d.View().Settings != before {
-			t.Error("what is in force has changed")
+			t.Error("the settings in force have changed")
 		}
 	})
 	if d.Base().Prepare(nil, &Step{Base: 4, Revision: 6}, func() {}) != nil || d.Base().Prepare(manyServices(t, 1, 5, 9), nil, func() {}) != nil {
-		t.Error("a step from other settings or old ones are prepared")
+		t.Error("a step from other settings, or settings that are not newer, are prepared")
 	}
 }
--- a/internal/directory/records_test.go
+++ b/internal/directory/records_test.go
@@ -9,15 +9,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestRecordsAreToldWhole, of both kinds of addresses, and none.
-func TestRecordsAreToldWhole(t *testing.T) {
+// TestRecordsRoundTrip encodes and decodes no records, and records with IPv4 and IPv6 addresses.
+func TestRecordsRoundTrip(t *testing.T) {
 	four := Records{
 		{Backend{ID: 1 << 40, Born: 1_800_000_000_000, Group: "fonts", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 2}, 9},
 		{Backend{ID: 7, Group: "uploads", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.2:65535"), Slots: 1, Draining: true, WarmUp: time.Second}, 1 << 50},
 	}
 	six := append(slices.Clone(four), Record{Backend{ID: 3, Group: "fonts", Zone: "b", Address: netip.MustParseAddrPort("[2001:db8::1]:443"), Slots: 3}, 2})
-	for _, told := range []Records{nil, four, six} {
-		data, err := msgpack.Marshal(&Listing{Revision: 5, Records: told, Removed: told})
+	for _, sent := range []Records{nil, four, six} {
+		data, err := msgpack.Marshal(&Listing{Revision: 5, Records: sent, Removed: sent})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,15 +25,15 @@
 		if err := msgpack.Unmarshal(data, &read); err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(read.Records, told) || !slices.Equal(read.Removed, told) {
-			t.Errorf("read %+v, told %+v", read, told)
+		if !slices.Equal(read.Records, sent) || !slices.Equal(read.Removed, sent) {
+			t.Errorf("received %+v, sent %+v", read, sent)
 		}
 	}
 }
 
-// TestRecordsThatContradictThemselvesAreRefused, and nothing of them is taken.
-func TestRecordsThatContradictThemselvesAreRefused(t *testing.T) {
-	sound := columns{Groups: []string{"fonts"}, Zones: []string{"a"}, IDs: []uint64{1}, Revisions: []uint64{2}, Births: []int64{0},
+// TestInconsistentRecordsAreRejected as a whole.
+func TestInconsistentRecordsAreRejected(t *testing.T) {
+	valid := columns{Groups: []string{"fonts"}, Zones: []string{"a"}, IDs: []uint64{1}, Revisions: []uint64{2}, Births: []int64{0},
 		GroupAt: []int{0}, ZoneAt: []int{0}, Hosts: []byte{10, 0, 0, 1}, Ports: []int{80}, Slots: []int{2}, WarmUps: []int64{0}, Draining: []byte{0}}
 	for name, change := range map[string]func(c *columns){
 		"too few revisions": func(c *columns) { c.Revisions = nil },
@@ -43,7 +43,7 @@
 		"a negative zone":   func(c *columns) { c.ZoneAt = []int{-1} },
 		"a port too high":   func(c *columns) { c.Ports = []int{1 << 16} },
 	} {
-		broken := sound
+		broken := valid
 		change(&broken)
 		data, err := msgpack.Marshal(&broken)
 		if err != nil {
--- a/internal/directory/reuse_test.go
+++ b/internal/directory/reuse_test.go
@@ -9,29 +9,29 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestAStartAtAnAddressProvesThatTheOneBeforeEnded, once the entry of that one is gone.
-func TestAStartAtAnAddressProvesThatTheOneBeforeEnded(t *testing.T) {
+// TestReplacedByStartAtSameAddress: a start at the address of a removed back end proves that it has ended.
+func TestReplacedByStartAtSameAddress(t *testing.T) {
 	const before, after = 1, 2
 	entry := func(id settings.BackendID, revision uint64, group string, host byte) *Changes {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), 80)
 		return &Changes{Revision: revision, Records: []Record{{Backend{ID: id, Group: group, Zone: "a", Address: address, Slots: 1}, revision}}}
 	}
-	gone := func(id settings.BackendID, revision uint64) *Changes {
+	removal := func(id settings.BackendID, revision uint64) *Changes {
 		return &Changes{Revision: revision, Gone: []Gone{{id, revision}}}
 	}
 	for name, test := range map[string]struct {
 		changes []*Changes
 		want    bool
 	}{
-		"its entry lapsed, then another service starts there": {[]*Changes{entry(before, 1, "a", 1), gone(before, 2), entry(after, 3, "b", 1)}, true},
-		"the same service starts there":                       {[]*Changes{entry(before, 1, "a", 1), gone(before, 2), entry(after, 3, "a", 1)}, true},
-		"the entry lapses after the start":                    {[]*Changes{entry(before, 1, "a", 1), entry(after, 2, "b", 1), gone(before, 3)}, true},
-		"its entry is there still":                            {[]*Changes{entry(before, 1, "a", 1), entry(after, 2, "b", 1)}, false},
-		"nobody starts there":                                 {[]*Changes{entry(before, 1, "a", 1), gone(before, 2)}, false},
-		"one starts elsewhere":                                {[]*Changes{entry(before, 1, "a", 1), gone(before, 2), entry(after, 3, "a", 2)}, false},
-		"the start has ended as well":                         {[]*Changes{entry(before, 1, "a", 1), gone(before, 2), entry(after, 3, "b", 1), gone(after, 4)}, false},
-		"the other one was there earlier, and lingers":        {[]*Changes{entry(after, 1, "a", 1), entry(before, 2, "a", 1), gone(before, 3)}, false},
-		"its entry comes back":                                {[]*Changes{entry(before, 1, "a", 1), gone(before, 2), entry(after, 3, "b", 1), entry(before, 4, "a", 1)}, false},
+		"expired, then another service starts there": {[]*Changes{entry(before, 1, "a", 1), removal(before, 2), entry(after, 3, "b", 1)}, true},
+		"the same service starts there":              {[]*Changes{entry(before, 1, "a", 1), removal(before, 2), entry(after, 3, "a", 1)}, true},
+		"removed after the start":                    {[]*Changes{entry(before, 1, "a", 1), entry(after, 2, "b", 1), removal(before, 3)}, true},
+		"not removed":                                {[]*Changes{entry(before, 1, "a", 1), entry(after, 2, "b", 1)}, false},
+		"no start there":                             {[]*Changes{entry(before, 1, "a", 1), removal(before, 2)}, false},
+		"start at another address":                   {[]*Changes{entry(before, 1, "a", 1), removal(before, 2), entry(after, 3, "a", 2)}, false},
+		"the later server is removed as well":        {[]*Changes{entry(before, 1, "a", 1), removal(before, 2), entry(after, 3, "b", 1), removal(after, 4)}, false},
+		"the other server announced itself earlier":  {[]*Changes{entry(after, 1, "a", 1), entry(before, 2, "a", 1), removal(before, 3)}, false},
+		"its entry is written again":                 {[]*Changes{entry(before, 1, "a", 1), removal(before, 2), entry(after, 3, "b", 1), entry(before, 4, "a", 1)}, false},
 	} {
 		d := New(time.Minute)
 		for _, changes := range test.changes {
@@ -39,13 +39,14 @@
 		}
 		replaced := d.View().Replaced([]settings.BackendID{before, 77})
 		if got := slices.Equal(replaced, []settings.BackendID{before}); got != test.want || !got && len(replaced) > 0 {
-			t.Errorf("%s: %v has ended", name, replaced)
+			t.Errorf("%s: replaced %v", name, replaced)
 		}
 	}
 }
 
-// TestOneThatIsHeardOfAsGoneIsNotReplacedByEarlierEntries: when it last announced itself is not known.
-func TestOneThatIsHeardOfAsGoneIsNotReplacedByEarlierEntries(t *testing.T) {
+// TestNotReplacedByEarlierEntry: of a back end that was received as removed, only the removal's revision is known,
+// and an entry with an earlier one does not prove that it has ended.
+func TestNotReplacedByEarlierEntry(t *testing.T) {
 	address := netip.MustParseAddrPort("10.0.0.1:80")
 	for _, test := range []struct {
 		revision uint64
@@ -58,7 +59,7 @@
 			Removed:  []Record{{Backend{ID: 1, Group: "a", Address: address}, 5}},
 		})
 		if replaced := d.View().Replaced([]settings.BackendID{1}); len(replaced) != test.want {
-			t.Errorf("gone at revision 5, another entry of %d: %v has ended", test.revision, replaced)
+			t.Errorf("removed at revision 5, another entry of %d: replaced %v", test.revision, replaced)
 		}
 	}
 }
--- a/internal/directory/view_bench_test.go
+++ b/internal/directory/view_bench_test.go
@@ -9,7 +9,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// BenchmarkView builds the view that packets are steered by, after one change.
+// BenchmarkView builds a view after one change.
 func BenchmarkView(b *testing.B) {
 	for _, backends := range []int{300, 3000, 130000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkEvacuate evacuates and takes back one of 30 zones, with a view after each.
+// BenchmarkEvacuate starts and ends the evacuation of one of 30 zones, and builds a view after each.
 func BenchmarkEvacuate(b *testing.B) {
 	const zones = 30
 	for _, backends := range []int{300, 3000, 130000} {
--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// TestAStartIsNoConfirmation: what a new process learns keeps its age, also where it is
-// older than the process. Else a restart would make old beliefs look fresh to others.
-func TestAStartIsNoConfirmation(t *testing.T) {
+// TestConfirmationOlderThanProcess: the state that a new process receives keeps its age, so that
+// a restart does not make a stale state look fresh to others.
+func TestConfirmationOlderThanProcess(t *testing.T) {
 	var c Confirmation
 	if age := c.Age(100 * time.Millisecond); age != neverConfirmed {
-		t.Errorf("age %v before anything is known, want %v", age, neverConfirmed)
+		t.Errorf("age %v before the first confirmation, want %v", age, neverConfirmed)
 	}
 	c.Note(50*time.Millisecond, 1600*time.Millisecond)
 	if age := c.Age(250 * time.Millisecond); age != 1800*time.Millisecond {
-		t.Errorf("age %v of what was 1.6 s old 0.2 s ago", age)
+		t.Errorf("age %v, want 1.8s", age)
 	}
 }
 
-// TestAConfirmationIsToldOnce to those who wait, and not for each small step.
-func TestAConfirmationIsToldOnce(t *testing.T) {
+// TestConfirmationIsSentOnce to waiting followers, and not after each small renewal.
+func TestConfirmationIsSentOnce(t *testing.T) {
 	var c Confirmation
 	if !c.Note(time.Second, 0) {
-		t.Error("the first one is not told")
+		t.Error("the first confirmation is not sent")
 	}
 	if c.Note(1100*time.Millisecond, 0) || c.Note(1200*time.Millisecond, 500*time.Millisecond) {
-		t.Error("what is hardly newer, or older, is told")
+		t.Error("a confirmation that is older, or newer by less than minRenewal, is sent")
 	}
 	if !c.Note(2*time.Second, 0) {
-		t.Error("a newer one is not told")
+		t.Error("a newer confirmation is not sent")
 	}
 	if !c.Renews(2*time.Second, 300*time.Millisecond) || c.Renews(2*time.Second, 100*time.Millisecond) {
-		t.Error("what it is worth to another depends on the other's age")
+		t.Error("whether a confirmation is newer does not depend on the age of the other one")
 	}
 }
 
-func TestTheNewestConfirmationCounts(t *testing.T) {
+func TestNewestConfirmationCounts(t *testing.T) {
 	var c Confirmation
 	c.Note(3*time.Second, 0)
 	c.Note(4*time.Second, 2*time.Second)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,14 +13,14 @@
 	freshest = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// running is a follower some time after its start.
+// running returns a follower as it is some time after its start.
 func running() *Follower {
 	f := New(bound, 0)
 	f.settled = true
 	return f
 }
 
-// step makes one call and gives it an outcome; it checks the kind.
+// step makes one call with an outcome, and checks its kind.
 func step(t *testing.T, f *Follower, state State, want Kind, outcome Outcome) Contact {
 	t.Helper()
 	call := f.Next(state)
@@ -30,13 +30,13 @@
 	return f.Done(state, call, outcome)
 }
 
-// later is the state when all pauses after failures are over.
+// afterRetries returns the state after all delays that follow failures.
 func (s State) afterRetries() State {
 	s.Now += time.Minute
 	return s
 }
 
-func TestAStartListsAndThenWatches(t *testing.T) {
+func TestStartListsThenWatches(t *testing.T) {
 	f := New(bound, 0)
 	list := f.Next(State{Upstream: upstream})
 	if list.Kind != ListStore {
@@ -48,9 +48,8 @@
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{})
 }
 
-// TestChangesThatFollowEachOtherAreReadTogether, also those that concern no back end, and
-// beliefs grow no older by it.
-func TestChangesThatFollowEachOtherAreReadTogether(t *testing.T) {
+// TestConsecutiveChangesAreReadTogether, and the state becomes no staler by that.
+func TestConsecutiveChangesAreReadTogether(t *testing.T) {
 	f := running()
 	state := State{Revision: 5}
 	calls, confirmed := 0, state.Now
@@ -61,7 +60,7 @@
 			state.Now += call.Wait * 3 / 2
 		case WatchStore:
 			if age := state.Now + call.Wait - confirmed; age > bound/storeWaitDivisor+bound/storeWaitDivisor/4 {
-				t.Fatalf("beliefs may be %v old", age)
+				t.Fatalf("the state may be %v old", age)
 			}
 			calls++
 			state.Now += 10 * time.Millisecond
@@ -71,32 +70,32 @@
 		f.Done(state, call, Outcome{})
 	}
 	if calls > 25 {
-		t.Errorf("the store is asked %d times in 10 s", calls)
+		t.Errorf("%d requests to the store in 10 s, want at most 25", calls)
 	}
 }
 
-// TestPartsOfManyChangesFollowAtOnce: 10,000 servers whose entries lapsed and are back are 20,000 changes in 40
-// parts, and a change of settings may stand behind them. It is known within half of the contact bound.
-func TestPartsOfManyChangesFollowAtOnce(t *testing.T) {
-	const part, answer = 500, 50 * time.Millisecond
+// TestPartialResponsesAreReadAtOnce: 20,000 changes, of 10,000 servers whose entries expire and are written again,
+// and a change of settings behind them must be known within half of the contact bound.
+func TestPartialResponsesAreReadAtOnce(t *testing.T) {
+	const part, responseTime = 500, 50 * time.Millisecond
 	f := running()
 	state := State{Now: time.Second, Revision: 5}
-	begin, left := state.Now, 20_000
-	for left > 0 {
+	begin, remaining := state.Now, 20_000
+	for remaining > 0 {
 		call := f.Next(state)
 		outcome := Outcome{}
 		if call.Kind == Pause {
 			state.Now += call.Wait
 		} else {
-			outcome.Changes = min(part, left)
-			left -= outcome.Changes
+			outcome.Changes = min(part, remaining)
+			remaining -= outcome.Changes
 			state.Revision += uint64(outcome.Changes)
-			state.Now += answer
+			state.Now += responseTime
 		}
 		f.Done(state, call, outcome)
 	}
 	if took := state.Now - begin; took > bound/2 {
-		t.Errorf("all are known after %v", took)
+		t.Errorf("all changes are known after %v", took)
 	}
 	last := f.Next(state)
 	state.Revision++
@@ -104,7 +103,8 @@
 	step(t, f, state, Pause, Outcome{})
 }
 
-func TestAnUpstreamIsFollowedWhileItIsOfUse(t *testing.T) {
+// TestUpstreamIsFollowed while it responds with a fresh state.
+func TestUpstreamIsFollowed(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, state, AskPeer, Outcome{Age: time.Second})
@@ -114,9 +114,8 @@
 	step(t, f, state, WatchStore, Outcome{})
 }
 
-// TestACallAtAnotherEndsBeforeItsWordIsTooOld, so that a source which falls silent costs no
-// more than its age and one short wait.
-func TestACallAtAnotherEndsBeforeItsWordIsTooOld(t *testing.T) {
+// TestPeerCallEndsBeforeStateIsStale, so that the state is hardly staler when an upstream stops responding.
+func TestPeerCallEndsBeforeStateIsStale(t *testing.T) {
 	for _, test := range []struct{ age, wait time.Duration }{
 		{0, MaxPeerAge(bound)},
 		{MaxPeerAge(bound) - 400*time.Millisecond, 400 * time.Millisecond},
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestLostHistoryIsListedAnew(t *testing.T) {
+func TestLostHistoryIsListed(t *testing.T) {
 	f := running()
 	state := State{Revision: 5}
 	step(t, f, state, WatchStore, Outcome{Result: HistoryLost})
@@ -143,7 +142,8 @@
 	step(t, f, state.afterRetries(), WatchStore, Outcome{})
 }
 
-func TestAFailureIsToldOnceAndPeersAreAsked(t *testing.T) {
+// TestFailureIsReportedOnce, and peers are queried until the store responds.
+func TestFailureIsReportedOnce(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Freshest: freshest}
 	if contact := step(t, f, state, WatchStore, Outcome{Result: Failed}); contact != Lost {
@@ -153,13 +153,13 @@
 		t.Errorf("call %+v", call)
 	}
 	f.Done(state, Call{Kind: AskPeer}, Outcome{Result: Failed})
-	if asked := countStoreCalls(t, f, State{Revision: 5}, 10*maxRetry); asked < 10 || asked > 15 {
-		t.Errorf("the store is asked %d times in %v", asked, 10*maxRetry)
+	if calls := countStoreCalls(t, f, State{Revision: 5}, 10*maxRetry); calls < 10 || calls > 15 {
+		t.Errorf("%d requests to the store in %v, want 10 to 15", calls, 10*maxRetry)
 	}
 }
 
-// retries lets all calls fail for a time and counts those to the store.
-func countStoreCalls(t *testing.T, f *Follower, state State, length time.Duration) (asked int) {
+// countStoreCalls lets all calls fail for a time and counts those to the store.
+func countStoreCalls(t *testing.T, f *Follower, state State, length time.Duration) (calls int) {
 	t.Helper()
 	for end := state.Now + length; state.Now < end; {
 		call := f.Next(state)
@@ -169,55 +169,54 @@
 			}
 			state.Now += call.Wait
 		} else {
-			asked++
+			calls++
 		}
 		if contact := f.Done(state, call, Outcome{Result: Failed}); contact != Unchanged {
 			t.Errorf("contact %v", contact)
 		}
 	}
-	return asked
+	return calls
 }
 
-// TestInAnOutageFewAskTheStore: those that others come before by rank ask seldom, and hear
-// from those at once.
-func TestInAnOutageFewAskTheStore(t *testing.T) {
+// TestBackupsPollRarelyInOutage, and regain contact at once through a balancer of lower rank.
+func TestBackupsPollRarelyInOutage(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Backup: true}
 	step(t, f, state, WatchStore, Outcome{Result: Failed})
-	if asked := countStoreCalls(t, f, state, 10*maxRetry); asked > 3 {
-		t.Errorf("the store is asked %d times in %v", asked, 10*maxRetry)
+	if calls := countStoreCalls(t, f, state, 10*maxRetry); calls > 3 {
+		t.Errorf("%d requests to the store in %v, want at most 3", calls, 10*maxRetry)
 	}
 	f = running()
 	step(t, f, state, WatchStore, Outcome{Result: Failed})
 	step(t, f, state, Pause, Outcome{})
 	state.Upstream = upstream
 	if contact := step(t, f, state, AskPeer, Outcome{}); contact != Regained {
-		t.Errorf("through another balancer: %v", contact)
+		t.Errorf("through another balancer: contact %v", contact)
 	}
 }
 
-// TestADeadConnectionIsFoundOutInTime: from any moment at which the store answers
-// again, changes are known well within the bounds, also when a call or a peer hangs.
-func TestADeadConnectionIsFoundOutInTime(t *testing.T) {
-	for _, spare := range []bool{false, true} {
+// TestHangingCallIsDetectedInTime: changes are known within the bounds even if a call to the store or to a
+// peer hangs.
+func TestHangingCallIsDetectedInTime(t *testing.T) {
+	for _, backup := range []bool{false, true} {
 		f := running()
-		state := State{Revision: 5, Backup: spare}
+		state := State{Revision: 5, Backup: backup}
 		watch := f.Next(state)
 		f.Done(state, watch, Outcome{Result: Failed})
 		if total := watch.Timeout + f.storeAfter - state.Now + PageTimeout/2; total > bound*3/4 {
-			t.Errorf("%v until changes are known, others come before: %v", total, spare)
+			t.Errorf("%v until changes are known, backup %v", total, backup)
 		}
 	}
 	for age := time.Duration(0); age <= MaxPeerAge(bound); age += MaxPeerAge(bound) / 16 {
-		ask := running().Next(State{Revision: 5, Upstream: upstream, UpstreamAge: age})
-		if total := age + ask.Timeout; total > bound/2 {
-			t.Errorf("what is believed is %v old when a peer that hangs is given up", total)
+		query := running().Next(State{Revision: 5, Upstream: upstream, UpstreamAge: age})
+		if total := age + query.Timeout; total > bound/2 {
+			t.Errorf("the state is %v old when a call to a peer that hangs times out", total)
 		}
 	}
 }
 
-// TestABalancerThatIsBehindAsksAnother instead of waiting for its own source.
-func TestABalancerThatIsBehindAsksAnother(t *testing.T) {
+// TestLaggingBalancerQueriesFreshest instead of waiting for its own upstream.
+func TestLaggingBalancerQueriesFreshest(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Freshest: freshest}
 	if contact := step(t, f, state, WatchStore, Outcome{Result: Overtaken}); contact != Unchanged {
@@ -228,12 +227,13 @@
 	}
 }
 
+// TestLagNeedsTime: a call is aborted only after others were ahead for some time without a break.
 func TestLagNeedsTime(t *testing.T) {
 	var lag Lag
 	for _, moment := range []struct {
-		at        time.Duration
-		own, told uint64
-		want      bool
+		at            time.Duration
+		own, reported uint64
+		want          bool
 	}{
 		{0, 5, 5, false},
 		{100 * time.Millisecond, 5, 6, false},
@@ -244,34 +244,34 @@
 		{800 * time.Millisecond, 8, 8, false},
 		{1500 * time.Millisecond, 8, 9, false},
 	} {
-		if got := lag.Note(moment.at, moment.own, moment.told); got != moment.want {
+		if got := lag.Note(moment.at, moment.own, moment.reported); got != moment.want {
 			t.Errorf("at %v: %v", moment.at, got)
 		}
 	}
 }
 
-// TestABalancerThatIsBehindLetsCallsEnd: hellos of others that know more come many
-// times a second, and the transfer that would bring it needs time.
-func TestABalancerThatIsBehindLetsCallsEnd(t *testing.T) {
+// TestLaggingBalancerAllowsTransfers: others that are ahead report it many times a second, and a long
+// transfer of the update must not be aborted each time.
+func TestLaggingBalancerAllowsTransfers(t *testing.T) {
 	var lag Lag
-	ended := 0
+	aborted := 0
 	longest, last := time.Duration(0), time.Duration(0)
 	for now := time.Duration(0); now < 7*time.Second; now += 20 * time.Millisecond {
 		if lag.Note(now, 5, 9) {
-			ended++
+			aborted++
 			longest, last = max(longest, now-last), now
 		}
 	}
-	if ended > 4 || longest < 2*time.Second {
-		t.Errorf("%d calls were ended in 7 s, the longest had %v", ended, longest)
+	if aborted > 4 || longest < 2*time.Second {
+		t.Errorf("%d calls were aborted in 7 s, the longest after %v", aborted, longest)
 	}
 	if lag.Note(7*time.Second, 9, 10) || !lag.Note(7*time.Second+initialLagTimeout, 9, 10) {
-		t.Error("after progress the patience is short again")
+		t.Error("the timeout is not reset after progress")
 	}
 }
 
-// TestContactIsRegainedThroughAPeerToo: one whose beliefs the store has confirmed lately.
-func TestContactIsRegainedThroughAPeerToo(t *testing.T) {
+// TestContactIsRegainedThroughFreshPeer, but not through one with a stale state.
+func TestContactIsRegainedThroughFreshPeer(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{Result: Failed})
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestANarrowLinkLeavesTheStoreToOthersFirst, once, and only while nothing is known.
-func TestANarrowLinkLeavesTheStoreToOthersFirst(t *testing.T) {
+// TestNarrowLinkDelaysFirstListing once, and only without state.
+func TestNarrowLinkDelaysFirstListing(t *testing.T) {
 	for _, test := range []struct {
 		linkMbps   float64
 		firstStart bool
@@ -299,16 +299,16 @@
 	f := New(bound, narrowLinkDelay)
 	step(t, f, State{}, Pause, Outcome{})
 	step(t, f, State{}, ListStore, Outcome{})
-	told := New(bound, narrowLinkDelay)
-	if call := told.Next(State{Revision: 7}); call.Kind != Pause || call.Wait != bound/batchDivisor {
-		t.Errorf("one that others told: %+v", call)
+	synced := New(bound, narrowLinkDelay)
+	if call := synced.Next(State{Revision: 7}); call.Kind != Pause || call.Wait != bound/batchDivisor {
+		t.Errorf("with state received from a peer: %+v", call)
 	}
-	step(t, told, State{Revision: 7}, WatchStore, Outcome{})
+	step(t, synced, State{Revision: 7}, WatchStore, Outcome{})
 }
 
-// TestOneThatOthersToldLooksForASourceFirst: when a fleet starts, most have learned from others
-// before they know whom to follow.
-func TestOneThatOthersToldLooksForASourceFirst(t *testing.T) {
+// TestDiscoversUpstreamBeforePolling: when a fleet starts, most balancers receive the state from a peer before
+// they know whom to follow, and must not poll the store at once.
+func TestDiscoversUpstreamBeforePolling(t *testing.T) {
 	f := New(bound, 0)
 	step(t, f, State{Revision: 7}, Pause, Outcome{})
 	step(t, f, State{Revision: 7, Upstream: upstream}, AskPeer, Outcome{})
@@ -317,14 +317,13 @@
 	step(t, followed, State{Revision: 7}, WatchStore, Outcome{})
 }
 
-// outage is a state in which the source's word is old, at a balancer that index others of its zone
-// come before.
-func outageState(index, failing int) State {
-	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: index, FailingPeers: failing}
+// outageState is the state of a balancer whose upstream is stale.
+func outageState(zoneRank, failingPeers int) State {
+	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: zoneRank, FailingPeers: failingPeers}
 }
 
-// asksAfter returns how long after its source's word is old a balancer asks the store, a minute
-// if it does not.
+// storeTakeoverAfter returns how long after its upstream is stale a balancer polls the store, a minute if it
+// does not.
 func storeTakeoverAfter(f *Follower, state State) time.Duration {
 	for begin := state.Now; state.Now < begin+time.Minute; {
 		call := f.Next(state)
@@ -337,33 +336,33 @@
 	return time.Minute
 }
 
-// TestTheFirstByRankAskInPlaceOfOthers, one after the other, and all within the bounds of drain
-// and configuration unless several say that the store does not answer them either.
-func TestTheFirstByRankAskInPlaceOfOthers(t *testing.T) {
+// TestTakeoverByRank: primaries poll the store one after the other, and backups within the bounds of drain and
+// configuration, unless several peers report that the store does not respond.
+func TestTakeoverByRank(t *testing.T) {
 	last := time.Duration(-1)
-	for index := range primaryPollers {
-		after := storeTakeoverAfter(running(), outageState(index, minFailingPeers))
+	for rank := range primaryPollers {
+		after := storeTakeoverAfter(running(), outageState(rank, minFailingPeers))
 		if after <= last || after > primaryPollers*takeoverStep*3/2 {
-			t.Errorf("the one at %d asks after %v, the one before after %v", index, after, last)
+			t.Errorf("rank %d polls after %v, the one before after %v", rank, after, last)
 		}
 		last = after
 	}
-	rest := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers-1))
-	if rest <= last || MaxPeerAge(bound)+peerSlack+rest > bound*3/4 {
-		t.Errorf("another one asks after %v, the first ones up to %v", rest, last)
+	backup := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers-1))
+	if backup <= last || MaxPeerAge(bound)+peerSlack+backup > bound*3/4 {
+		t.Errorf("a backup polls after %v, the last primary after %v", backup, last)
 	}
-	if rest := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers)); rest < outageRetry || rest > 2*outageRetry {
-		t.Errorf("in an outage another one asks after %v", rest)
+	if backup := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers)); backup < outageRetry || backup > 2*outageRetry {
+		t.Errorf("in an outage a backup polls after %v", backup)
 	}
 	f := running()
 	f.disconnected = true
-	if asked := countStoreCalls(t, f, outageState(primaryPollers, minFailingPeers), 3*outageRetry); asked > 3 {
-		t.Errorf("and %d times in %v", asked, 3*outageRetry)
+	if calls := countStoreCalls(t, f, outageState(primaryPollers, minFailingPeers), 3*outageRetry); calls > 3 {
+		t.Errorf("in an outage a backup polls %d times in %v", calls, 3*outageRetry)
 	}
 }
 
-// TestOneThatOthersLeanOnGoesOn: it asks without a pause while it is answered.
-func TestOneThatOthersLeanOnGoesOn(t *testing.T) {
+// TestPollerContinues without a pause while the store responds to it.
+func TestPollerContinues(t *testing.T) {
 	f := running()
 	state := outageState(5, 0)
 	step(t, f, state, Pause, Outcome{})
@@ -376,8 +375,8 @@
 	step(t, f, state, AskPeer, Outcome{})
 }
 
-// TestWhoKnowsMoreIsAskedMeanwhile: while the store is left to others, and also long after.
-func TestWhoKnowsMoreIsAskedMeanwhile(t *testing.T) {
+// TestFreshestIsQueriedMeanwhile: while the store is left to others, also after a long time.
+func TestFreshestIsQueriedMeanwhile(t *testing.T) {
 	f := running()
 	state := outageState(primaryPollers, minFailingPeers)
 	for range 10 {
@@ -390,8 +389,8 @@
 	}
 }
 
-// TestALongListingIsLeftToOthersOnce by a balancer behind a narrow link that knows nothing yet.
-func TestALongListingIsLeftToOthersOnce(t *testing.T) {
+// TestLongListingIsDelayedOnce by a balancer behind a narrow link that has no state.
+func TestLongListingIsDelayedOnce(t *testing.T) {
 	f := New(bound, narrowLinkDelay)
 	step(t, f, State{}, Pause, Outcome{})
 	call := f.Next(State{})
@@ -400,7 +399,7 @@
 	}
 	f.Done(State{}, call, Outcome{Result: TooLong})
 	if call = f.Next(State{}); call.Kind != Pause || call.Wait != longListingDelay {
-		t.Errorf("after a long one: %+v", call)
+		t.Errorf("after a listing that was too long: %+v", call)
 	}
 	if call = f.Next(State{}); call.Kind != ListStore || call.Transfer != 0 {
 		t.Errorf("the second listing: %+v", call)
@@ -409,12 +408,12 @@
 		wide := New(bound, pause)
 		wide.Next(State{})
 		if call := wide.Next(State{}); call.Transfer != 0 {
-			t.Errorf("a balancer that waits for %v: %+v", pause, call)
+			t.Errorf("start pause %v: %+v", pause, call)
 		}
 	}
 }
 
-// listsAfter returns how long after its start a balancer that nobody tells anything lists the store.
+// listsAfter returns how long after its start a balancer lists the store if it receives no state.
 func listsAfter(f *Follower, state State) time.Duration {
 	for state.Now < time.Minute {
 		call := f.Next(state)
@@ -426,27 +425,28 @@
 	return time.Minute
 }
 
-// TestAStartLeavesTheStoreToTheAble, and to the first by rank where all are alike, for a bounded time.
-func TestAStartLeavesTheStoreToTheAble(t *testing.T) {
+// TestStartDefersToPeers: a starting balancer leaves the store to more capable peers, and in a large zone to
+// those of lower rank, for a bounded time.
+func TestStartDefersToPeers(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		state      State
 		startPause time.Duration
 		from, to   time.Duration
 	}{
-		{"an able one", State{}, 0, 0, 0},
-		{"the first of a large zone", State{ZoneSize: minLargeZone}, 0, 0, 0},
-		{"another one of a small zone", State{Backup: true, ZoneSize: minLargeZone - 1}, 0, 0, 0},
-		{"another one of a large zone", State{Backup: true, ZoneSize: minLargeZone}, 0, maxDeferral, maxDeferral + startPollInterval},
-		{"one that knows an able one", State{Backup: true, MoreCapable: true}, narrowLinkDelay, maxDeferral, maxDeferral + startPollInterval},
-		{"one behind a narrow link that knows nobody", State{Alone: true}, narrowLinkDelay, peerDiscoveryTime, peerDiscoveryTime + startPollInterval},
-		{"one behind a wide link that knows nobody", State{Alone: true}, 0, 0, 0},
+		{"lowest rank", State{}, 0, 0, 0},
+		{"lowest rank of a large zone", State{ZoneSize: minLargeZone}, 0, 0, 0},
+		{"backup of a small zone", State{Backup: true, ZoneSize: minLargeZone - 1}, 0, 0, 0},
+		{"backup of a large zone", State{Backup: true, ZoneSize: minLargeZone}, 0, maxDeferral, maxDeferral + startPollInterval},
+		{"with a more capable peer", State{Backup: true, MoreCapable: true}, narrowLinkDelay, maxDeferral, maxDeferral + startPollInterval},
+		{"narrow link, no peers", State{Alone: true}, narrowLinkDelay, peerDiscoveryTime, peerDiscoveryTime + startPollInterval},
+		{"wide link, no peers", State{Alone: true}, 0, 0, 0},
 	} {
 		if after := listsAfter(New(bound, test.startPause), test.state); after < test.from || after > test.to {
-			t.Errorf("%s lists after %v, want %v to %v", test.name, after, test.from, test.to)
+			t.Errorf("%s: lists after %v, want %v to %v", test.name, after, test.from, test.to)
 		}
 	}
 	if restart := New(bound, 0).Next(State{Revision: 5, MoreCapable: true, Upstream: upstream}); restart.Kind != AskPeer {
-		t.Errorf("one that was told: %+v", restart)
+		t.Errorf("with state received from a peer: %+v", restart)
 	}
 }
--- a/internal/follow/listing_test.go
+++ b/internal/follow/listing_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-func TestAFirstListingWaitsForOthersOnceAndIsLeftWhenTheyTell(t *testing.T) {
+// TestFirstListingWaitsForPeers once, and is abandoned when a peer has sent the state.
+func TestFirstListingWaitsForPeers(t *testing.T) {
 	l := NewListing(time.Second, 0)
 	if step := l.Next(time.Second, 0, true, 0); step != WaitForOthers {
-		t.Errorf("beside a balancer of lower rank: %v", step)
+		t.Errorf("with a balancer of lower rank: %v", step)
 	}
 	if step := l.Next(time.Second+ListPoll, 7, true, 0); step != LeaveListing {
-		t.Errorf("when that one has told: %v", step)
+		t.Errorf("after that balancer has sent the state: %v", step)
 	}
 	l = NewListing(time.Second, 0)
 	if step := l.Next(time.Second, 0, false, 0); step != ReadOn {
-		t.Errorf("beside nobody: %v", step)
+		t.Errorf("without another balancer: %v", step)
 	}
 	if step := l.Next(time.Second+ListPoll, 0, true, 0); step != ReadOn {
 		t.Errorf("after the first page: %v", step)
 	}
 	l = NewListing(time.Second, 0)
 	if step := l.Next(time.Second+primaryListWait, 0, true, 0); step != ReadOn {
-		t.Errorf("when its patience is over: %v", step)
+		t.Errorf("after the wait: %v", step)
 	}
 }
 
-// TestAListingAnewIsLeftOnlyForWhatCameSince it began: it was begun because what was known
-// before cannot be continued.
-func TestAListingAnewIsLeftOnlyForWhatCameSince(t *testing.T) {
+// TestRepeatedListingIsAbandonedForNewerRevision: a listing after lost history is not abandoned for
+// the revision that was known when it began.
+func TestRepeatedListingIsAbandonedForNewerRevision(t *testing.T) {
 	l := NewListing(time.Second, 49)
 	for page := range 5 {
 		if step := l.Next(time.Second+time.Duration(page)*ListPoll, 49, true, 0); step != ReadOn {
@@ -36,45 +37,45 @@
 		}
 	}
 	if step := l.Next(2*time.Second, 50, true, 0); step != LeaveListing {
-		t.Errorf("when others told more: %v", step)
+		t.Errorf("after a newer revision was received: %v", step)
 	}
 }
 
-// TestAPageIsAskedForAgain a few times in a row, unless it is the first.
-func TestAPageIsAskedForAgain(t *testing.T) {
+// TestPageIsRetried a few times in a row, unless it is the first or the store did not respond.
+func TestPageIsRetried(t *testing.T) {
 	l := NewListing(time.Second, 0)
-	if _, again := l.Failed(time.Millisecond); again {
-		t.Error("a first page is asked for again")
+	if _, retry := l.Failed(time.Millisecond); retry {
+		t.Error("a first page is retried")
 	}
 	for range 3 {
 		l.Next(time.Second, 0, false, 0)
 		var waited []time.Duration
-		for wait, again := l.Failed(time.Millisecond); again; wait, again = l.Failed(time.Millisecond) {
+		for wait, retry := l.Failed(time.Millisecond); retry; wait, retry = l.Failed(time.Millisecond) {
 			waited = append(waited, wait)
 		}
 		if len(waited) != pageRetries || waited[0] != minRetry || waited[pageRetries-1] != maxRetry {
-			t.Errorf("a page is asked for again after %v", waited)
+			t.Errorf("a page is retried after %v", waited)
 		}
 	}
 	l.Next(time.Second, 0, false, 0)
-	if _, again := l.Failed(PageTimeout); again {
-		t.Error("a silent store is asked again")
+	if _, retry := l.Failed(PageTimeout); retry {
+		t.Error("a page is retried after a timeout")
 	}
 }
 
-// TestAllButTheFirstByRankWaitLonger for a large listing: those few share the store's link while they read on.
-func TestAllButTheFirstByRankWaitLonger(t *testing.T) {
+// TestBackupsWaitLonger for a large listing than the primary pollers, which share the store's link.
+func TestBackupsWaitLonger(t *testing.T) {
 	for _, test := range []struct {
-		index int
-		after time.Duration
-		want  ListingStep
+		zoneRank int
+		after    time.Duration
+		want     ListingStep
 	}{
 		{primaryPollers - 1, primaryListWait, ReadOn},
 		{primaryPollers, primaryListWait, WaitForOthers},
 		{primaryPollers, backupListWait, ReadOn},
 	} {
 		l := NewListing(time.Second, 0)
-		if step := l.Next(time.Second+test.after, 0, true, test.index); step != test.want {
+		if step := l.Next(time.Second+test.after, 0, true, test.zoneRank); step != test.want {
 			t.Errorf("%+v: step %v", test, step)
 		}
 	}
