--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -13,7 +13,7 @@
 	"gaugeyard/internal/settings"
 )
 
-const keep = 10 * time.Second
+const testRetention = 10 * time.Second
 
 func backend(id settings.BackendID, draining bool) Backend {
 	return Backend{
@@ -56,10 +56,10 @@
 	}
 }
 
-// TestAnOlderRevisionIsNeverApplied: what another balancer or a late answer tells
-// may be older than what is believed.
-func TestAnOlderRevisionIsNeverApplied(t *testing.T) {
-	d := New(keep)
+// TestOlderRevisionIsIgnored: another balancer or a late response may send a state that is
+// older than the known one.
+func TestOlderRevisionIsIgnored(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 20, Settings: version(t, 5, 18, "192.0.2.1:80"), Records: []Record{record(1, 10), record(2, 19)}})
 	t.Run("listing", func(t *testing.T) {
 		d.Replace(0, &Listing{Revision: 12, Settings: version(t, 4, 9, "192.0.2.9:80"), Records: []Record{record(1, 10), record(3, 11)}})
@@ -73,14 +73,14 @@
 		t.Errorf("version %d, revision %d", d.SettingsVersion(), d.Revision())
 	}
 	if d.View().Settings.ServiceAt(netip.MustParseAddrPort("192.0.2.1:80")) == nil {
-		t.Error("the newer settings are not in force any more")
+		t.Error("the newer settings are no longer in force")
 	}
 }
 
-// TestAnEntryThatVanishedBetweenTwoListingsIsGone: when the store has lost its
-// history, the changes in the gap are known from the difference alone.
-func TestAnEntryThatVanishedBetweenTwoListingsIsGone(t *testing.T) {
-	d := New(keep)
+// TestListingRemovesMissingEntries: when the store has lost its history, removals are
+// known only from the difference of two listings.
+func TestListingRemovesMissingEntries(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), record(2, 4)}})
 	events := d.Replace(time.Second, &Listing{Revision: 9, Records: []Record{record(2, 4)}})
 	wantOpen(t, d, 2)
@@ -89,18 +89,18 @@
 	}
 }
 
-// TestPagesAreNoSnapshot: an entry may be newer than the listing's revision, and
-// the changes after it repeat what the pages showed or missed.
-func TestPagesAreNoSnapshot(t *testing.T) {
-	d := New(keep)
+// TestListingEntryNewerThanRevision: the pages of a listing are not a snapshot, and the
+// changes after its revision repeat what they have or miss.
+func TestListingEntryNewerThanRevision(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 10, Records: []Record{record(1, 12)}})
 	d.Apply(0, &Changes{Revision: 13, Records: []Record{record(1, 11), record(1, 12), record(3, 13)}, Gone: []Gone{{ID: 1, Revision: 11}}})
 	wantOpen(t, d, 1, 3)
 }
 
-// TestDepartedBackEndsKeepTheirTag for as long as a flow may live.
-func TestDepartedBackEndsKeepTheirTag(t *testing.T) {
-	d := New(keep)
+// TestRemovedBackendKeepsTag: its tag is known for as long as a flow may live.
+func TestRemovedBackendKeepsTag(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3)}})
 	d.Apply(time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
 	wantOpen(t, d)
@@ -108,20 +108,20 @@
 	if len(members) != 1 || !members[0].Gone || members[0].GoneAt != time.Second {
 		t.Fatalf("tagged %+v", members)
 	}
-	if d.Forget(keep) || len(d.View().Tagged(TagOf(1))) != 1 {
-		t.Error("forgotten too early")
+	if d.Forget(testRetention) || len(d.View().Tagged(TagOf(1))) != 1 {
+		t.Error("forgotten before the retention ended")
 	}
-	if !d.Forget(2*keep) || len(d.View().Tagged(TagOf(1))) != 0 {
+	if !d.Forget(2*testRetention) || len(d.View().Tagged(TagOf(1))) != 0 {
 		t.Error("never forgotten")
 	}
 }
 
-func TestDrainingBackEndsTakeNoNewFlow(t *testing.T) {
-	d := New(keep)
+func TestDrainingBackendTakesNoNewFlows(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), {Backend: backend(2, true), Revision: 4}}})
 	wantOpen(t, d, 1)
 	if len(d.View().Tagged(TagOf(2))) != 1 {
-		t.Error("a draining back end must keep its flows")
+		t.Error("a draining back end is not found by its tag")
 	}
 	events := d.Apply(0, &Changes{Revision: 6, Records: []Record{{Backend: backend(1, true), Revision: 6}}})
 	wantOpen(t, d)
@@ -130,9 +130,8 @@
 	}
 }
 
-// TestFaultySettingsLeaveTheLastGoodOnesInForce.
-func TestFaultySettingsLeaveTheLastGoodOnesInForce(t *testing.T) {
-	d := New(keep)
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Settings: version(t, 1, 4, "192.0.2.1:80")})
 	broken := version(t, 2, 6, "192.0.2.2:80")
 	broken.Tree["lost/child"] = settings.Values{}
@@ -141,14 +140,14 @@
 		t.Fatalf("events %+v", events)
 	}
 	if d.SettingsVersion() != 1 || d.View().Settings.ServiceAt(netip.MustParseAddrPort("192.0.2.1:80")) == nil {
-		t.Error("the last good settings are not in force")
+		t.Error("the last valid settings are not in force")
 	}
 }
 
-// TestSinceLeadsAnotherDirectoryToTheSameView, and refuses when departures since
-// then are forgotten.
-func TestSinceLeadsAnotherDirectoryToTheSameView(t *testing.T) {
-	first, second := New(keep), New(keep)
+// TestChangesSince: the changes lead another directory to the same view, and are not known
+// once removals among them are forgotten.
+func TestChangesSince(t *testing.T) {
+	first, second := New(testRetention), New(testRetention)
 	listing := &Listing{Revision: 5, Settings: version(t, 1, 2, "192.0.2.1:80"), Records: []Record{record(1, 3), record(2, 4)}}
 	first.Replace(0, listing)
 	second.Replace(0, first.Listing())
@@ -162,28 +161,28 @@
 	if second.Revision() != 9 || second.SettingsVersion() != 3 || len(second.View().Tagged(TagOf(1))) != 1 {
 		t.Errorf("revision %d, version %d", second.Revision(), second.SettingsVersion())
 	}
-	first.Forget(3 * keep)
+	first.Forget(3 * testRetention)
 	if _, known := first.Since(5, 2); known {
-		t.Error("a forgotten departure is not mentioned")
+		t.Error("changes are known though a removal among them is forgotten")
 	}
 	if _, known := first.Since(9, 7); !known {
-		t.Error("nothing has been forgotten since revision 9")
+		t.Error("changes since revision 9 are not known, though nothing was forgotten since")
 	}
 }
 
-// TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd.
-func TestALateDepartureFromAnotherBalancerDoesNotHideALiveBackEnd(t *testing.T) {
-	d := New(keep)
+// TestOldListingDoesNotRemoveLiveBackend: an old listing of another balancer may have a live back end as removed.
+func TestOldListingDoesNotRemoveLiveBackend(t *testing.T) {
+	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 8, Records: []Record{record(1, 8)}})
-	d.Replace(0, &Listing{Revision: 4, Departed: []Record{record(1, 3), record(2, 2)}})
+	d.Replace(0, &Listing{Revision: 4, Removed: []Record{record(1, 3), record(2, 2)}})
 	wantOpen(t, d, 1)
 	if members := d.View().Tagged(TagOf(2)); len(members) != 1 || !members[0].Gone {
-		t.Error("a back end that left before this balancer started is not known")
+		t.Error("a back end removed before this balancer started is not known")
 	}
 }
 
-// many returns settings of the given number of services.
-func many(t testing.TB, number, revision uint64, services int) *Settings {
+// manyServices returns settings with the given number of services.
+func manyServices(t testing.TB, number, revision uint64, services int) *Settings {
 	t.Helper()
 	tree := settings.Tree{"": settings.Values{}}
 	for i := range services {
@@ -195,16 +194,16 @@
 	return &Settings{Version: number, Revision: revision, Tree: tree}
 }
 
-// TestAnotherBalancerIsToldWhatDiffers: of a large configuration only what an edit
-// changed goes to those who have what was before, over several edits too.
-func TestAnotherBalancerIsToldWhatDiffers(t *testing.T) {
-	first, second, third := New(keep), New(keep), New(keep)
-	first.Replace(0, &Listing{Revision: 5, Settings: many(t, 1, 2, 500)})
+// TestSettingsAreSentAsStep: a balancer with earlier settings gets only the difference,
+// also over several edits.
+func TestSettingsAreSentAsStep(t *testing.T) {
+	first, second, third := New(testRetention), New(testRetention), New(testRetention)
+	first.Replace(0, &Listing{Revision: 5, Settings: manyServices(t, 1, 2, 500)})
 	for _, d := range []*Directory{second, third} {
 		d.Replace(0, first.Listing())
 	}
-	first.Apply(0, &Changes{Revision: 6, Settings: many(t, 2, 6, 501)})
-	first.Apply(0, &Changes{Revision: 7, Settings: many(t, 3, 7, 502)})
+	first.Apply(0, &Changes{Revision: 6, Settings: manyServices(t, 2, 6, 501)})
+	first.Apply(0, &Changes{Revision: 7, Settings: manyServices(t, 3, 7, 502)})
 	changes, known := first.Since(5, 2)
 	if !known || changes.Settings != nil || changes.Step == nil || len(changes.Step.Changes) != 2 {
 		t.Fatalf("known %v, whole settings %v, step %+v", known, changes.Settings != nil, changes.Step)
@@ -217,7 +216,7 @@
 		t.Error("the newest service is not in force")
 	}
 	t.Run("with another base", func(t *testing.T) {
-		third.Apply(0, &Changes{Revision: 6, Settings: many(t, 2, 6, 501)})
+		third.Apply(0, &Changes{Revision: 6, Settings: manyServices(t, 2, 6, 501)})
 		if events := third.Apply(0, changes); len(events) != 0 || third.Revision() != 6 || third.SettingsVersion() != 2 {
 			t.Errorf("events %+v, revision %d, version %d", events, third.Revision(), third.SettingsVersion())
 		}
@@ -229,11 +228,11 @@
 	})
 }
 
-// TestAViewOfChangesIsTheViewOfAll: a view that was built from the one before is the one
-// that would be built anew, and the one before stays as it was.
-func TestAViewOfChangesIsTheViewOfAll(t *testing.T) {
+// TestIncrementalViewEqualsFullView: a view built from the previous one equals one built from
+// scratch, and the previous one does not change.
+func TestIncrementalViewEqualsFullView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := New(keep)
+		d := New(testRetention)
 		now := time.Duration(0)
 		for revision := uint64(1); revision < 40; revision++ {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
@@ -246,30 +245,30 @@
 			case 2:
 				d.Apply(now, &Changes{Revision: revision, Gone: []Gone{{ID: id, Revision: revision}}})
 			case 3:
-				d.Replace(now, &Listing{Revision: revision, Records: []Record{record}, Departed: []Record{{Backend: backend(id+1, false), Revision: 1}}})
+				d.Replace(now, &Listing{Revision: revision, Records: []Record{record}, Removed: []Record{{Backend: backend(id+1, false), Revision: 1}}})
 			case 4:
 				d.Forget(now)
 			}
 			before, kept := d.view, fmt.Sprint(describe(d.view))
 			got := describe(d.View())
-			whole := &Directory{live: d.live, gone: d.gone, view: &View{}, changed: map[settings.BackendID]bool{}}
+			whole := &Directory{live: d.live, removed: d.removed, view: &View{}, changed: map[settings.BackendID]bool{}}
 			for id := range d.live {
 				whole.changed[id] = true
 			}
-			for id := range d.gone {
+			for id := range d.removed {
 				whole.changed[id] = true
 			}
 			if want := describe(whole.View()); !reflect.DeepEqual(got, want) {
 				t.Fatalf("revision %d:\n%v\nwant\n%v", revision, got, want)
 			}
 			if now := fmt.Sprint(describe(before)); now != kept {
-				t.Fatalf("the view before has changed:\n%s\nwas\n%s", now, kept)
+				t.Fatalf("the previous view has changed to\n%s\nfrom\n%s", now, kept)
 			}
 		}
 	})
 }
 
-// describe lists what a view says of each back end and pool.
+// describe returns the members and pools of a view as lines.
 func describe(v *View) []string {
 	var lines []string
 	for _, part := range v.tags {
--- a/internal/directory/view_bench_test.go
+++ b/internal/directory/view_bench_test.go
@@ -9,19 +9,19 @@
 	"gaugeyard/internal/settings"
 )
 
-// BenchmarkView builds the view that packets are steered by, after one change.
+// BenchmarkView builds a view after one change.
 func BenchmarkView(b *testing.B) {
 	for _, backends := range []int{300, 3000, 130000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			d := New(keep)
+			d := New(testRetention)
 			for i := range backends {
 				address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
 				d.live[settings.BackendID(i+1)] = entry{member: &Member{Backend: Backend{
 					ID: settings.BackendID(i + 1), Group: fmt.Sprintf("g%d", i/100), Zone: "a", Address: address, Slots: 2,
-				}, Tag: TagOf(settings.BackendID(i + 1)), Announced: 1}}
+				}, Tag: TagOf(settings.BackendID(i + 1)), AnnouncedRevision: 1}}
 				d.changed[settings.BackendID(i+1)] = true
 			}
 			view := d.View()
@@ -38,17 +38,17 @@
 	}
 }
 
-// BenchmarkEvacuate evacuates and takes back one of 30 zones, with a view after each.
+// BenchmarkEvacuate starts and ends the evacuation of one of 30 zones, and builds a view after each.
 func BenchmarkEvacuate(b *testing.B) {
 	const zones = 30
 	for _, backends := range []int{300, 3000, 130000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
-			d := New(keep)
+			d := New(testRetention)
 			for i := range backends {
 				address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)
 				d.live[settings.BackendID(i+1)] = entry{member: &Member{Backend: Backend{
 					ID: settings.BackendID(i + 1), Group: fmt.Sprintf("g%d", i/100), Zone: fmt.Sprintf("z%d", i%zones), Address: address, Slots: 2,
-				}, Tag: TagOf(settings.BackendID(i + 1)), Announced: 1}}
+				}, Tag: TagOf(settings.BackendID(i + 1)), AnnouncedRevision: 1}}
 				d.changed[settings.BackendID(i+1)] = true
 			}
 			d.View()
