--- a/internal/edge/answers.go
+++ b/internal/edge/answers.go
@@ -21,11 +21,11 @@
 	encodingGzip = "gzip"
 	// compressFrom is the length from which answers are compressed, in bytes: links of
 	// balancers are narrow, and many followers ask for the same at once.
-	compressFrom = 2048
+	minCompressBytes = 2048
 	// usualRatio is how much longer an answer is than its compressed form, roughly.
-	usualRatio = 12
+	compressionRatio = 12
 	// maxAnswers is how many encoded answers are kept for one generation.
-	maxAnswers = 8
+	maxCachedAnswers = 8
 )
 
 // encodedAnswer is an answer as it is sent.
@@ -36,41 +36,41 @@
 
 // answers keeps what was encoded for followers that ask the same, since after a change
 // all of them do. The zero value is ready.
-type answers struct {
+type answerCache struct {
 	// mutex is taken before that of beliefs, and never while that is held: an answer is built under it.
 	mutex      sync.Mutex
 	generation uint64
-	encoded    map[question]encodedAnswer
+	entries    map[peerRequest]encodedAnswer
 }
 
 // put keeps an answer that another balancer gave to a question, for those who ask the same here.
-func (a *answers) put(generation uint64, q question, encoded encodedAnswer) {
+func (a *answerCache) put(generation uint64, request peerRequest, encoded encodedAnswer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.encodedAt(generation)[q] = encoded
+	a.entriesFor(generation)[request] = encoded
 }
 
 // encodedAt returns the answers of a generation, of which there is room for one more. The lock
 // is held.
-func (a *answers) encodedAt(generation uint64) map[question]encodedAnswer {
-	if a.encoded == nil || a.generation != generation || len(a.encoded) >= maxAnswers {
-		a.generation, a.encoded = generation, map[question]encodedAnswer{}
+func (a *answerCache) entriesFor(generation uint64) map[peerRequest]encodedAnswer {
+	if a.entries == nil || a.generation != generation || len(a.entries) >= maxCachedAnswers {
+		a.generation, a.entries = generation, map[peerRequest]encodedAnswer{}
 	}
-	return a.encoded
+	return a.entries
 }
 
 // get returns the encoded answer to a question, built anew unless one of the same
 // generation of beliefs is kept.
-func (a *answers) get(generation uint64, q question, build func() *peerAnswer) (encodedAnswer, error) {
+func (a *answerCache) get(generation uint64, request peerRequest, build func() *peerAnswer) (encodedAnswer, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	kept := a.encodedAt(generation)
-	if known, found := kept[q]; found {
-		return known, nil
+	entries := a.entriesFor(generation)
+	if cached, found := entries[request]; found {
+		return cached, nil
 	}
 	encoded, err := encodeAnswer(build())
 	if err == nil {
-		kept[q] = encoded
+		entries[request] = encoded
 	}
 	return encoded, err
 }
@@ -80,7 +80,7 @@
 	if err := msgpack.NewEncoder(&plain).Encode(answer); err != nil {
 		return encodedAnswer{}, err
 	}
-	if plain.Len() < compressFrom {
+	if plain.Len() < minCompressBytes {
 		return encodedAnswer{bytes: plain.Bytes()}, nil
 	}
 	var packed bytes.Buffer
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	var plain bytes.Buffer
-	plain.Grow(min(usualRatio*len(packed), maxPeerAnswer))
+	plain.Grow(min(compressionRatio*len(packed), maxPeerAnswer))
 	_, err = plain.ReadFrom(io.LimitReader(reader, maxPeerAnswer))
 	return plain.Bytes(), err
 }
--- a/internal/edge/answers_test.go
+++ b/internal/edge/answers_test.go
@@ -15,7 +15,7 @@
 )
 
 // telling starts a node that knows 40 routes at revision 1, and returns where it is asked.
-func telling(t *testing.T) (*Node, netip.AddrPort) {
+func startPeer(t *testing.T) (*Node, netip.AddrPort) {
 	t.Helper()
 	n := newTestNode(t, &fakeSource{})
 	n.replace(&directory.Listing{Revision: 1, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: routeTree(40)}}, "store", 0)
@@ -24,9 +24,9 @@
 	return n, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-func ask(t *testing.T, n *Node, peer netip.AddrPort) {
+func requestChanges(t *testing.T, n *Node, peer netip.AddrPort) {
 	t.Helper()
-	if _, err := n.askPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer, Wait: time.Second}); err != nil {
+	if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer, Wait: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -34,26 +34,26 @@
 // TestAnAnswerIsPassedOnAsItCame to those who ask the same, and one who asks from other settings
 // is told by what is believed here.
 func TestAnAnswerIsPassedOnAsItCame(t *testing.T) {
-	first, atFirst := telling(t)
-	second, atSecond := telling(t)
-	third, _ := telling(t)
+	first, atFirst := startPeer(t)
+	second, atSecond := startPeer(t)
+	third, _ := startPeer(t)
 	first.apply(&directory.Changes{Revision: 2, Settings: &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(300)}}, "store", 0)
-	asked := question{after: 1, base: 1}
-	ask(t, second, atFirst)
-	kept, passedOn := second.answers.encoded[asked]
-	if sent := first.answers.encoded[asked]; !passedOn || !bytes.Equal(kept.bytes, sent.bytes) || !kept.compressed {
+	asked := peerRequest{after: 1, base: 1}
+	requestChanges(t, second, atFirst)
+	kept, passedOn := second.answerCache.entries[asked]
+	if sent := first.answerCache.entries[asked]; !passedOn || !bytes.Equal(kept.bytes, sent.bytes) || !kept.compressed {
 		t.Errorf("an answer of %d bytes is passed on as %d", len(sent.bytes), len(kept.bytes))
 	}
-	ask(t, third, atSecond)
+	requestChanges(t, third, atSecond)
 	if got := len(third.directory.View().Settings.Services); got != 300 || third.revision() != 2 || third.directory.SettingsVersion() != 2 {
 		t.Errorf("%d routes at revision %d", got, third.revision())
 	}
 	second.apply(&directory.Changes{Revision: 3, Settings: &directory.Settings{Version: 3, Revision: 3, Tree: routeTree(299)}}, "store", 0)
-	ask(t, third, atSecond)
+	requestChanges(t, third, atSecond)
 	if got := len(third.directory.View().Settings.Services); got != 299 || third.revision() != 3 {
 		t.Errorf("%d routes at revision %d after the next change", got, third.revision())
 	}
-	answer, err := (&peerSource{third, atSecond}).changes(context.Background(), question{after: 1}, 0, time.Second)
+	answer, err := (&peerSource{third, atSecond}).changes(context.Background(), peerRequest{after: 1}, 0, time.Second)
 	if err != nil || answer.Changes.Step != nil || answer.Changes.Settings == nil || len(answer.Changes.Settings.Tree) != len(routeTree(299)) {
 		t.Errorf("one whose settings are not known is told %+v, %v", answer, err)
 	}
@@ -61,12 +61,12 @@
 
 // TestAnAnswerThatIsCutChangesNothing, wherever it ends.
 func TestAnAnswerThatIsCutChangesNothing(t *testing.T) {
-	_, changes := growth(t, 300)
+	_, changes := settingsGrowth(t, 300)
 	encoded, err := encodeAnswer(&peerAnswer{Changes: changes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, _ := telling(t)
+	n, _ := startPeer(t)
 	for _, length := range []int{0, 1, len(encoded.bytes) / 2, len(encoded.bytes) - 9} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerAge, "0")
@@ -74,11 +74,11 @@
 			_, _ = w.Write(encoded.bytes[:length])
 		}))
 		peer := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-		if _, err := n.askPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer}); err == nil {
+		if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer}); err == nil {
 			t.Errorf("%d of %d bytes are taken", length, len(encoded.bytes))
 		}
 		server.Close()
-		if len(n.directory.View().Settings.Services) != 40 || n.revision() != 1 || len(n.answers.encoded) > 0 {
+		if len(n.directory.View().Settings.Services) != 40 || n.revision() != 1 || len(n.answerCache.entries) > 0 {
 			t.Fatalf("after %d of %d bytes: revision %d", length, len(encoded.bytes), n.revision())
 		}
 	}
--- a/internal/edge/changelog.go
+++ b/internal/edge/changelog.go
@@ -9,7 +9,7 @@
 
 // maxEventLines is how many back ends that changed together in one way have a line each. While 45% of 10,000
 // servers are replaced in a minute, each balancer would write 270 lines a second, which on a fifth of a core is 1% of it.
-const maxEventLines = 16
+const maxLinesPerTransition = 16
 
 // logEvents logs what changed of what is believed.
 func (n *Node) logEvents(events []directory.Event, from string, age time.Duration) {
@@ -17,10 +17,10 @@
 	for i := range events {
 		counts[events[i].Transition]++
 	}
-	many := func(transition directory.Transition) bool { return counts[transition] > maxEventLines }
+	aggregated := func(transition directory.Transition) bool { return counts[transition] > maxLinesPerTransition }
 	var transitions []directory.Transition
 	for transition := range counts {
-		if many(transition) {
+		if aggregated(transition) {
 			transitions = append(transitions, transition)
 		}
 	}
@@ -28,9 +28,9 @@
 	for _, transition := range transitions {
 		n.log.Info("many: "+string(transition), "count", counts[transition], "revision", n.viewRevision.Load(), "from", from, "age_ms", age.Milliseconds())
 	}
-	n.logLapsed(events, from)
+	n.logExpired(events, from)
 	for i := range events {
-		if !many(events[i].Transition) {
+		if !aggregated(events[i].Transition) {
 			n.logEvent(&events[i], from, age)
 		}
 	}
--- a/internal/edge/client.go
+++ b/internal/edge/client.go
@@ -33,13 +33,13 @@
 // answer has come after first, and the whole answer within rest of that byte. Each
 // further call with the context has rest again. A nil begun is allowed; it is called
 // at each first byte.
-func ExpectAnswer(ctx context.Context, first, rest time.Duration, begun func()) (context.Context, context.CancelFunc) {
+func ExpectAnswer(ctx context.Context, firstByte, rest time.Duration, onFirstByte func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(first, func() { cancel(context.DeadlineExceeded) })
+	timer := time.AfterFunc(firstByte, func() { cancel(context.DeadlineExceeded) })
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() {
 		timer.Reset(rest)
-		if begun != nil {
-			begun()
+		if onFirstByte != nil {
+			onFirstByte()
 		}
 	}}
 	return httptrace.WithClientTrace(ctx, trace), func() {
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -51,7 +51,7 @@
 }
 
 // file is the document; addresses are text there, so that each fault names its field.
-type file struct {
+type configFile struct {
 	Config    `yaml:",inline"`
 	Data      string   `yaml:"data"`
 	Ready     string   `yaml:"ready"`
@@ -113,7 +113,7 @@
 
 // ParseConfig reads and checks a document.
 func ParseConfig(document []byte) (Config, []error) {
-	parsed := file{Config: Config{Workers: 1, ReadyPath: "/ready", Bounds: defaultBounds}}
+	parsed := configFile{Config: Config{Workers: 1, ReadyPath: "/ready", Bounds: defaultBounds}}
 	if err := yaml.Unmarshal(document, &parsed); err != nil {
 		return Config{}, []error{fmt.Errorf("settings file: %w", err)}
 	}
--- a/internal/edge/cost_test.go
+++ b/internal/edge/cost_test.go
@@ -30,7 +30,7 @@
 
 // growth returns a directory with 40 routes and the changes that lead to more, as another
 // balancer tells them that has both.
-func growth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
+func settingsGrowth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
 	tb.Helper()
 	first := &directory.Listing{Revision: 1, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: routeTree(40)}}
 	grown := &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(40 + routes)}
@@ -45,7 +45,7 @@
 	return asker, changes
 }
 
-func replyOf(encoded encodedAnswer) *http.Response {
+func httpReply(encoded encodedAnswer) *http.Response {
 	reply := &http.Response{Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(encoded.bytes))}
 	reply.Header.Set(headerAge, "0")
 	if encoded.compressed {
@@ -57,7 +57,7 @@
 // BenchmarkGrowth has the stages of taking in settings that grow by some routes.
 func BenchmarkGrowth(b *testing.B) {
 	for _, routes := range []int{40, 1500, 20_000} {
-		_, changes := growth(b, routes)
+		_, changes := settingsGrowth(b, routes)
 		encoded, err := encodeAnswer(&peerAnswer{Changes: changes})
 		if err != nil {
 			b.Fatal(err)
@@ -74,7 +74,7 @@
 		b.Run(fmt.Sprintf("decode/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := readAnswer(replyOf(encoded)); err != nil {
+				if _, err := readAnswer(httpReply(encoded)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -143,7 +143,7 @@
 		b.Run(fmt.Sprintf("whole-decode/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := readAnswer(replyOf(whole)); err != nil {
+				if _, err := readAnswer(httpReply(whole)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -53,18 +53,18 @@
 
 // TestHeldDatagramsAreBoundedAndGetOld.
 func TestHeldDatagramsAreBoundedAndGetOld(t *testing.T) {
-	var held holding
-	if !held.keep(0, []byte("old")) {
+	var held startupQueue
+	if !held.add(0, []byte("old")) {
 		t.Fatal("nothing is held")
 	}
-	for range 2 * maxHeld {
-		held.keep(2*time.Second, []byte("new"))
+	for range 2 * maxQueued {
+		held.add(2*time.Second, []byte("new"))
 	}
-	released := held.release(2*time.Second, true)
-	if len(released) != maxHeld-1 || string(released[0].datagram) != "new" {
+	released := held.drain(2*time.Second, true)
+	if len(released) != maxQueued-1 || string(released[0].datagram) != "new" {
 		t.Errorf("%d datagrams are released, the first %q", len(released), released[0].datagram)
 	}
-	if held.keep(2*time.Second, []byte("late")) {
+	if held.add(2*time.Second, []byte("late")) {
 		t.Error("a datagram is held after the release")
 	}
 }
@@ -210,7 +210,7 @@
 	defer server.Close()
 	control := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	second := newTestNode(t, &fakeSource{err: errors.New("the store is silent")})
-	second.learnFrom(context.Background(), control)
+	second.fetchListing(context.Background(), control)
 	if second.revision() != 5 || readiness(second) != http.StatusOK {
 		t.Fatalf("revision %d, readiness %d", second.revision(), readiness(second))
 	}
@@ -218,7 +218,7 @@
 		t.Errorf("a node that gives no values has %v", values)
 	}
 	first.apply(&directory.Changes{Revision: 6, Gone: []directory.Gone{{ID: 9, Revision: 6}}}, "store", 0)
-	answer, err := (&peerSource{second, control}).changes(context.Background(), question{after: 5, base: 1}, 0, time.Second)
+	answer, err := (&peerSource{second, control}).changes(context.Background(), peerRequest{after: 5, base: 1}, 0, time.Second)
 	if err != nil || answer.Changes == nil || answer.Listing != nil || len(answer.Changes.Gone) != 1 {
 		t.Errorf("answer %+v, %v", answer, err)
 	}
@@ -241,7 +241,7 @@
 	const wait = 10 * time.Second
 	ask := func(age time.Duration) (took, told time.Duration) {
 		began := time.Now()
-		answer, err := source.changes(context.Background(), question{after: 5, base: 1}, age, wait)
+		answer, err := source.changes(context.Background(), peerRequest{after: 5, base: 1}, age, wait)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -251,10 +251,10 @@
 		t.Errorf("who has an older confirmation hears of a newer one after %v: %v old", took, told)
 	}
 	// As if the last one had come long ago.
-	first.beliefs.Lock()
+	first.stateMutex.Lock()
 	first.confirmed = follow.Confirmation{}
 	first.confirmed.Note(first.now(), time.Minute)
-	first.beliefs.Unlock()
+	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
 	if took, told := ask(time.Minute); took > wait/2 || told > wait/2 {
 		t.Errorf("who waits hears of a newer confirmation after %v: %v old", took, told)
@@ -270,15 +270,15 @@
 	for _, tells := range []bool{true, false} {
 		source := &fakeSource{listing: listing(t, 5), paged: true}
 		node := newTestNode(t, source)
-		node.beliefs.Lock()
+		node.stateMutex.Lock()
 		node.peers.Heard(node.now(), &peers.Hello{Control: lower, Zone: "a", Started: 1})
-		node.beliefs.Unlock()
+		node.stateMutex.Unlock()
 		if tells {
 			// What is told before the listing begins is no reason to leave it.
 			source.listed = func() { go node.replace(listing(t, 4), "a peer", 0) }
 		}
 		err := node.listStore(context.Background(), 0)
-		if left := errors.Is(err, ErrListingLeft); left != tells {
+		if left := errors.Is(err, ErrListingAbandoned); left != tells {
 			t.Errorf("another balancer tells: %v, listing left: %v (%v)", tells, left, err)
 		}
 		if node.revision() == 0 {
@@ -296,7 +296,7 @@
 		t.Errorf("revision %d, %v", node.revision(), err)
 	}
 	node.adapter.Source = &fakeSource{listing: listing(t, 7), paged: true, listed: func() { node.replace(listing(t, 6), "a peer", 0) }}
-	if err := node.listStore(context.Background(), 0); !errors.Is(err, ErrListingLeft) {
+	if err := node.listStore(context.Background(), 0); !errors.Is(err, ErrListingAbandoned) {
 		t.Errorf("a listing that is not needed any more: %v", err)
 	}
 }
@@ -487,7 +487,7 @@
 	if wait := node.sendRound(); wait != peers.HurryInterval {
 		t.Errorf("once something is known and nobody has been heard, the next round is due in %v", wait)
 	}
-	node.heard(context.Background(), &peers.Hello{Control: netip.MustParseAddrPort("127.0.0.1:10"), Zone: "a", Started: 1, Revision: 5})
+	node.receiveHello(context.Background(), &peers.Hello{Control: netip.MustParseAddrPort("127.0.0.1:10"), Zone: "a", Started: 1, Revision: 5})
 	if wait := node.sendRound(); wait != peers.HelloInterval {
 		t.Errorf("once something is known and somebody heard, the next round is due in %v", wait)
 	}
@@ -522,7 +522,7 @@
 	var budget lineBudget
 	written, told := 0, 0
 	for i := range 10 * maxFlowLines {
-		allowed, leftOut := budget.allows(3*time.Second + time.Duration(i)*time.Millisecond/2)
+		allowed, leftOut := budget.allow(3*time.Second + time.Duration(i)*time.Millisecond/2)
 		if allowed {
 			written++
 		}
@@ -532,7 +532,7 @@
 		t.Errorf("%d lines are written, %d told as left out", written, told)
 	}
 	for range 3 {
-		allowed, leftOut := budget.allows(4 * time.Second)
+		allowed, leftOut := budget.allow(4 * time.Second)
 		if !allowed {
 			t.Error("nothing is written in the next second")
 		}
@@ -594,11 +594,11 @@
 	knowing := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	second := newTestNode(t, &fakeSource{})
 	seed := netip.MustParseAddrPort("127.0.0.1:2")
-	second.heard(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}}})
-	if second.learning.Load() {
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}}})
+	if second.fetchingListing.Load() {
 		t.Error("it asks one that knows nothing")
 	}
-	second.heard(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", Knows: true}}})
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", Knows: true}}})
 	for deadline := time.Now().Add(10 * time.Second); second.revision() != 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("revision %d", second.revision())
@@ -638,8 +638,8 @@
 		stale := node.metrics.dropped[errkind.Stale].Get()
 		node.handle(node.now(), []byte("copy"), &steering.Packet{}, make([]byte, maxDatagram))
 		dropped := node.metrics.dropped[errkind.Stale].Get() > stale
-		if node.waiting.Load() != 1 && (!dropped || try == 3) {
-			t.Fatalf("%d datagrams wait", node.waiting.Load())
+		if node.delayed.Load() != 1 && (!dropped || try == 3) {
+			t.Fatalf("%d datagrams wait", node.delayed.Load())
 		}
 		if err := backend.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -14,7 +14,7 @@
 )
 
 // learnTimeout is how long another balancer may take until it tells what it knows.
-const learnTimeout = time.Second
+const firstByteTimeout = time.Second
 
 // follow keeps the directory up to date until ctx ends, by the calls that package
 // follow decides on. Whatever a call returns, what is believed already stays in force.
@@ -27,44 +27,44 @@
 			follower.Done(n.followState(), call, follow.Outcome{})
 			continue
 		}
-		n.noteSource(call)
-		outcome, err := n.carryOut(ctx, call)
+		n.recordSource(call)
+		outcome, err := n.execute(ctx, call)
 		if ctx.Err() != nil {
 			break
 		}
-		n.noteContact(follower.Done(n.followState(), call, outcome), call, err)
+		n.recordContact(follower.Done(n.followState(), call, outcome), call, err)
 	}
 	return ctx.Err()
 }
 
 // followState is what the next call is decided by.
 func (n *Node) followState() follow.State {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	return follow.StateOf(n.now(), n.directory.Revision(), n.peers, n.config().Bounds.Contact)
 }
 
 // carryOut makes one call and takes over what it returns.
-func (n *Node) carryOut(ctx context.Context, call follow.Call) (follow.Outcome, error) {
+func (n *Node) execute(ctx context.Context, call follow.Call) (follow.Outcome, error) {
 	ctx, cancel := ExpectAnswer(ctx, call.Timeout, max(call.Timeout, follow.TransferTimeout), func() { n.receiving.Store(true) })
 	defer cancel()
 	n.overtaken.Store(false)
 	n.receiving.Store(false)
-	n.giveUp.Store(&cancel)
+	n.cancelCall.Store(&cancel)
 	var outcome follow.Outcome
 	var err error
 	switch call.Kind {
 	case follow.ListStore:
-		err = n.listStore(ctx, n.mostBytes(call.Transfer))
+		err = n.listStore(ctx, n.maxListingBytes(call.Transfer))
 	case follow.WatchStore:
 		outcome.Changes, err = n.watchStore(ctx, call.Wait)
 	case follow.AskPeer:
-		outcome.Age, err = n.askPeer(ctx, call)
+		outcome.Age, err = n.requestFromPeer(ctx, call)
 	}
 	switch {
 	case err != nil && n.overtaken.Load():
 		outcome.Result = follow.Overtaken
-	case errors.Is(err, ErrListingLeft):
+	case errors.Is(err, ErrListingAbandoned):
 		outcome.Result = follow.Overtaken
 	case errors.Is(err, ErrHistoryLost):
 		outcome.Result = follow.HistoryLost
@@ -73,16 +73,16 @@
 	case err != nil:
 		outcome.Result = follow.Failed
 	}
-	if !showsConnection(err) {
+	if !connectionWorked(err) {
 		n.dropIdleConnections()
 	}
 	return outcome, err
 }
 
 // showsConnection tells whether a call that ended so has shown that its connection works.
-func showsConnection(err error) bool {
+func connectionWorked(err error) bool {
 	return err == nil || errors.Is(err, errPeerFull) || errors.Is(err, errEmptyAnswer) ||
-		errors.Is(err, ErrListingLeft) || errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrTooLong)
+		errors.Is(err, ErrListingAbandoned) || errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrTooLong)
 }
 
 // dropIdleConnections lets the next calls open new connections, to the store and to other
@@ -106,25 +106,25 @@
 }
 
 // askPeer returns how long ago the store confirmed what the peer told.
-func (n *Node) askPeer(ctx context.Context, call follow.Call) (time.Duration, error) {
-	have, age := n.have()
-	answer, err := (&peerSource{n, call.Peer}).changes(ctx, have, age, call.Wait)
+func (n *Node) requestFromPeer(ctx context.Context, call follow.Call) (time.Duration, error) {
+	request, staleness := n.requestWithStaleness()
+	answer, err := (&peerSource{n, call.Peer}).changes(ctx, request, staleness, call.Wait)
 	if errors.Is(err, errPeerFull) {
-		n.beliefs.Lock()
+		n.stateMutex.Lock()
 		n.peers.Refused(n.now(), call.Peer)
-		n.beliefs.Unlock()
+		n.stateMutex.Unlock()
 	}
 	if err != nil {
 		return 0, err
 	}
-	n.notePeerAnswer(call.Peer, answer)
+	n.recordPeerAnswer(call.Peer, answer)
 	switch {
 	case answer.Listing != nil:
-		n.hearReturn(answer.ReturnAge)
+		n.receiveStoreReturn(answer.ReturnAge)
 		n.replace(answer.Listing, call.Peer.String(), answer.Age)
 	case answer.Changes != nil:
-		n.hearReturn(answer.ReturnAge)
-		n.applyTold(answer, have, call.Peer.String())
+		n.receiveStoreReturn(answer.ReturnAge)
+		n.applyFromPeer(answer, request, call.Peer.String())
 	default:
 		return 0, errEmptyAnswer
 	}
@@ -132,7 +132,7 @@
 }
 
 // notePeerAnswer keeps what is known of the peer's freshness up to date.
-func (n *Node) notePeerAnswer(peer netip.AddrPort, answer *peerAnswer) {
+func (n *Node) recordPeerAnswer(peer netip.AddrPort, answer *peerAnswer) {
 	revision := uint64(0)
 	switch {
 	case answer.Listing != nil:
@@ -140,18 +140,18 @@
 	case answer.Changes != nil:
 		revision = answer.Changes.Revision
 	}
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	n.peers.Answered(n.now(), peer, answer.Age, revision)
 }
 
 // noteSource logs where changes come from when that changes.
-func (n *Node) noteSource(call follow.Call) {
+func (n *Node) recordSource(call follow.Call) {
 	source := "store"
 	if call.Kind == follow.AskPeer {
 		source = call.Peer.String()
 	}
-	n.asksStore.Store(source == "store")
+	n.followsStore.Store(source == "store")
 	if n.source == source {
 		return
 	}
@@ -160,12 +160,12 @@
 }
 
 // noteContact logs and counts what became of the contact with the store or a peer.
-func (n *Node) noteContact(contact follow.Contact, call follow.Call, err error) {
+func (n *Node) recordContact(contact follow.Contact, call follow.Call, err error) {
 	switch {
-	case errors.Is(err, ErrListingLeft), err != nil && n.overtaken.Load():
+	case errors.Is(err, ErrListingAbandoned), err != nil && n.overtaken.Load():
 		n.log.Info("overtaken by peers", "call", call.Kind.String(), "revision", n.revision())
 	case errors.Is(err, ErrTooLong):
-		n.log.Info("long listing left to others", "bytes_at_most", n.mostBytes(call.Transfer))
+		n.log.Info("long listing left to others", "bytes_at_most", n.maxListingBytes(call.Transfer))
 	case errors.Is(err, ErrHistoryLost):
 		n.log.Info("store history lost", "revision", n.revision())
 	case err != nil && call.Kind == follow.AskPeer:
@@ -175,30 +175,30 @@
 	}
 	switch contact {
 	case follow.Lost:
-		n.lostAt = n.now()
-		n.failing.Store(true)
+		n.storeLostAt = n.now()
+		n.storeFailing.Store(true)
 		n.changed.wake()
 		n.announce()
 		n.log.Warn("store lost", "revision", n.revision(), "call", call.Kind.String(), "error", err)
 	case follow.Regained:
-		n.failing.Store(false)
+		n.storeFailing.Store(false)
 		// Others wait to hear of it.
 		n.announce()
-		n.log.Info("store regained", "through", n.source, "revision", n.revision(), "after_ms", (n.now() - n.lostAt).Milliseconds())
+		n.log.Info("store regained", "through", n.source, "revision", n.revision(), "after_ms", (n.now() - n.storeLostAt).Milliseconds())
 	}
 }
 
 // replace takes over a listing that the store confirmed age ago, and logs what changed.
 func (n *Node) replace(listing *directory.Listing, from string, age time.Duration) {
-	n.withDefaults(listing.Settings)
+	n.applyDefaults(listing.Settings)
 	listing.Prepared = n.prepare(listing.Settings, nil)
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	first := n.directory.Revision() == 0
-	n.noteCertain()
-	n.steerBy(n.directory.Replace(n.now(), listing), from, age)
-	n.beliefs.Unlock()
+	n.recordCertainty()
+	n.publish(n.directory.Replace(n.now(), listing), from, age)
+	n.stateMutex.Unlock()
 	if n.settingsKnown() {
-		n.handleHeld(true)
+		n.handleQueued(true)
 	}
 	if first {
 		n.announce()
@@ -207,53 +207,53 @@
 
 // apply takes over changes that the store confirmed age ago, and logs them.
 func (n *Node) apply(changes *directory.Changes, from string, age time.Duration) {
-	n.withDefaults(changes.Settings)
+	n.applyDefaults(changes.Settings)
 	changes.Prepared = n.prepare(changes.Settings, changes.Step)
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
-	n.noteCertain()
-	n.noteConfirmed(age, changes.Told)
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
+	n.recordCertainty()
+	n.recordConfirmation(age, changes.Told)
 	events := n.directory.Apply(n.now(), changes)
-	n.steerBy(events, from, age)
+	n.publish(events, from, age)
 }
 
 // applyTold takes over changes that another balancer gave as its answer to a question. They
 // are passed on as they came to those who ask the same here: to encode them anew is half of what
 // a change costs a balancer that tells others.
-func (n *Node) applyTold(answer *peerAnswer, asked question, from string) {
+func (n *Node) applyFromPeer(answer *peerAnswer, request peerRequest, from string) {
 	changes := answer.Changes
-	n.withDefaults(changes.Settings)
+	n.applyDefaults(changes.Settings)
 	changes.Prepared = n.prepare(changes.Settings, changes.Step)
-	if generation, passedOn := n.applyAnswer(answer, asked, from); passedOn {
+	if generation, forwardable := n.applyPrepared(answer, request, from); forwardable {
 		// The lock of answers is taken before that of beliefs by those who encode one.
-		n.answers.put(generation, asked, answer.received)
-		n.metrics.answersPassedOn.Inc()
+		n.answerCache.put(generation, request, answer.received)
+		n.metrics.answersForwarded.Inc()
 	}
 }
 
 // applyAnswer takes over prepared changes and tells whether they may be passed on, and of which generation of
 // beliefs they are then.
-func (n *Node) applyAnswer(answer *peerAnswer, asked question, from string) (generation uint64, passedOn bool) {
+func (n *Node) applyPrepared(answer *peerAnswer, request peerRequest, from string) (generation uint64, forwardable bool) {
 	changes := answer.Changes
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
-	passedOn = n.question() == asked && changes.Settings == nil
-	n.noteCertain()
-	n.noteConfirmed(answer.Age, changes.Told)
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
+	forwardable = n.changesRequest() == request && changes.Settings == nil
+	n.recordCertainty()
+	n.recordConfirmation(answer.Age, changes.Told)
 	events := n.directory.Apply(n.now(), changes)
-	n.steerBy(events, from, answer.Age)
+	n.publish(events, from, answer.Age)
 	step := changes.Step
-	return n.generation, passedOn && (step == nil || step.Revision == n.directory.SettingsRevision())
+	return n.generation, forwardable && (step == nil || step.Revision == n.directory.SettingsRevision())
 }
 
 // question is what this balancer asks others. The beliefs lock is held.
-func (n *Node) question() question {
-	return question{after: n.directory.Revision(), base: n.directory.SettingsRevision()}
+func (n *Node) changesRequest() peerRequest {
+	return peerRequest{after: n.directory.Revision(), base: n.directory.SettingsRevision()}
 }
 
 // steerBy lets packets be steered by what is believed now and tells those who
 // follow. The beliefs lock is held.
-func (n *Node) steerBy(events []directory.Event, from string, age time.Duration) {
+func (n *Node) publish(events []directory.Event, from string, age time.Duration) {
 	if n.confirmed.Note(n.now(), age) {
 		n.changed.wake()
 	}
@@ -261,32 +261,32 @@
 		return
 	}
 	n.generation++
-	n.noteMembership(events)
-	n.setView()
+	n.recordMembership(events)
+	n.installView()
 	n.changed.wake()
 	n.logEvents(events, from, age)
 }
 
 // setView hands the steerer a view of what is believed now. The beliefs lock is held.
-func (n *Node) setView() {
+func (n *Node) installView() {
 	view := n.directory.View()
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	n.steerer.SetView(view)
-	seen := n.takeObservations()
-	n.steering.Unlock()
-	n.actOn(n.now(), &seen, make([]byte, maxDatagram))
+	observed := n.takeObservations()
+	n.steeringMutex.Unlock()
+	n.handleObservations(n.now(), &observed, make([]byte, maxDatagram))
 }
 
 // noteCertain tells the directory up to when what it has is complete. The beliefs lock is held.
-func (n *Node) noteCertain() { n.directory.NoteCertain(n.now() - n.beliefAge()) }
+func (n *Node) recordCertainty() { n.directory.NoteCertain(n.now() - n.staleness()) }
 
 // beliefAge is how long ago the store confirmed what is believed. The beliefs lock is held.
-func (n *Node) beliefAge() time.Duration {
+func (n *Node) staleness() time.Duration {
 	return n.confirmed.Age(n.now())
 }
 
 // withDefaults gives the root of the operators' tree the process's own defaults.
-func (n *Node) withDefaults(next *directory.Settings) {
+func (n *Node) applyDefaults(next *directory.Settings) {
 	if next == nil {
 		return
 	}
@@ -300,15 +300,15 @@
 }
 
 // have is where changes from another balancer must begin, and how old what is believed is.
-func (n *Node) have() (question, time.Duration) {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
-	return n.question(), n.beliefAge()
+func (n *Node) requestWithStaleness() (peerRequest, time.Duration) {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
+	return n.changesRequest(), n.staleness()
 }
 
 func (n *Node) revision() uint64 {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	return n.directory.Revision()
 }
 
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -30,13 +30,13 @@
 			return ctx.Err()
 		case <-n.stop:
 			pause(ctx, peers.HelloInterval)
-		case <-n.alarms:
-			n.sendAlarm()
+		case <-n.urgentReports:
+			n.sendUrgentReport()
 			continue
 		case inquiries := <-n.inquiries:
 			n.sendInquiries(inquiries)
 			continue
-		case <-n.news:
+		case <-n.announcements:
 		case <-timer.C:
 		}
 		timer.Reset(n.sendRound())
@@ -45,44 +45,44 @@
 
 // sendRound sends one round of hellos and returns when the next one is due.
 func (n *Node) sendRound() time.Duration {
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	now := n.now()
 	n.peers.Forget(now)
 	n.introduceSeeds(now)
-	knows := n.directory.Revision() > 0
+	initialized := n.directory.Revision() > 0
 	hello := n.hello(now)
-	n.shareLoad(now, hello)
+	n.completeHello(now, hello)
 	interval, targets := peers.HelloInterval, []peers.Target(nil)
-	if n.peers.Hurries(now, knows) {
+	if n.peers.Hurries(now, initialized) {
 		interval, targets = peers.HurryInterval, n.peers.HurryRound()
 	} else {
 		targets = n.peers.Round(now, len(hello.Loads))
 	}
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	short := hello.Short()
 	for _, target := range targets {
-		due := short
+		datagram := short
 		if target.Full {
-			due = hello
+			datagram = hello
 		}
-		due.Reply = target.Reply
-		n.sendHello(due, target.Control)
+		datagram.Reply = target.Reply
+		n.sendHello(datagram, target.Control)
 	}
 	return interval
 }
 
 // sendAlarm tells all live peers at once what is known of silent back ends. Rounds go on as
 // they were due.
-func (n *Node) sendAlarm() {
-	n.beliefs.Lock()
+func (n *Node) sendUrgentReport() {
+	n.stateMutex.Lock()
 	now := n.now()
 	hello, targets := n.hello(now), n.peers.Everyone(now)
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
 	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
-	n.steering.Unlock()
-	n.beliefs.Unlock()
+	n.steeringMutex.Unlock()
+	n.stateMutex.Unlock()
 	for _, target := range targets {
 		n.sendHello(hello, target.Control)
 	}
@@ -90,10 +90,10 @@
 
 // sendInquiries asks all live peers where flows rest.
 func (n *Node) sendInquiries(inquiries []steering.Inquiry) {
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	now := n.now()
 	hello, targets := n.hello(now), n.peers.Everyone(now)
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	hello.Inquiries = inquiries
 	for _, target := range targets {
 		n.sendHello(hello, target.Control)
@@ -103,7 +103,7 @@
 // announce sends a round of hellos at once: this balancer knows something since now.
 func (n *Node) announce() {
 	select {
-	case n.news <- struct{}{}:
+	case n.announcements <- struct{}{}:
 	default:
 	}
 }
@@ -125,19 +125,19 @@
 		Zone:     n.config().Zone,
 		Started:  n.started.UnixNano(),
 		Leaving:  n.leaving.Load(),
-		Failing:  n.failing.Load(),
+		Failing:  n.storeFailing.Load(),
 		Revision: n.directory.Revision(),
-		Outline:  n.tellsOutline(),
-		StoreAge: n.beliefAge(),
+		Outline:  n.offersSummary(),
+		StoreAge: n.staleness(),
 		Capacity: n.config().capacity(),
 	}
 }
 
 // shareLoad makes a hello a full one, with others and the load of this balancer, and
 // takes over what others said of theirs. The beliefs lock is held.
-func (n *Node) shareLoad(now time.Duration, hello *peers.Hello) {
-	n.steering.Lock()
-	defer n.steering.Unlock()
+func (n *Node) completeHello(now time.Duration, hello *peers.Hello) {
+	n.steeringMutex.Lock()
+	defer n.steeringMutex.Unlock()
 	n.steerer.SetOthersLoad(n.peers.Loads(now))
 	n.steerer.SetPlace(n.peers.OwnPlace(now))
 	hello.Others, hello.Full = n.peers.Sample(now), true
@@ -187,14 +187,14 @@
 			n.metrics.peerMalformed.Inc()
 			continue
 		}
-		n.heard(ctx, hello)
+		n.receiveHello(ctx, hello)
 	}
 }
 
 // heard takes over a hello. A balancer that is new is greeted at once, and while
 // nothing is known here, it is asked for what it knows.
-func (n *Node) heard(ctx context.Context, hello *peers.Hello) {
-	n.beliefs.Lock()
+func (n *Node) receiveHello(ctx context.Context, hello *peers.Hello) {
+	n.stateMutex.Lock()
 	now := n.now()
 	isNew := n.peers.Heard(now, hello)
 	var loads map[directory.Tag]steering.Load
@@ -204,7 +204,7 @@
 	}
 	if hello.Revision == n.directory.Revision() {
 		// What the store confirmed to the sender, it confirmed to this one too.
-		n.noteConfirmed(hello.StoreAge, false)
+		n.recordConfirmation(hello.StoreAge, false)
 		n.confirmed.Note(now, hello.StoreAge)
 	}
 	var reply *peers.Hello
@@ -213,40 +213,40 @@
 		reply.Others = n.peers.ForAsker(now, hello)
 	}
 	behind := n.lag.Note(now, n.directory.Revision(), hello.Revision)
-	teacher, found := teacherOf(hello)
-	outliner, outlined := outlineTeacherOf(hello)
-	outlined = outlined && n.directory.SettingsVersion() == 0
-	n.beliefs.Unlock()
+	source, found := listingSource(hello)
+	summaryPeer, summaryFound := summarySource(hello)
+	summaryFound = summaryFound && n.directory.SettingsVersion() == 0
+	n.stateMutex.Unlock()
 	if behind && !n.receiving.Load() {
 		n.stopCall()
 	}
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	n.steerer.SetOthersDoubts(now, hello.Doubted)
 	n.steerer.HearBaselines(hello.Baselines)
 	if loads != nil {
 		n.steerer.SetOthersLoad(loads)
 	}
-	n.steering.Unlock()
-	n.heardStalls(now, hello)
-	n.heardInquiries(now, hello)
+	n.steeringMutex.Unlock()
+	n.receiveUnresponsive(now, hello)
+	n.receiveInquiries(now, hello)
 	if isNew {
 		n.log.Info("peer found", "peer", hello.Control, "zone", hello.Zone, "capacity", hello.Capacity, "revision", hello.Revision, "age_ms", hello.StoreAge.Milliseconds())
 	}
 	if reply != nil {
 		n.sendHello(reply, hello.Control)
 	}
-	if outlined && n.outlining.CompareAndSwap(false, true) {
-		go n.learnOutline(ctx, outliner)
+	if summaryFound && n.fetchingSummary.CompareAndSwap(false, true) {
+		go n.fetchSummary(ctx, summaryPeer)
 	}
-	if found && n.learning.CompareAndSwap(false, true) {
-		go n.learnFrom(ctx, teacher)
+	if found && n.fetchingListing.CompareAndSwap(false, true) {
+		go n.fetchListing(ctx, source)
 	}
 }
 
 // teacherOf returns who, by a hello, can tell everything: the sender, or one of the ablest that it names.
-func teacherOf(hello *peers.Hello) (control netip.AddrPort, found bool) {
+func listingSource(hello *peers.Hello) (control netip.AddrPort, found bool) {
 	if hello.Revision > 0 {
 		return hello.Control, true
 	}
-	return ablestOf(hello.Others, func(other *peers.Introduction) bool { return other.Knows })
+	return mostCapable(hello.Others, func(other *peers.Introduction) bool { return other.Knows })
 }
--- a/internal/edge/lapsed.go
+++ b/internal/edge/lapsed.go
@@ -15,9 +15,9 @@
 
 // noteConfirmed lets the directory know that the store confirmed age ago what is believed; told is
 // set where another balancer says so together with what lapsed. The beliefs lock is held.
-func (n *Node) noteConfirmed(age time.Duration, told bool) {
-	before := n.beliefAge()
-	if told || !n.directory.NoteConfirmed(n.now(), age, before) {
+func (n *Node) recordConfirmation(age time.Duration, fromPeer bool) {
+	before := n.staleness()
+	if fromPeer || !n.directory.NoteConfirmed(n.now(), age, before) {
 		return
 	}
 	// Answers that were encoded before tell of an earlier return.
@@ -26,21 +26,21 @@
 }
 
 // hearReturn takes over how long ago the store returned, 0 for not lately.
-func (n *Node) hearReturn(age time.Duration) {
+func (n *Node) receiveStoreReturn(age time.Duration) {
 	if age <= 0 {
 		return
 	}
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	if n.directory.HearReturn(n.now() - age) {
 		n.generation++
 	}
 }
 
 // tellReturnAge adds how long ago the store returned to an answer.
-func (n *Node) tellReturnAge(header http.Header) {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+func (n *Node) setReturnAge(header http.Header) {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	if age, returning := n.directory.ReturnAge(n.now()); returning {
 		header.Set(headerReturnAge, strconv.FormatInt(int64(age), 10))
 	}
@@ -61,7 +61,7 @@
 
 // logLapsed counts and logs back ends that are gone and may take new flows for a moment. The beliefs
 // lock is held.
-func (n *Node) logLapsed(events []directory.Event, from string) {
+func (n *Node) logExpired(events []directory.Event, from string) {
 	count := 0
 	for _, event := range events {
 		if event.Transition == directory.BackendGone && n.directory.IsLapsed(event.Backend.ID) {
@@ -71,7 +71,7 @@
 	if count == 0 {
 		return
 	}
-	n.metrics.lapsed.Add(count)
+	n.metrics.expired.Add(count)
 	age, _ := n.directory.ReturnAge(n.now())
 	n.log.Info("back ends lapsed", "count", count, "return_age_ms", age.Milliseconds(), "revision", n.directory.Revision(), "from", from)
 }
--- a/internal/edge/lapsed_test.go
+++ b/internal/edge/lapsed_test.go
@@ -20,13 +20,13 @@
 	// The last word of the store is old.
 	source.confirmed = follow.Confirmation{}
 	source.confirmed.Note(source.now(), time.Minute)
-	control, _ := serveSilenceable(t, source.controlHandler())
+	control, _ := serveWithSilencer(t, source.controlHandler())
 	source.apply(&directory.Changes{Revision: 8, Gone: []directory.Gone{{ID: 1, Revision: 8}}}, "store", 0)
-	if source.metrics.lapsed.Get() != 1 {
+	if source.metrics.expired.Get() != 1 {
 		t.Error("the lapsed back end is not counted")
 	}
 	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: time.Second}
-	if _, err := follower.carryOut(t.Context(), call); err != nil {
+	if _, err := follower.execute(t.Context(), call); err != nil {
 		t.Fatal(err)
 	}
 	if !follower.directory.IsLapsed(1) {
--- a/internal/edge/logging.go
+++ b/internal/edge/logging.go
@@ -67,32 +67,32 @@
 	second time.Duration
 	used   int
 	// left counts the lines that were left out since the last report.
-	left int
+	omitted int
 }
 
 // allows tells whether one more line may be written at now, the time of the process, and
 // how many were left out in seconds that are over: what is not 0 is to be written.
-func (b *lineBudget) allows(now time.Duration) (allowed bool, leftOut int) {
+func (b *lineBudget) allow(now time.Duration) (allowed bool, omitted int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if second := now.Truncate(time.Second); second != b.second {
-		leftOut = b.left
-		b.second, b.used, b.left = second, 0, 0
+		omitted = b.omitted
+		b.second, b.used, b.omitted = second, 0, 0
 	}
 	if b.used >= maxFlowLines {
-		b.left++
-		return false, leftOut
+		b.omitted++
+		return false, omitted
 	}
 	b.used++
-	return true, leftOut
+	return true, omitted
 }
 
 // logFlow writes a line about a flow if the budget of its sort allows it.
 func (n *Node) logFlow(budget *lineBudget, message string, args ...any) {
-	allowed, leftOut := budget.allows(n.now())
-	if leftOut > 0 {
-		n.metrics.linesLeftOut.Add(leftOut)
-		n.log.Info("lines left out", "like", message, "count", leftOut)
+	allowed, omitted := budget.allow(n.now())
+	if omitted > 0 {
+		n.metrics.linesOmitted.Add(omitted)
+		n.log.Info("lines left out", "like", message, "count", omitted)
 	}
 	if allowed {
 		n.log.Info(message, args...)
--- a/internal/edge/main.go
+++ b/internal/edge/main.go
@@ -113,15 +113,15 @@
 // handleReloads reads the settings file again when asked to, and looks now and then whether it changed without
 // that. A request that waits stands for all that come meanwhile.
 func (n *Node) handleReloads(reloads <-chan os.Signal, done <-chan struct{}, path string) {
-	look := time.NewTicker(reloadInterval)
-	defer look.Stop()
+	poll := time.NewTicker(reloadPoll)
+	defer poll.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-reloads:
 			n.reload(path, true)
-		case <-look.C:
+		case <-poll.C:
 			n.reload(path, false)
 		}
 	}
@@ -150,5 +150,5 @@
 // stays in force; the entry of a back end names none.
 func (n *Node) rejected(err error) {
 	n.metrics.entriesRejected[errkind.Of(err)].Inc()
-	n.logFlow(&n.oddLines, "entry rejected", "revision", n.viewRevision.Load(), "error", err)
+	n.logFlow(&n.exceptionLines, "entry rejected", "revision", n.viewRevision.Load(), "error", err)
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -16,15 +16,15 @@
 	packets, forwarded, placed *metrics.Counter
 	moved, repinned, spilled   *metrics.Counter
 	inquiries                  *metrics.Counter
-	resets, waited             *metrics.Counter
-	outOfRotation, lapsed      *metrics.Counter
+	resets, delayedCopies      *metrics.Counter
+	outOfRotation, expired     *metrics.Counter
 	storeCalls, storeFailures  *metrics.Counter
 	// snapshotFaults counts parts that were not believed.
 	snapshotWrites, snapshotFailures, snapshotFaults *metrics.Counter
-	sendFailures, linesLeftOut                       *metrics.Counter
+	sendFailures, linesOmitted                       *metrics.Counter
 	peerCalls, peerMalformed                         *metrics.Counter
 	helloBytes, answerBytes                          *metrics.Counter
-	answersPassedOn                                  *metrics.Counter
+	answersForwarded                                 *metrics.Counter
 	refused, dropped                                 map[errkind.Kind]*metrics.Counter
 	entriesRejected                                  map[errkind.Kind]*metrics.Counter
 	byPart                                           map[steering.PartReason]*metrics.Counter
@@ -42,24 +42,24 @@
 		inquiries:        set.NewCounter("gaugeyard_flows_sought_total"),
 		repinned:         set.NewCounter("gaugeyard_packets_kept_at_their_backend_total"),
 		spilled:          set.NewCounter("gaugeyard_flows_placed_in_another_zone_total"),
-		waited:           set.NewCounter("gaugeyard_copies_waited_total"),
+		delayedCopies:    set.NewCounter("gaugeyard_copies_waited_total"),
 		resets:           set.NewCounter("gaugeyard_flows_reset_total"),
 		outOfRotation:    set.NewCounter("gaugeyard_backends_out_of_rotation_total"),
 		storeCalls:       set.NewCounter("gaugeyard_store_calls_total"),
 		storeFailures:    set.NewCounter("gaugeyard_store_failures_total"),
-		linesLeftOut:     set.NewCounter("gaugeyard_log_lines_left_out_total"),
+		linesOmitted:     set.NewCounter("gaugeyard_log_lines_left_out_total"),
 		sendFailures:     set.NewCounter("gaugeyard_send_failures_total"),
 		peerCalls:        set.NewCounter("gaugeyard_peer_calls_total"),
 		helloBytes:       set.NewCounter("gaugeyard_peer_hello_bytes_total"),
 		answerBytes:      set.NewCounter("gaugeyard_peer_answer_bytes_total"),
-		answersPassedOn:  set.NewCounter("gaugeyard_peer_answers_passed_on_total"),
+		answersForwarded: set.NewCounter("gaugeyard_peer_answers_passed_on_total"),
 		peerMalformed:    set.NewCounter("gaugeyard_peer_datagrams_malformed_total"),
 		refused:          map[errkind.Kind]*metrics.Counter{},
 		dropped:          map[errkind.Kind]*metrics.Counter{},
 		entriesRejected:  map[errkind.Kind]*metrics.Counter{},
 		handling:         set.NewHistogram("gaugeyard_packet_handling_seconds"),
 		byPart:           map[steering.PartReason]*metrics.Counter{},
-		lapsed:           set.NewCounter("gaugeyard_backends_lapsed_total"),
+		expired:          set.NewCounter("gaugeyard_backends_lapsed_total"),
 		snapshotWrites:   set.NewCounter("gaugeyard_snapshot_writes_total"),
 		snapshotFailures: set.NewCounter("gaugeyard_snapshot_write_failures_total"),
 		snapshotFaults:   set.NewCounter("gaugeyard_snapshot_faults_total"),
@@ -75,19 +75,19 @@
 		m.byPart[reason] = set.NewCounter(fmt.Sprintf("gaugeyard_flows_by_part_total{reason=%q}", reason))
 	}
 	set.NewGauge("gaugeyard_flows", func() float64 {
-		n.steering.Lock()
-		defer n.steering.Unlock()
+		n.steeringMutex.Lock()
+		defer n.steeringMutex.Unlock()
 		return float64(n.steerer.Flows())
 	})
 	set.NewGauge("gaugeyard_directory_revision", func() float64 { return float64(n.revision()) })
 	set.NewGauge("gaugeyard_settings_version", func() float64 {
-		n.beliefs.Lock()
-		defer n.beliefs.Unlock()
+		n.stateMutex.Lock()
+		defer n.stateMutex.Unlock()
 		return float64(n.directory.SettingsVersion())
 	})
 	set.NewGauge("gaugeyard_zones_evacuated", func() float64 {
-		n.beliefs.Lock()
-		defer n.beliefs.Unlock()
+		n.stateMutex.Lock()
+		defer n.stateMutex.Unlock()
 		return float64(len(n.directory.Evacuated()))
 	})
 	set.NewGauge("gaugeyard_log_lines_dropped", func() float64 { return float64(n.lines.dropped.Load()) })
@@ -95,6 +95,6 @@
 }
 
 // handled records how long one packet took; one in sampleEvery is measured.
-func (m *processMetrics) handled(started, ended time.Duration) {
+func (m *processMetrics) observeHandling(started, ended time.Duration) {
 	m.handling.Update((ended - started).Seconds())
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -57,43 +57,43 @@
 	log      hclog.Logger
 	lines    *lineWriter
 	// placedLines and oddLines bound what is written of flows.
-	placedLines, oddLines lineBudget
-	metrics               *processMetrics
-	data                  *net.UDPConn
-	started               time.Time
-	peer                  *net.UDPConn
+	placementLines, exceptionLines lineBudget
+	metrics                        *processMetrics
+	data                           *net.UDPConn
+	started                        time.Time
+	peer                           *net.UDPConn
 	// peerClient calls other balancers.
 	peerClient *http.Client
 
 	// source and lostAt belong to the follower's goroutine: whom it asks, and when
 	// the store was lost.
-	source string
-	lostAt time.Duration
+	source      string
+	storeLostAt time.Duration
 
 	// beliefs guards directory, peers, confirmed and generation. It is taken before
 	// steering, which guards steerer and is all that a packet needs, and before
 	// the lock of changed.
-	beliefs   sync.Mutex
-	directory *directory.Directory
-	peers     *peers.Table
+	stateMutex sync.Mutex
+	directory  *directory.Directory
+	peers      *peers.Table
 	// confirmed is when the store last confirmed what is believed.
 	confirmed follow.Confirmation
 	// generation counts the changes of what is believed.
-	generation uint64
-	steering   sync.Mutex
-	steerer    *steering.Steerer
+	generation    uint64
+	steeringMutex sync.Mutex
+	steerer       *steering.Steerer
 
-	holding holding
+	startupQueue startupQueue
 	// lag is guarded by beliefs. giveUp ends the follower's present call, and
 	// overtaken tells that it was used since the call began.
-	lag       follow.Lag
-	giveUp    atomic.Pointer[context.CancelFunc]
-	overtaken atomic.Bool
+	lag        follow.Lag
+	cancelCall atomic.Pointer[context.CancelFunc]
+	overtaken  atomic.Bool
 	// receiving is set once the answer to that call has begun to arrive.
 	receiving atomic.Bool
 	// news asks for a round of hellos at once, and alarms for what is known of silent back
 	// ends to be told to all others.
-	news, alarms chan struct{}
+	announcements, urgentReports chan struct{}
 	// inquiries are those that all others are to be sent at once.
 	inquiries chan []steering.Inquiry
 	// followers counts the balancers that are being served.
@@ -103,23 +103,23 @@
 	// changed wakes balancers that wait for changes here.
 	changed broadcast
 	// answers is what was encoded for them.
-	answers answers
+	answerCache answerCache
 	// learning is set once another balancer is asked for everything.
-	learning atomic.Bool
+	fetchingListing atomic.Bool
 	// outlining is set while another balancer is asked for an outline.
-	outlining atomic.Bool
+	fetchingSummary atomic.Bool
 	// leaving is set by a planned stop.
 	leaving atomic.Bool
 	// snapshots decides when the snapshot is written. It is guarded by beliefs.
 	snapshots snapshot.Writer
 	// knownAt is when anything was first known, since started; 0 for not yet. It is guarded by beliefs.
-	knownAt time.Duration
+	initializedAt time.Duration
 	// asksStore is set while the follower asks the store itself.
-	asksStore atomic.Bool
+	followsStore atomic.Bool
 	// failing is set while the store does not answer.
-	failing atomic.Bool
+	storeFailing atomic.Bool
 	// waiting counts the datagrams that wait to be steered again.
-	waiting atomic.Int64
+	delayed atomic.Int64
 	// lastPacket is when the last packet came, by now().
 	lastPacket atomic.Int64
 	// viewRevision is the revision that packets are steered by, for logs.
@@ -145,19 +145,19 @@
 	}
 	lines := newLineWriter(out)
 	n := &Node{
-		lines:      lines,
-		log:        newLogger(config.Node, lines),
-		data:       data,
-		peer:       peer,
-		peerClient: NewHTTPClient(),
-		peers:      peers.New(config.introduction()),
-		started:    time.Now(),
-		directory:  directory.New(departedTime(&config)),
-		steerer:    steering.New(steeringConfig(&config)),
-		stop:       make(chan struct{}),
-		news:       make(chan struct{}, 1),
-		alarms:     make(chan struct{}, 1),
-		inquiries:  make(chan []steering.Inquiry, maxInquiries),
+		lines:         lines,
+		log:           newLogger(config.Node, lines),
+		data:          data,
+		peer:          peer,
+		peerClient:    NewHTTPClient(),
+		peers:         peers.New(config.introduction()),
+		started:       time.Now(),
+		directory:     directory.New(removedRetention(&config)),
+		steerer:       steering.New(steeringConfig(&config)),
+		stop:          make(chan struct{}),
+		announcements: make(chan struct{}, 1),
+		urgentReports: make(chan struct{}, 1),
+		inquiries:     make(chan []steering.Inquiry, maxInquiries),
 	}
 	n.current.Store(&config)
 	n.directory.SetLapse(directory.LapseWithin(config.Bounds.Contact, config.Bounds.Drain))
@@ -184,7 +184,7 @@
 }
 
 // departedTime is how long back ends that are gone are remembered.
-func departedTime(config *Config) time.Duration {
+func removedRetention(config *Config) time.Duration {
 	return config.Bounds.FlowLife + config.Bounds.Drain
 }
 
@@ -217,7 +217,7 @@
 	group.Go(func() error { return n.receiveHellos(ctx) })
 	group.Go(func() error { return n.tick(ctx) })
 	group.Go(func() error { return n.pulse(ctx) })
-	group.Go(func() error { return n.keepSnapshot(ctx) })
+	group.Go(func() error { return n.maintainSnapshot(ctx) })
 	group.Go(func() error {
 		defer cancel()
 		return n.awaitStop(ctx)
@@ -244,7 +244,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			n.letTimePass()
+			n.advanceTime()
 			if n.onSettingsKnown != nil && n.settingsKnown() {
 				n.onSettingsKnown()
 				n.onSettingsKnown = nil
@@ -258,9 +258,9 @@
 	ticker := time.NewTicker(steering.PulseInterval)
 	defer ticker.Stop()
 	for {
-		n.steering.Lock()
+		n.steeringMutex.Lock()
 		n.steerer.Pulse(n.now())
-		n.steering.Unlock()
+		n.steeringMutex.Unlock()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -269,14 +269,14 @@
 	}
 }
 
-func (n *Node) letTimePass() {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+func (n *Node) advanceTime() {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	if n.directory.Forget(n.now()) {
-		n.setView()
+		n.installView()
 	}
-	n.steering.Lock()
-	defer n.steering.Unlock()
+	n.steeringMutex.Lock()
+	defer n.steeringMutex.Unlock()
 	n.steerer.Tick(n.now())
 }
 
@@ -302,7 +302,7 @@
 		packet.Waited, packet.Held = false, 0
 		n.handle(started, buffer[:headroom+length], packet, answer)
 		if count%sampleEvery == 0 {
-			n.metrics.handled(started, n.now())
+			n.metrics.observeHandling(started, n.now())
 		}
 	}
 }
@@ -314,28 +314,28 @@
 		n.metrics.dropped[errkind.Malformed].Inc()
 		return
 	}
-	n.steering.Lock()
-	verdict := n.steerer.Steer(now, packet)
-	seen := n.takeObservations()
-	n.steering.Unlock()
-	n.actOn(now, &seen, answer)
-	switch verdict.Action {
+	n.steeringMutex.Lock()
+	decision := n.steerer.Steer(now, packet)
+	observed := n.takeObservations()
+	n.steeringMutex.Unlock()
+	n.handleObservations(now, &observed, answer)
+	switch decision.Action {
 	case steering.Forward:
 		n.metrics.forwarded.Inc()
-		n.send(n.adapter.Codec.Forward(buffer, verdict.Backend, verdict.Tag), verdict.Backend.Address)
+		n.send(n.adapter.Codec.Forward(buffer, decision.Backend, decision.Tag), decision.Backend.Address)
 	case steering.Refuse:
-		n.metrics.refused[verdict.Reason].Inc()
+		n.metrics.refused[decision.Reason].Inc()
 		n.refuse(answer, packet.Flow, packet.Acknowledged)
 	case steering.Wait:
-		n.waitWith(datagram)
+		n.delayCopy(datagram)
 		return
 	case steering.Drop:
-		if holds(&verdict) && n.holding.keep(now-packet.Held, datagram) {
+		if queueable(&decision) && n.startupQueue.add(now-packet.Held, datagram) {
 			return
 		}
-		n.metrics.dropped[verdict.Reason].Inc()
+		n.metrics.dropped[decision.Reason].Inc()
 	}
-	n.logVerdict(packet, &verdict)
+	n.logDecision(packet, &decision)
 }
 
 // backendName is the identifier as the logs give it.
--- a/internal/edge/observed.go
+++ b/internal/edge/observed.go
@@ -14,7 +14,7 @@
 	events []steering.BackendEvent
 	resets []steering.Reset
 	// alarm is set when others should hear of silent back ends at once.
-	alarm bool
+	urgent bool
 	// inquiries are to be sent to others.
 	inquiries []steering.Inquiry
 }
@@ -26,39 +26,39 @@
 
 // actOn logs what was observed, ends flows at lost back ends and tells other balancers.
 // buffer is for the datagrams.
-func (n *Node) actOn(now time.Duration, seen *observations, buffer []byte) {
-	if seen.events != nil {
-		n.logObservations(now, seen.events)
+func (n *Node) handleObservations(now time.Duration, observed *observations, buffer []byte) {
+	if observed.events != nil {
+		n.logObservations(now, observed.events)
 	}
-	for _, reset := range seen.resets {
+	for _, reset := range observed.resets {
 		n.metrics.resets.Inc()
 		n.refuse(buffer, reset.Flow, reset.Acknowledged)
-		n.logFlow(&n.oddLines, "flow reset", "caller", reset.Flow.Caller, "service", reset.Flow.Service,
+		n.logFlow(&n.exceptionLines, "flow reset", "caller", reset.Flow.Caller, "service", reset.Flow.Service,
 			"backend", backendName(reset.Backend), "revision", n.viewRevision.Load())
 	}
-	if seen.alarm {
+	if observed.urgent {
 		select {
-		case n.alarms <- struct{}{}:
+		case n.urgentReports <- struct{}{}:
 		default:
 		}
 	}
-	if seen.inquiries != nil {
-		n.inquire(seen.inquiries)
+	if observed.inquiries != nil {
+		n.repeatInquiries(observed.inquiries)
 	}
 }
 
 // inquire has others asked where flows rest.
-func (n *Node) inquire(inquiries []steering.Inquiry) {
+func (n *Node) repeatInquiries(inquiries []steering.Inquiry) {
 	for _, inquiry := range inquiries {
 		n.metrics.inquiries.Inc()
-		n.logFlow(&n.oddLines, "flow sought", "caller", inquiry.Flow.Caller, "service", inquiry.Flow.Service)
+		n.logFlow(&n.exceptionLines, "flow sought", "caller", inquiry.Flow.Caller, "service", inquiry.Flow.Service)
 	}
-	n.passOn(inquiries)
-	time.AfterFunc(steering.InquiryRepeat, func() { n.passOn(inquiries) })
+	n.queueInquiries(inquiries)
+	time.AfterFunc(steering.InquiryRepeat, func() { n.queueInquiries(inquiries) })
 }
 
 // passOn hands inquiries to the goroutine that sends hellos; while too many wait there, they are left out.
-func (n *Node) passOn(inquiries []steering.Inquiry) {
+func (n *Node) queueInquiries(inquiries []steering.Inquiry) {
 	select {
 	case n.inquiries <- inquiries:
 	default:
@@ -66,24 +66,24 @@
 }
 
 // heardInquiries answers what another balancer asks of flows, and takes over what it answers.
-func (n *Node) heardInquiries(now time.Duration, hello *peers.Hello) {
+func (n *Node) receiveInquiries(now time.Duration, hello *peers.Hello) {
 	if len(hello.Inquiries) == 0 && len(hello.Locations) == 0 {
 		return
 	}
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	n.steerer.HearLocations(now, hello.Locations)
 	locations := n.steerer.Locate(now, hello.Inquiries)
-	n.steering.Unlock()
+	n.steeringMutex.Unlock()
 	for _, location := range hello.Locations {
-		n.logFlow(&n.oddLines, "flow located", "caller", location.Flow.Caller, "service", location.Flow.Service,
+		n.logFlow(&n.exceptionLines, "flow located", "caller", location.Flow.Caller, "service", location.Flow.Service,
 			"backend", backendName(location.Backend), "by", hello.Control)
 	}
 	if locations == nil {
 		return
 	}
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	answer := n.hello(now)
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	answer.Locations = locations
 	n.sendHello(answer, hello.Control)
 }
@@ -94,13 +94,13 @@
 }
 
 // heardStalls takes over what another balancer told of silent back ends.
-func (n *Node) heardStalls(now time.Duration, hello *peers.Hello) {
+func (n *Node) receiveUnresponsive(now time.Duration, hello *peers.Hello) {
 	if len(hello.Stalls) == 0 {
 		return
 	}
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	n.steerer.HearStalls(now, hello.Control, hello.Stalls)
-	seen := n.takeObservations()
-	n.steering.Unlock()
-	n.actOn(now, &seen, make([]byte, maxDatagram))
+	observed := n.takeObservations()
+	n.steeringMutex.Unlock()
+	n.handleObservations(now, &observed, make([]byte, maxDatagram))
 }
--- a/internal/edge/order_test.go
+++ b/internal/edge/order_test.go
@@ -17,16 +17,16 @@
 	done := make(chan struct{}, 2)
 	go func() {
 		for i := range uint64(rounds) {
-			n.answerPeer(httptest.NewRecorder(), question{after: i, base: 1})
+			n.answerPeer(httptest.NewRecorder(), peerRequest{after: i, base: 1})
 		}
 		done <- struct{}{}
 	}()
 	go func() {
 		for range rounds {
-			n.beliefs.Lock()
-			asked := n.question()
-			n.beliefs.Unlock()
-			n.applyTold(&peerAnswer{Changes: &directory.Changes{Revision: asked.after + 1, Told: true}}, asked, "peer")
+			n.stateMutex.Lock()
+			asked := n.changesRequest()
+			n.stateMutex.Unlock()
+			n.applyFromPeer(&peerAnswer{Changes: &directory.Changes{Revision: asked.after + 1, Told: true}}, asked, "peer")
 		}
 		done <- struct{}{}
 	}()
--- a/internal/edge/outline_test.go
+++ b/internal/edge/outline_test.go
@@ -13,7 +13,7 @@
 )
 
 // controlOf serves a node to others and returns its address.
-func controlOf(t *testing.T, n *Node) netip.AddrPort {
+func startControl(t *testing.T, n *Node) netip.AddrPort {
 	server := httptest.NewServer(n.controlHandler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
@@ -23,14 +23,14 @@
 // that wait for the rest are kept, and everything is learned as ever.
 func TestAnOutlineGoesAheadOfEverything(t *testing.T) {
 	first, second := newTestNode(t, &fakeSource{}), newTestNode(t, &fakeSource{})
-	control := controlOf(t, first)
-	if reply, err := http.Get("http://" + control.String() + pathOutline + "?zone=a"); err != nil || reply.StatusCode != http.StatusServiceUnavailable {
+	control := startControl(t, first)
+	if reply, err := http.Get("http://" + control.String() + pathSummary + "?zone=a"); err != nil || reply.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("one that knows nothing answers %v, %v", reply, err)
 	}
-	if !first.takeOutline(listing(t, 5), "store") || first.revision() != 0 || !first.ready() {
+	if !first.applySummary(listing(t, 5), "store") || first.revision() != 0 || !first.ready() {
 		t.Fatalf("revision %d, ready %v", first.revision(), first.ready())
 	}
-	if first.takeOutline(listing(t, 6), "store") {
+	if first.applySummary(listing(t, 6), "store") {
 		t.Error("a second outline is taken")
 	}
 	hello := first.hello(first.now())
@@ -38,12 +38,12 @@
 	if !hello.Outline || hello.Revision != 0 {
 		t.Errorf("it says %+v", hello)
 	}
-	second.heard(context.Background(), hello)
+	second.receiveHello(context.Background(), hello)
 	await(t, 10*time.Second, "no outline is learned", second.ready)
-	if second.revision() != 0 || second.learning.Load() {
-		t.Errorf("revision %d, learning %v", second.revision(), second.learning.Load())
+	if second.revision() != 0 || second.fetchingListing.Load() {
+		t.Errorf("revision %d, learning %v", second.revision(), second.fetchingListing.Load())
 	}
-	if !second.holding.keep(second.now(), []byte("of a flow whose back end is not known")) {
+	if !second.startupQueue.add(second.now(), []byte("of a flow whose back end is not known")) {
 		t.Error("nothing is kept for the rest")
 	}
 	first.replace(listing(t, 5), "store", 0)
@@ -52,9 +52,9 @@
 	if hello.Outline {
 		t.Error("a few back ends need no outline")
 	}
-	second.heard(context.Background(), hello)
+	second.receiveHello(context.Background(), hello)
 	await(t, 10*time.Second, "the rest is not learned", func() bool { return second.revision() == 5 })
-	if second.holding.keep(second.now(), []byte("late")) {
+	if second.startupQueue.add(second.now(), []byte("late")) {
 		t.Error("a packet is kept though everything is known")
 	}
 }
@@ -65,10 +65,10 @@
 	hello := &peers.Hello{Control: other, Others: []peers.Introduction{
 		{Control: other, Outline: true}, {Control: able, Outline: true, Capacity: peers.Able}, {Control: other, Capacity: peers.Able},
 	}}
-	if teacher, found := outlineTeacherOf(hello); !found || teacher != able {
+	if teacher, found := summarySource(hello); !found || teacher != able {
 		t.Errorf("%v, %v", teacher, found)
 	}
-	if _, found := outlineTeacherOf(&peers.Hello{Control: other, Revision: 5}); found {
+	if _, found := summarySource(&peers.Hello{Control: other, Revision: 5}); found {
 		t.Error("one that has none to tell is asked")
 	}
 }
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -18,7 +18,7 @@
 const (
 	pathDirectory = "/v2/directory"
 	pathChanges   = "/v2/changes"
-	pathOutline   = "/v2/outline"
+	pathSummary   = "/v2/outline"
 )
 
 const (
@@ -65,8 +65,8 @@
 	return s.get(ctx, pathDirectory)
 }
 
-func (s *peerSource) changes(ctx context.Context, have question, age, wait time.Duration) (*peerAnswer, error) {
-	return s.get(ctx, fmt.Sprintf("%s?after=%d&settings=%d&age=%d&wait=%d", pathChanges, have.after, have.base, age.Milliseconds(), wait.Milliseconds()))
+func (s *peerSource) changes(ctx context.Context, request peerRequest, staleness, wait time.Duration) (*peerAnswer, error) {
+	return s.get(ctx, fmt.Sprintf("%s?after=%d&settings=%d&age=%d&wait=%d", pathChanges, request.after, request.base, staleness.Milliseconds(), wait.Milliseconds()))
 }
 
 func (s *peerSource) get(ctx context.Context, path string) (*peerAnswer, error) {
@@ -92,34 +92,34 @@
 
 // learnTries is how many balancers are asked for everything before the next hello
 // must come: each serves a few at once.
-const learnTries = 8
+const maxListingPeers = 8
 
 // learnFrom reads everything that another balancer knows, once after the start: the
 // store may be silent or busy, and it does not know the back ends that have left and
 // still serve flows. Where that one cannot serve, others are tried.
-func (n *Node) learnFrom(ctx context.Context, control netip.AddrPort) {
-	for range learnTries {
-		err := n.learnOnce(ctx, control)
+func (n *Node) fetchListing(ctx context.Context, control netip.AddrPort) {
+	for range maxListingPeers {
+		err := n.fetchListingOnce(ctx, control)
 		if err == nil {
 			n.stopCall()
 			return
 		}
 		n.log.Warn("peer gave nothing", "peer", control, "error", err)
 		n.peerClient.CloseIdleConnections()
-		n.beliefs.Lock()
+		n.stateMutex.Lock()
 		n.peers.Refused(n.now(), control)
 		next, found := n.peers.Freshest(n.now(), 0)
-		n.beliefs.Unlock()
+		n.stateMutex.Unlock()
 		if !found || ctx.Err() != nil {
 			break
 		}
 		control = next.Control
 	}
-	n.learning.Store(false)
+	n.fetchingListing.Store(false)
 }
 
-func (n *Node) learnOnce(ctx context.Context, control netip.AddrPort) error {
-	ctx, cancel := ExpectAnswer(ctx, learnTimeout, follow.TransferTimeout, nil)
+func (n *Node) fetchListingOnce(ctx context.Context, control netip.AddrPort) error {
+	ctx, cancel := ExpectAnswer(ctx, firstByteTimeout, follow.TransferTimeout, nil)
 	defer cancel()
 	answer, err := (&peerSource{n, control}).list(ctx)
 	if err != nil {
@@ -128,16 +128,16 @@
 	if answer.Listing == nil {
 		return errEmptyAnswer
 	}
-	n.hearReturn(answer.ReturnAge)
+	n.receiveStoreReturn(answer.ReturnAge)
 	n.replace(answer.Listing, control.String(), answer.Age)
 	return nil
 }
 
 // stopCall ends the follower's present call, since more is known already.
 func (n *Node) stopCall() {
-	if giveUp := n.giveUp.Load(); giveUp != nil {
+	if cancel := n.cancelCall.Load(); cancel != nil {
 		n.overtaken.Store(true)
-		(*giveUp)()
+		(*cancel)()
 	}
 }
 
--- a/internal/edge/pieces.go
+++ b/internal/edge/pieces.go
@@ -23,8 +23,8 @@
 	if next == nil && step == nil {
 		return nil
 	}
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	base := n.directory.Base()
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	return base.Prepare(next, step, pauseForPackets)
 }
--- a/internal/edge/ports.go
+++ b/internal/edge/ports.go
@@ -45,7 +45,7 @@
 	// Page reads the page of everything that follows after, "" for the first one. It returns
 	// ErrTooLong, without reading on, where the page is known to have more than most bytes; 0 is
 	// no bound.
-	Page(ctx context.Context, after string, most int64) (*Page, error)
+	Page(ctx context.Context, after string, maxBytes int64) (*Page, error)
 	// Changes waits up to wait for changes after a revision. It returns at once
 	// when there are any, and ErrHistoryLost when the revision is too old.
 	Changes(ctx context.Context, after uint64, wait time.Duration) (*directory.Changes, error)
@@ -79,7 +79,7 @@
 var ErrHistoryLost = errors.New("the store has no history since the revision")
 
 // ErrListingLeft means that a listing was not finished, since it is not needed any more.
-var ErrListingLeft = errors.New("the listing was left unfinished")
+var ErrListingAbandoned = errors.New("the listing was left unfinished")
 
 // Adapter is everything that a platform gives to the process.
 type Adapter struct {
--- a/internal/edge/readiness.go
+++ b/internal/edge/readiness.go
@@ -9,7 +9,7 @@
 const (
 	// releaseTime is how long after readiness falls packets may still come: the
 	// platform asks twice a second and lets go after two misses.
-	releaseTime = 1600 * time.Millisecond
+	deregistrationTime = 1600 * time.Millisecond
 	// quietTime without a packet then shows that the platform has let go.
 	quietTime = 300 * time.Millisecond
 	// stopMargin is how long before the end by force the process ends itself.
@@ -24,8 +24,8 @@
 }
 
 func (n *Node) settingsKnown() bool {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	return n.directory.SettingsVersion() > 0
 }
 
@@ -57,7 +57,7 @@
 		pause(ctx, stopPoll)
 		passed := n.now() - begun
 		quiet := n.now() - time.Duration(n.lastPacket.Load())
-		if ctx.Err() != nil || passed >= last || passed >= releaseTime && quiet >= quietTime {
+		if ctx.Err() != nil || passed >= last || passed >= deregistrationTime && quiet >= quietTime {
 			return nil
 		}
 	}
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -11,14 +11,14 @@
 )
 
 // reloadInterval is how often the settings file is looked at without a signal.
-const reloadInterval = 2 * time.Second
+const reloadPoll = 2 * time.Second
 
 // reload reads the settings file again and puts in force what may change while the
 // process runs: seeds, bounds and defaults. A faulty file changes nothing. Without
 // asked, a file that reads as before is not mentioned.
-func (n *Node) reload(path string, asked bool) {
+func (n *Node) reload(path string, requested bool) {
 	document, err := os.ReadFile(path)
-	if err == nil && !asked && bytes.Equal(document, n.document) {
+	if err == nil && !requested && bytes.Equal(document, n.document) {
 		return
 	}
 	if err != nil {
@@ -33,14 +33,14 @@
 		return
 	}
 	changed, fixed := n.reconfigure(&next)
-	if asked || !first {
+	if requested || !first {
 		n.log.Info("reloaded", "changed", changed, "needs_restart", fixed)
 	}
 }
 
 // reconfigure puts the changeable fields of next in force. It returns the names of
 // the fields that changed and of those that differ but need a restart.
-func (n *Node) reconfigure(next *Config) (changed, fixed []string) {
+func (n *Node) reconfigure(next *Config) (changed, needRestart []string) {
 	merged := *n.config()
 	if !slices.Equal(merged.Seeds, next.Seeds) {
 		changed, merged.Seeds = append(changed, "seeds"), next.Seeds
@@ -63,16 +63,16 @@
 		{"snapshot", merged.Snapshot, next.Snapshot},
 	} {
 		if field.old != field.now {
-			fixed = append(fixed, field.name)
+			needRestart = append(needRestart, field.name)
 		}
 	}
 	n.current.Store(&merged)
-	n.beliefs.Lock()
-	n.directory.Keep(departedTime(&merged))
+	n.stateMutex.Lock()
+	n.directory.Keep(removedRetention(&merged))
 	n.directory.SetLapse(directory.LapseWithin(merged.Bounds.Contact, merged.Bounds.Drain))
-	n.beliefs.Unlock()
-	n.steering.Lock()
+	n.stateMutex.Unlock()
+	n.steeringMutex.Lock()
 	n.steerer.Reconfigure(steeringConfig(&merged))
-	n.steering.Unlock()
-	return changed, fixed
+	n.steeringMutex.Unlock()
+	return changed, needRestart
 }
--- a/internal/edge/serving.go
+++ b/internal/edge/serving.go
@@ -15,7 +15,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathDirectory, n.servePeerListing)
 	mux.HandleFunc("GET "+pathChanges, n.servePeerChanges)
-	mux.HandleFunc("GET "+pathOutline, n.serveOutline)
+	mux.HandleFunc("GET "+pathSummary, n.serveSummary)
 	return n.limitFollowers(mux)
 }
 
@@ -24,14 +24,14 @@
 func (n *Node) servePeerListing(w http.ResponseWriter, _ *http.Request) {
 	defer n.listings.Add(-1)
 	if n.listings.Add(1) > maxNarrowListings && follow.Narrow(n.config().LinkMbps) {
-		sendAway(w)
+		rejectPeer(w)
 		return
 	}
-	n.answerPeer(w, question{})
+	n.answerPeer(w, peerRequest{})
 }
 
 // sendAway tells another balancer to look elsewhere.
-func sendAway(w http.ResponseWriter) {
+func rejectPeer(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -41,11 +41,11 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.followers.Add(1) > maxFollowers {
 			n.followers.Add(-1)
-			sendAway(w)
+			rejectPeer(w)
 			return
 		}
 		defer n.followers.Add(-1)
-		endWriting(w, maxPeerWait+follow.TransferTimeout)
+		setWriteTimeout(w, maxPeerWait+follow.TransferTimeout)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -53,7 +53,7 @@
 // endWriting bounds how long the answer may take to write from now on. A connection that has
 // fallen silent, or an asker that does not read, would hold the place of a follower until the
 // kernel gives up, which takes many minutes; the asker gives up after follow.TransferTimeout.
-func endWriting(w http.ResponseWriter, within time.Duration) {
+func setWriteTimeout(w http.ResponseWriter, within time.Duration) {
 	// It fails only where the connection has no deadlines, as in tests that write to memory.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(within))
 }
@@ -73,7 +73,7 @@
 	}
 	wait := min(time.Duration(waitMs)*time.Millisecond, maxPeerWait)
 	woken := n.changed.wait()
-	if !n.knowsMore(after, time.Duration(ageMs)*time.Millisecond) {
+	if !n.hasNewer(after, time.Duration(ageMs)*time.Millisecond) {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -84,20 +84,20 @@
 			return
 		}
 	}
-	n.answerPeer(w, question{after: after, base: base})
+	n.answerPeer(w, peerRequest{after: after, base: base})
 }
 
 // knowsMore tells whether this balancer knows of changes after a revision, or of a newer
 // confirmation of it by the store than one of the age.
-func (n *Node) knowsMore(after uint64, age time.Duration) bool {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+func (n *Node) hasNewer(after uint64, age time.Duration) bool {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	return n.directory.Revision() > after || n.confirmed.Renews(n.now(), age)
 }
 
 // question is what another balancer asks for: everything, or what follows after what
 // it has.
-type question struct {
+type peerRequest struct {
 	// after is up to where the asker is complete, 0 for nothing.
 	after uint64
 	// base is the revision of the settings that it has in force.
@@ -107,37 +107,37 @@
 }
 
 // answerPeer tells another balancer what is believed here.
-func (n *Node) answerPeer(w http.ResponseWriter, q question) {
-	n.beliefs.Lock()
-	age, generation := n.beliefAge(), n.generation
-	n.beliefs.Unlock()
-	body, err := n.answers.get(generation, q, func() *peerAnswer { return n.answerTo(q) })
+func (n *Node) answerPeer(w http.ResponseWriter, request peerRequest) {
+	n.stateMutex.Lock()
+	age, generation := n.staleness(), n.generation
+	n.stateMutex.Unlock()
+	body, err := n.answerCache.get(generation, request, func() *peerAnswer { return n.buildAnswer(request) })
 	if err != nil {
 		n.log.Error("cannot encode beliefs for another balancer", "error", err)
 		http.Error(w, "encoding", http.StatusInternalServerError)
 		return
 	}
 	// Read after the body, which may name back ends that lapsed only just now.
-	n.tellReturnAge(w.Header())
+	n.setReturnAge(w.Header())
 	w.Header().Set(headerAge, strconv.FormatInt(int64(age), 10))
 	if body.compressed {
 		w.Header().Set("Content-Encoding", encodingGzip)
 	}
-	endWriting(w, follow.TransferTimeout)
+	setWriteTimeout(w, follow.TransferTimeout)
 	n.metrics.answerBytes.Add(len(body.bytes))
 	// The asker may be gone; it asks again elsewhere.
 	_, _ = w.Write(body.bytes)
 }
 
 // answerTo collects the answer to a question.
-func (n *Node) answerTo(q question) *peerAnswer {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
-	if q.zone != "" {
-		return &peerAnswer{Listing: n.directory.Outline(q.zone)}
+func (n *Node) buildAnswer(request peerRequest) *peerAnswer {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
+	if request.zone != "" {
+		return &peerAnswer{Listing: n.directory.Outline(request.zone)}
 	}
-	if q.after > 0 {
-		if changes, known := n.directory.Since(q.after, q.base); known {
+	if request.after > 0 {
+		if changes, known := n.directory.Since(request.after, request.base); known {
 			return &peerAnswer{Changes: changes}
 		}
 	}
--- a/internal/edge/signals_test.go
+++ b/internal/edge/signals_test.go
@@ -17,7 +17,7 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-const signalledSettings = `
+const signalSettings = `
 node: test
 zone: a
 data: 127.0.0.1:9000
@@ -28,13 +28,13 @@
 `
 
 // signalled is a node that handles the test process's signals until the test ends.
-func signalled(t *testing.T) (node *Node, cancelled chan struct{}) {
+func nodeWithSignals(t *testing.T) (node *Node, cancelled chan struct{}) {
 	t.Helper()
-	if _, faults := ParseConfig([]byte(signalledSettings)); len(faults) > 0 {
+	if _, faults := ParseConfig([]byte(signalSettings)); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	path := filepath.Join(t.TempDir(), "settings.yaml")
-	if err := os.WriteFile(path, []byte(signalledSettings), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(signalSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	node, cancelled = newTestNode(t, nil), make(chan struct{})
@@ -46,9 +46,9 @@
 // full. While a reload waited for a large change to be taken in, four more filled it, and the request to stop was
 // lost: no line "leaving", and the platform ended the process by force once its time was over.
 func TestAStopIsHeardBehindManyReloads(t *testing.T) {
-	node, _ := signalled(t)
-	node.beliefs.Lock()
-	defer node.beliefs.Unlock()
+	node, _ := nodeWithSignals(t)
+	node.stateMutex.Lock()
+	defer node.stateMutex.Unlock()
 	for range 10 {
 		sendSelf(t, syscall.SIGHUP)
 	}
@@ -63,7 +63,7 @@
 // TestASecondRequestToStopCutsNothing: it ended the process at once, in the time in which routers still send packets of
 // open flows here. Only an operator at a terminal, who interrupts twice, wants that.
 func TestASecondRequestToStopCutsNothing(t *testing.T) {
-	node, cancelled := signalled(t)
+	node, cancelled := nodeWithSignals(t)
 	sendSelf(t, syscall.SIGTERM)
 	sendSelf(t, syscall.SIGTERM)
 	select {
--- a/internal/edge/silent_test.go
+++ b/internal/edge/silent_test.go
@@ -17,7 +17,7 @@
 )
 
 // serveSilenceable serves another balancer's control address on connections that can fall silent.
-func serveSilenceable(t *testing.T, handler http.Handler) (netip.AddrPort, *tagged.Silencer) {
+func serveWithSilencer(t *testing.T, handler http.Handler) (netip.AddrPort, *tagged.Silencer) {
 	t.Helper()
 	silencer := &tagged.Silencer{}
 	server := httptest.NewUnstartedServer(handler)
@@ -34,7 +34,7 @@
 	source.directory.Replace(0, &directory.Listing{Revision: 7, Settings: &directory.Settings{Version: 1, Revision: 7, Tree: settings.Tree{"": {}}}})
 	// Two calls at once, so that two connections are open.
 	both := make(chan struct{}, 2)
-	control, silencer := serveSilenceable(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	control, silencer := serveWithSilencer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/both" {
 			both <- struct{}{}
 			for len(both) < 2 {
@@ -62,10 +62,10 @@
 	}
 	silencer.Silence()
 	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: 300 * time.Millisecond}
-	if outcome, _ := node.carryOut(t.Context(), call); outcome.Result != follow.Failed {
+	if outcome, _ := node.execute(t.Context(), call); outcome.Result != follow.Failed {
 		t.Fatalf("a call on a silent connection ends with %v", outcome.Result)
 	}
-	if outcome, err := node.carryOut(t.Context(), call); outcome.Result != follow.Done {
+	if outcome, err := node.execute(t.Context(), call); outcome.Result != follow.Done {
 		t.Errorf("the call after it ends with %v: %v", outcome.Result, err)
 	}
 }
@@ -110,12 +110,12 @@
 }
 
 // await waits until a condition holds.
-func await(t *testing.T, most time.Duration, what string, holds func() bool) {
+func await(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(most); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if holds() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Errorf("not within %v: %s", most, what)
+	t.Errorf("not within %v: %s", timeout, what)
 }
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -13,7 +13,7 @@
 const snapshotPoll = time.Second
 
 // keepSnapshot writes the snapshot when this balancer is to, until ctx ends.
-func (n *Node) keepSnapshot(ctx context.Context) error {
+func (n *Node) maintainSnapshot(ctx context.Context) error {
 	if n.adapter.Keeper == nil || !n.config().Snapshot {
 		return nil
 	}
@@ -33,12 +33,12 @@
 
 // nextSnapshot returns what is to be written now, if anything.
 func (n *Node) nextSnapshot() (*snapshot.Write, bool) {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	now := n.now()
 	state := snapshot.State{
-		Now: now, Age: n.beliefAge(), Known: now - n.knownAt, Lower: n.peers.HasLower(now),
-		Able: n.directory.Revision() > 0 && n.asksStore.Load() && !n.leaving.Load() && !n.failing.Load(),
+		Now: now, Age: n.staleness(), Known: now - n.initializedAt, Lower: n.peers.HasLower(now),
+		Able: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeFailing.Load(),
 	}
 	if age, known := n.directory.SinceReturn(now); known {
 		state.ReturnAge = age
@@ -60,9 +60,9 @@
 	defer cancel()
 	n.metrics.storeCalls.Inc()
 	outcome, err := n.adapter.Keeper.Keep(ctx, write)
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	n.snapshots.Done(n.now(), *write, outcome)
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	if outcome.Revision > 0 {
 		n.metrics.snapshotWrites.Inc()
 		n.log.Info("snapshot written", "parts", len(write.Parts), "revision", outcome.Revision)
@@ -74,40 +74,40 @@
 
 // readSnapshot adds to a listing which back ends are missing by the snapshot, where nothing was known here
 // before: a process that is about as old as the contact bound has others to ask.
-func (n *Node) readSnapshot(listing *directory.Listing, kept []snapshot.Stored) {
-	if len(kept) == 0 || !n.config().Snapshot {
+func (n *Node) readSnapshot(listing *directory.Listing, parts []snapshot.Stored) {
+	if len(parts) == 0 || !n.config().Snapshot {
 		return
 	}
-	n.beliefs.Lock()
-	n.snapshots.Heard(kept)
-	young := n.directory.Revision() == 0 && n.mayBelieveSnapshot()
-	n.beliefs.Unlock()
-	if !young {
+	n.stateMutex.Lock()
+	n.snapshots.Heard(parts)
+	usable := n.directory.Revision() == 0 && n.snapshotUsable()
+	n.stateMutex.Unlock()
+	if !usable {
 		return
 	}
-	reading := snapshot.Read(kept)
+	reading := snapshot.Read(parts)
 	if len(reading.Faults) > 0 {
 		n.metrics.snapshotFaults.Add(len(reading.Faults))
-		n.log.Warn("snapshot not believed", "parts", len(reading.Faults), "of", len(kept), "error", reading.Faults[0])
+		n.log.Warn("snapshot not believed", "parts", len(reading.Faults), "of", len(parts), "error", reading.Faults[0])
 	}
 	listing.Missing = reading.Missing(listing.Records)
 	if len(listing.Missing) > 0 {
-		n.metrics.lapsed.Add(len(listing.Missing))
+		n.metrics.expired.Add(len(listing.Missing))
 		n.log.Info("back ends known by the snapshot", "count", len(listing.Missing), "listed", len(listing.Records), "revision", listing.Revision)
 	}
 }
 
 // mayBelieveSnapshot tells whether the belief ends before this process can be in touch: the contact bound after its
 // start, or after the outage of the store that it has met itself.
-func (n *Node) mayBelieveSnapshot() bool {
+func (n *Node) snapshotUsable() bool {
 	bounds := &n.config().Bounds
-	return n.failing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
+	return n.storeFailing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
 }
 
 // noteMembership tells the writer of the snapshot of changes. The beliefs lock is held.
-func (n *Node) noteMembership(events []directory.Event) {
-	if n.knownAt == 0 {
-		n.knownAt = n.now()
+func (n *Node) recordMembership(events []directory.Event) {
+	if n.initializedAt == 0 {
+		n.initializedAt = n.now()
 	}
 	if directory.MembershipChanged(events) {
 		n.snapshots.Changed()
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -13,13 +13,13 @@
 )
 
 // fakeKeeper keeps parts as the store does; lost answers are those of writes that are done.
-type fakeKeeper struct {
+type fakeSnapshotStore struct {
 	kept  map[int]snapshot.Stored
 	lost  bool
 	calls int
 }
 
-func (k *fakeKeeper) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
+func (k *fakeSnapshotStore) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
 	k.calls++
 	for _, part := range write.Parts {
 		if stored := k.kept[part.Part]; stored.Revision != part.Revision {
@@ -36,7 +36,7 @@
 }
 
 // eight are back ends of one group.
-func eight() *directory.Listing {
+func eightBackends() *directory.Listing {
 	listing := &directory.Listing{Revision: 9, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: settings.Tree{"": {}}}}
 	for id := settings.BackendID(1); id <= 8; id++ {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80)
@@ -46,29 +46,29 @@
 }
 
 // writerOf is a node that is to write a snapshot of what a listing has.
-func writerOf(t *testing.T, keeper *fakeKeeper, listing *directory.Listing) *Node {
+func snapshotWriter(t *testing.T, keeper *fakeSnapshotStore, listing *directory.Listing) *Node {
 	node := newTestNode(t, &fakeSource{})
-	switchOn(node)
+	enableSnapshot(node)
 	node.adapter.Keeper = keeper
 	node.started = time.Now().Add(-time.Minute)
-	node.asksStore.Store(true)
+	node.followsStore.Store(true)
 	node.replace(listing, "store", 0)
-	node.knownAt = time.Second
+	node.initializedAt = time.Second
 	return node
 }
 
-func switchOn(node *Node) {
+func enableSnapshot(node *Node) {
 	config := *node.config()
 	config.Snapshot = true
 	node.current.Store(&config)
 }
 
 // starter is a node that starts and lists the store, which has few back ends and the parts.
-func starter(t *testing.T, on bool, listed *directory.Listing, kept ...snapshot.Stored) *Node {
+func startedNode(t *testing.T, on bool, listed *directory.Listing, kept ...snapshot.Stored) *Node {
 	t.Helper()
 	node := newTestNode(t, &fakeSource{listing: listed, kept: kept})
 	if on {
-		switchOn(node)
+		enableSnapshot(node)
 	}
 	if err := node.listStore(t.Context(), 0); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	return node
 }
 
-func lapsedOf(node *Node) (count int) {
+func expiredCount(node *Node) (count int) {
 	for id := settings.BackendID(1); id <= 8; id++ {
 		if node.directory.IsLapsed(id) {
 			count++
@@ -87,8 +87,8 @@
 
 // TestABalancerThatStartsKnowsWhoWasThere by what another one wrote before.
 func TestABalancerThatStartsKnowsWhoWasThere(t *testing.T) {
-	keeper := &fakeKeeper{kept: map[int]snapshot.Stored{}}
-	writer := writerOf(t, keeper, eight())
+	keeper := &fakeSnapshotStore{kept: map[int]snapshot.Stored{}}
+	writer := snapshotWriter(t, keeper, eightBackends())
 	write, due := writer.nextSnapshot()
 	if !due {
 		t.Fatal("nothing is written")
@@ -100,34 +100,34 @@
 	if _, again := writer.nextSnapshot(); again {
 		t.Error("it is written again without a change")
 	}
-	few := eight()
+	few := eightBackends()
 	few.Records = few.Records[:2]
-	if lapsed := lapsedOf(starter(t, true, few, keeper.kept[0])); lapsed != 6 {
+	if lapsed := expiredCount(startedNode(t, true, few, keeper.kept[0])); lapsed != 6 {
 		t.Errorf("%d back ends are believed in, want 6", lapsed)
 	}
-	if lapsed := lapsedOf(starter(t, false, few, keeper.kept[0])); lapsed != 0 {
+	if lapsed := expiredCount(startedNode(t, false, few, keeper.kept[0])); lapsed != 0 {
 		t.Errorf("%d back ends are believed in though no snapshot is wanted", lapsed)
 	}
 	torn := keeper.kept[0]
 	torn.Value = torn.Value[:len(torn.Value)-1]
-	node := starter(t, true, few, torn)
-	if lapsed := lapsedOf(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
+	node := startedNode(t, true, few, torn)
+	if lapsed := expiredCount(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
 		t.Errorf("a torn part: %d are believed in, %d faults", lapsed, node.metrics.snapshotFaults.Get())
 	}
 	// A process of some age has not lost everything just now.
 	old := newTestNode(t, &fakeSource{listing: few, kept: []snapshot.Stored{keeper.kept[0]}})
-	switchOn(old)
+	enableSnapshot(old)
 	old.started = time.Now().Add(-time.Minute)
-	if err := old.listStore(t.Context(), 0); err != nil || lapsedOf(old) != 0 {
-		t.Errorf("an old process believes in %d, %v", lapsedOf(old), err)
+	if err := old.listStore(t.Context(), 0); err != nil || expiredCount(old) != 0 {
+		t.Errorf("an old process believes in %d, %v", expiredCount(old), err)
 	}
 }
 
 // TestAWriteWithoutAnAnswerIsFoundOut: it was done, so that the next one hears of a conflict and has
 // nothing to write.
 func TestAWriteWithoutAnAnswerIsFoundOut(t *testing.T) {
-	keeper := &fakeKeeper{kept: map[int]snapshot.Stored{}, lost: true}
-	node := writerOf(t, keeper, eight())
+	keeper := &fakeSnapshotStore{kept: map[int]snapshot.Stored{}, lost: true}
+	node := snapshotWriter(t, keeper, eightBackends())
 	for range 3 {
 		write, due := node.nextSnapshot()
 		if !due {
--- a/internal/edge/telling_bench_test.go
+++ b/internal/edge/telling_bench_test.go
@@ -19,7 +19,7 @@
 	asker := peerSource{node, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := asker.changes(context.Background(), question{after: 1, base: 1}, time.Minute, time.Second); err != nil {
+		if _, err := asker.changes(context.Background(), peerRequest{after: 1, base: 1}, time.Minute, time.Second); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/edge/verdict.go
+++ b/internal/edge/verdict.go
@@ -18,33 +18,33 @@
 
 // logVerdict writes a line for each decision on a flow. Packets of established
 // flows that follow their tag decide nothing and are only counted.
-func (n *Node) logVerdict(packet *steering.Packet, verdict *steering.Verdict) {
+func (n *Node) logDecision(packet *steering.Packet, decision *steering.Verdict) {
 	switch {
-	case verdict.Action != steering.Forward:
-		n.logRefusal(packet, verdict)
-	case verdict.Moved:
+	case decision.Action != steering.Forward:
+		n.logRefusal(packet, decision)
+	case decision.Moved:
 		n.metrics.moved.Inc()
-		n.metrics.byPart[verdict.PartReason].Inc()
-		n.logFlow(&n.oddLines, "flow moved before opening", "caller", packet.Flow.Caller, "service", packet.Flow.Service, "attempt", packet.Attempt,
-			"backend", backendName(verdict.Backend.ID), "before", backendName(verdict.Previous.ID), "part", string(verdict.Part.Path), "part_reason", verdict.PartReason.String(),
+		n.metrics.byPart[decision.PartReason].Inc()
+		n.logFlow(&n.exceptionLines, "flow moved before opening", "caller", packet.Flow.Caller, "service", packet.Flow.Service, "attempt", packet.Attempt,
+			"backend", backendName(decision.Backend.ID), "before", backendName(decision.Previous.ID), "part", string(decision.Part.Path), "part_reason", decision.PartReason.String(),
 			"revision", n.viewRevision.Load())
-	case verdict.Repinned:
+	case decision.Repinned:
 		n.metrics.repinned.Inc()
-	case verdict.Placed:
+	case decision.Placed:
 		n.metrics.placed.Inc()
-		if verdict.Spilled {
+		if decision.Spilled {
 			n.metrics.spilled.Inc()
 		}
-		n.metrics.byPart[verdict.PartReason].Inc()
-		n.logPlacement(packet, verdict)
+		n.metrics.byPart[decision.PartReason].Inc()
+		n.logPlacement(packet, decision)
 	}
 }
 
-func (n *Node) logPlacement(packet *steering.Packet, verdict *steering.Verdict) {
-	n.logFlow(&n.placedLines, "flow placed", "caller", packet.Flow.Caller, "service", packet.Flow.Service, "attempt", packet.Attempt,
-		"backend", backendName(verdict.Backend.ID), "address", verdict.Backend.Address, "spilled", verdict.Spilled,
-		"part", string(verdict.Part.Path), "part_reason", verdict.PartReason.String(),
-		"load", round(verdict.Load), "mean", round(verdict.Mean), "candidates", verdict.Candidates, "revision", n.viewRevision.Load())
+func (n *Node) logPlacement(packet *steering.Packet, decision *steering.Verdict) {
+	n.logFlow(&n.placementLines, "flow placed", "caller", packet.Flow.Caller, "service", packet.Flow.Service, "attempt", packet.Attempt,
+		"backend", backendName(decision.Backend.ID), "address", decision.Backend.Address, "spilled", decision.Spilled,
+		"part", string(decision.Part.Path), "part_reason", decision.PartReason.String(),
+		"load", round(decision.Load), "mean", round(decision.Mean), "candidates", decision.Candidates, "revision", n.viewRevision.Load())
 }
 
 // logObservations writes what packets have shown of back ends.
@@ -67,11 +67,11 @@
 	return math.Round(load*10) / 10
 }
 
-func (n *Node) logRefusal(packet *steering.Packet, verdict *steering.Verdict) {
+func (n *Node) logRefusal(packet *steering.Packet, decision *steering.Verdict) {
 	message := "packet dropped"
-	if verdict.Action == steering.Refuse {
+	if decision.Action == steering.Refuse {
 		message = "flow refused"
 	}
-	n.logFlow(&n.oddLines, message, "reason", verdict.Reason.String(), "caller", packet.Flow.Caller, "service", packet.Flow.Service,
+	n.logFlow(&n.exceptionLines, message, "reason", decision.Reason.String(), "caller", packet.Flow.Caller, "service", packet.Flow.Service,
 		"attempt", packet.Attempt, "tag", uint32(packet.Tag), "revision", n.viewRevision.Load())
 }
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -7,21 +7,21 @@
 )
 
 // maxWaiting is how many datagrams may wait at once; more are steered at once.
-const maxWaiting = 256
+const maxDelayed = 256
 
 // waitWith steers a datagram again after a moment, or at once where too many wait.
-func (n *Node) waitWith(datagram []byte) {
-	if n.waiting.Add(1) > maxWaiting {
-		n.steerAgain(datagram)
+func (n *Node) delayCopy(datagram []byte) {
+	if n.delayed.Add(1) > maxDelayed {
+		n.handleDelayed(datagram)
 		return
 	}
-	n.metrics.waited.Inc()
+	n.metrics.delayedCopies.Inc()
 	copied := append([]byte(nil), datagram...)
-	time.AfterFunc(steering.CopyWait, func() { n.steerAgain(copied) })
+	time.AfterFunc(steering.CopyWait, func() { n.handleDelayed(copied) })
 }
 
 // steerAgain steers a datagram that has waited.
-func (n *Node) steerAgain(datagram []byte) {
-	defer n.waiting.Add(-1)
-	n.handleKept(datagram, &steering.Packet{Waited: true})
+func (n *Node) handleDelayed(datagram []byte) {
+	defer n.delayed.Add(-1)
+	n.handleStored(datagram, &steering.Packet{Waited: true})
 }
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -173,8 +173,8 @@
 	control := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	source := &peerSource{node, control}
 	_, _ = source.list(context.Background())
-	_, _ = source.changes(context.Background(), question{after: 5, base: 6}, 7*time.Millisecond, 8*time.Millisecond)
-	node.learnOutline(context.Background(), control)
+	_, _ = source.changes(context.Background(), peerRequest{after: 5, base: 6}, 7*time.Millisecond, 8*time.Millisecond)
+	node.fetchSummary(context.Background(), control)
 	want := "GET /v2/directory gzip\nGET /v2/changes?after=5&settings=6&age=7&wait=8 gzip\nGET /v2/outline?zone=a+b gzip"
 	if got := strings.Join(requests, "\n"); got != want {
 		t.Errorf("requests\n%s\nwant\n%s", got, want)
@@ -187,16 +187,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reply := replyOf(body)
+	reply := httpReply(body)
 	reply.Header = http.Header{"Gaugeyard-Age": {"3"}, "Gaugeyard-Return-Age": {"4"}}
 	if answer, err := readAnswer(reply); err != nil || answer.Age != 3 || answer.ReturnAge != 4 {
 		t.Errorf("answer %+v, %v", answer, err)
 	}
 	node := newTestNode(t, &fakeSource{})
 	node.replace(listing(t, 5), "store", 0)
-	node.hearReturn(time.Millisecond)
+	node.receiveStoreReturn(time.Millisecond)
 	recorder := httptest.NewRecorder()
-	node.answerPeer(recorder, question{})
+	node.answerPeer(recorder, peerRequest{})
 	for _, name := range []string{"Gaugeyard-Age", "Gaugeyard-Return-Age"} {
 		if recorder.Header().Get(name) == "" {
 			t.Errorf("no %s in the headers %v", name, recorder.Header())
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -11,10 +11,10 @@
 )
 
 // starting makes the test's program a process that does nothing but start.
-const starting = "GAUGEYARD_TEST_STARTING"
+const childEnv = "GAUGEYARD_TEST_STARTING"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(starting) == "" {
+	if os.Getenv(childEnv) == "" {
 		os.Exit(m.Run())
 	}
 	fmt.Print("!")
@@ -31,7 +31,7 @@
 // reload series at a balancer that had just been started).
 func TestAProcessThatStartsSurvivesAHangup(t *testing.T) {
 	program := exec.Command(os.Args[0])
-	program.Env = append(os.Environ(), starting+"=1")
+	program.Env = append(os.Environ(), childEnv+"=1")
 	out, err := program.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
