--- a/internal/edge/answers.go
+++ b/internal/edge/answers.go
@@ -16,42 +16,43 @@
 )
 
 const (
-	// headerAge tells in nanoseconds how long ago the store confirmed an answer.
+	// headerAge is the header with the staleness of an answer in nanoseconds: the time since the store
+	// last confirmed it.
 	headerAge    = "Gaugeyard-Age"
 	encodingGzip = "gzip"
-	// compressFrom is the length from which answers are compressed, in bytes: links of
-	// balancers are narrow, and many followers ask for the same at once.
+	// minCompressBytes is the length in bytes from which answers are compressed. Links between
+	// balancers may be narrow, and many followers request the same answer at once.
 	minCompressBytes = 2048
-	// usualRatio is how much longer an answer is than its compressed form, roughly.
+	// compressionRatio is the typical ratio of an answer's length to its compressed length. It sizes buffers.
 	compressionRatio = 12
-	// maxAnswers is how many encoded answers are kept for one generation.
+	// maxCachedAnswers bounds the encoded answers that are cached for one generation.
 	maxCachedAnswers = 8
 )
 
-// encodedAnswer is an answer as it is sent.
+// encodedAnswer is the body of an answer as it is sent.
 type encodedAnswer struct {
 	bytes      []byte
 	compressed bool
 }
 
-// answers keeps what was encoded for followers that ask the same, since after a change
-// all of them do. The zero value is ready.
+// answerCache holds encoded answers of one generation of the known state. After a change all followers
+// send the same request. The zero value is ready to use.
 type answerCache struct {
-	// mutex is taken before that of beliefs, and never while that is held: an answer is built under it.
+	// mutex is acquired before Node.stateMutex and never while that is held: answers are built under it.
 	mutex      sync.Mutex
 	generation uint64
 	entries    map[peerRequest]encodedAnswer
 }
 
-// put keeps an answer that another balancer gave to a question, for those who ask the same here.
+// put caches an answer that was received from another balancer, to forward it to followers that send the
+// same request.
 func (a *answerCache) put(generation uint64, request peerRequest, encoded encodedAnswer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.entriesFor(generation)[request] = encoded
 }
 
-// encodedAt returns the answers of a generation, of which there is room for one more. The lock
-// is held.
+// entriesFor returns the entries of a generation, with room for one more. The mutex must be held.
 func (a *answerCache) entriesFor(generation uint64) map[peerRequest]encodedAnswer {
 	if a.entries == nil || a.generation != generation || len(a.entries) >= maxCachedAnswers {
 		a.generation, a.entries = generation, map[peerRequest]encodedAnswer{}
@@ -59,8 +60,8 @@
 	return a.entries
 }
 
-// get returns the encoded answer to a question, built anew unless one of the same
-// generation of beliefs is kept.
+// get returns the encoded answer to a request. It calls build unless an answer of the same generation
+// is cached.
 func (a *answerCache) get(generation uint64, request peerRequest, build func() *peerAnswer) (encodedAnswer, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -75,6 +76,7 @@
 	return encoded, err
 }
 
+// encodeAnswer encodes an answer as msgpack and compresses it if it is long.
 func encodeAnswer(answer *peerAnswer) (encodedAnswer, error) {
 	var plain bytes.Buffer
 	if err := msgpack.NewEncoder(&plain).Encode(answer); err != nil {
@@ -97,8 +99,7 @@
 	return encodedAnswer{bytes: packed.Bytes(), compressed: true}, nil
 }
 
-// readAnswer decodes another balancer's reply; the settings in it are checked when they
-// are taken over.
+// readAnswer decodes another balancer's reply. The settings in it are validated when they are applied.
 func readAnswer(reply *http.Response) (*peerAnswer, error) {
 	age, err := strconv.ParseInt(reply.Header.Get(headerAge), 10, 64)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return answer, codec.UnmarshalInPieces(plain, answer, pieceBytes, pauseForPackets)
 }
 
-// unpack returns what was compressed, at most maxPeerAnswer bytes of it.
+// unpack decompresses at most maxPeerAnswer bytes and drops the rest.
 func unpack(packed []byte) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/edge/answers_test.go
+++ b/internal/edge/answers_test.go
@@ -14,7 +14,7 @@
 	"gaugeyard/internal/follow"
 )
 
-// telling starts a node that knows 40 routes at revision 1, and returns where it is asked.
+// startPeer starts a node with 40 routes at revision 1, and returns its control address.
 func startPeer(t *testing.T) (*Node, netip.AddrPort) {
 	t.Helper()
 	n := newTestNode(t, &fakeSource{})
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestAnAnswerIsPassedOnAsItCame to those who ask the same, and one who asks from other settings
-// is told by what is believed here.
-func TestAnAnswerIsPassedOnAsItCame(t *testing.T) {
+// TestAnAnswerIsForwardedUnchanged checks that followers with the same request get the received bytes, and that a
+// follower with other settings gets an answer built from the local state.
+func TestAnAnswerIsForwardedUnchanged(t *testing.T) {
 	first, atFirst := startPeer(t)
 	second, atSecond := startPeer(t)
 	third, _ := startPeer(t)
@@ -42,7 +42,7 @@
 	requestChanges(t, second, atFirst)
 	kept, passedOn := second.answerCache.entries[asked]
 	if sent := first.answerCache.entries[asked]; !passedOn || !bytes.Equal(kept.bytes, sent.bytes) || !kept.compressed {
-		t.Errorf("an answer of %d bytes is passed on as %d", len(sent.bytes), len(kept.bytes))
+		t.Errorf("an answer of %d bytes is forwarded as %d", len(sent.bytes), len(kept.bytes))
 	}
 	requestChanges(t, third, atSecond)
 	if got := len(third.directory.View().Settings.Services); got != 300 || third.revision() != 2 || third.directory.SettingsVersion() != 2 {
@@ -55,12 +55,12 @@
 	}
 	answer, err := (&peerSource{third, atSecond}).changes(context.Background(), peerRequest{after: 1}, 0, time.Second)
 	if err != nil || answer.Changes.Step != nil || answer.Changes.Settings == nil || len(answer.Changes.Settings.Tree) != len(routeTree(299)) {
-		t.Errorf("one whose settings are not known is told %+v, %v", answer, err)
+		t.Errorf("a follower whose settings are not known gets %+v, %v", answer, err)
 	}
 }
 
-// TestAnAnswerThatIsCutChangesNothing, wherever it ends.
-func TestAnAnswerThatIsCutChangesNothing(t *testing.T) {
+// TestATruncatedAnswerChangesNothing guards against state from a partial answer.
+func TestATruncatedAnswerChangesNothing(t *testing.T) {
 	_, changes := settingsGrowth(t, 300)
 	encoded, err := encodeAnswer(&peerAnswer{Changes: changes})
 	if err != nil {
@@ -75,7 +75,7 @@
 		}))
 		peer := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 		if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer}); err == nil {
-			t.Errorf("%d of %d bytes are taken", length, len(encoded.bytes))
+			t.Errorf("%d of %d bytes are accepted", length, len(encoded.bytes))
 		}
 		server.Close()
 		if len(n.directory.View().Settings.Services) != 40 || n.revision() != 1 || len(n.answerCache.entries) > 0 {
--- a/internal/edge/broadcast.go
+++ b/internal/edge/broadcast.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// broadcast wakes everyone who waits. The zero value is ready.
+// broadcast wakes all goroutines that wait for an event. The zero value is ready to use.
 type broadcast struct {
 	mutex sync.Mutex
 	next  chan struct{}
 }
 
-// wait returns a channel that the next wake closes.
+// wait returns a channel that the next call of wake closes.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -18,7 +18,7 @@
 	return b.next
 }
 
-// wake closes the channels that wait returned since the last wake.
+// wake closes the channel that wait has returned since the previous call.
 func (b *broadcast) wake() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/edge/changelog.go
+++ b/internal/edge/changelog.go
@@ -7,11 +7,12 @@
 	"gaugeyard/internal/directory"
 )
 
-// maxEventLines is how many back ends that changed together in one way have a line each. While 45% of 10,000
-// servers are replaced in a minute, each balancer would write 270 lines a second, which on a fifth of a core is 1% of it.
+// maxLinesPerTransition is how many events with the same transition in one update are logged one by one.
+// More are logged as one line with a count, to bound the cost of a fleet-wide change.
 const maxLinesPerTransition = 16
 
-// logEvents logs what changed of what is believed.
+// logEvents logs changes of the known state. from is the upstream, age the staleness of the update.
+// The state mutex must be held.
 func (n *Node) logEvents(events []directory.Event, from string, age time.Duration) {
 	counts := map[directory.Transition]int{}
 	for i := range events {
--- a/internal/edge/client.go
+++ b/internal/edge/client.go
@@ -13,26 +13,24 @@
 )
 
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged before a
-	// connection counts as dead.
+	// userTimeout is how long sent data may stay unacknowledged before the kernel closes a connection.
 	userTimeout = time.Second
-	// keepAlive is how often an idle connection is probed.
+	// keepAlive is the interval of keep-alive probes on an idle connection.
 	keepAlive = 500 * time.Millisecond
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = 700 * time.Millisecond
 )
 
-// NewHTTPClient returns a client whose connections are known dead within about a
-// second of a cut. Calls need deadlines of their own.
+// NewHTTPClient returns a client that detects a broken connection within about a second. Requests need
+// their own deadlines.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive, Control: setUserTimeout}
-	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleTime}}
+	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleTimeout}}
 }
 
-// ExpectAnswer returns a context for HTTP calls that ends unless the first byte of an
-// answer has come after first, and the whole answer within rest of that byte. Each
-// further call with the context has rest again. A nil begun is allowed; it is called
-// at each first byte.
+// WithResponseTimeout returns a context for HTTP requests that ends unless the first byte of a response
+// arrives within firstByte, and the whole response within rest of that byte. Each further request with the
+// context has rest again. onFirstByte is called at each first byte and may be nil.
 func ExpectAnswer(ctx context.Context, firstByte, rest time.Duration, onFirstByte func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(firstByte, func() { cancel(context.DeadlineExceeded) })
@@ -48,6 +46,7 @@
 	}
 }
 
+// setUserTimeout sets TCP_USER_TIMEOUT on a connection.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var failure error
 	err := connection.Control(func(descriptor uintptr) {
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -13,44 +13,44 @@
 	"gaugeyard/internal/settings"
 )
 
-// Config is what a process is started with: a YAML file. Unknown fields are ignored.
+// Config is the configuration of a process, read from a YAML file. Unknown fields are ignored.
 type Config struct {
-	// Node names the process in logs.
+	// Node is the name of the process in logs.
 	Node string `yaml:"node"`
-	// Zone is where the machine is.
+	// Zone is the availability zone of the machine.
 	Zone string `yaml:"zone"`
-	// Data receives datagrams; Ready serves readiness and metrics.
+	// Data is the address that receives datagrams. Ready is the address that serves readiness and metrics.
 	Data  netip.AddrPort `yaml:"-"`
 	Ready netip.AddrPort `yaml:"-"`
-	// Control serves other balancers.
+	// Control is the address that serves other balancers.
 	Control netip.AddrPort `yaml:"-"`
-	// Advertise is where other balancers reach Control and the peer port; the zero value
-	// is Control itself. They differ behind a translation of addresses.
+	// Advertise is the address at which other balancers reach Control and the peer port. The zero value
+	// means Control; they differ behind network address translation.
 	Advertise netip.AddrPort `yaml:"-"`
 	// PeerPort is the port for datagrams between balancers, the same on all machines.
 	PeerPort uint16 `yaml:"peer_port"`
-	// Seeds are control addresses of other balancers, perhaps stale.
+	// Seeds are control addresses of other balancers. They may be stale.
 	Seeds []netip.AddrPort `yaml:"-"`
 	// Store is the address of the platform's store.
 	Store netip.AddrPort `yaml:"-"`
-	// Workers read the data socket.
+	// Workers is the number of goroutines that read the data socket.
 	Workers int `yaml:"workers"`
-	// LinkMbps is the bandwidth of the machine's link in Mbit/s, 0 for unknown.
+	// LinkMbps is the bandwidth of the machine's link in Mbit/s, 0 if unknown.
 	LinkMbps float64 `yaml:"link_mbps"`
-	// CPUShare is the part of each core that the machine has for the process, 0 for unknown.
+	// CPUShare is the fraction of each core that is available to the process, 0 if unknown.
 	CPUShare float64 `yaml:"cpu_share"`
-	// ReadyPath is where readiness is asked for.
+	// ReadyPath is the URL path of the readiness check.
 	ReadyPath string `yaml:"ready_path"`
 	Bounds    Bounds `yaml:"bounds"`
-	// Defaults are settings at the root of the tree, below what operators set.
+	// Defaults are settings at the root of the tree. Operators' settings override them.
 	Defaults map[settings.Key]string `yaml:"defaults"`
-	// FirstStart is set when no process of this system ran before.
+	// FirstStart is set when no process of this system has run before.
 	FirstStart bool `yaml:"first_start"`
-	// Snapshot is set where a snapshot of the back ends is kept in the store.
+	// Snapshot enables the snapshot of the back ends in the store.
 	Snapshot bool `yaml:"snapshot"`
 }
 
-// file is the document; addresses are text there, so that each fault names its field.
+// configFile is the YAML document. Addresses are strings in it, so that each error names its field.
 type configFile struct {
 	Config    `yaml:",inline"`
 	Data      string   `yaml:"data"`
@@ -61,27 +61,27 @@
 	Seeds     []string `yaml:"seeds"`
 }
 
-// Bounds are the platform's promises to its users that the process must keep.
+// Bounds are the time and rate limits that the platform guarantees to its users.
 type Bounds struct {
-	// Contact is how long a path must have stood for its ends to be in touch.
+	// Contact is how long a network path must have been up before its ends are expected to be in contact.
 	Contact time.Duration `yaml:"contact"`
-	// Apply is the time within which an accepted change is in force.
+	// Apply is the time within which an accepted change takes effect.
 	Apply time.Duration `yaml:"apply"`
-	// Drain is the time after which a leaving back end gets no new flow.
+	// Drain is the time after which a draining back end gets no new flow.
 	Drain time.Duration `yaml:"drain"`
-	// Announce is how often back ends write their entries.
+	// Announce is the interval at which back ends write their entries.
 	Announce time.Duration `yaml:"announce"`
-	// Grace is the time between the request to stop and the end by force.
+	// Grace is the time between the request to stop and the forced termination.
 	Grace time.Duration `yaml:"grace"`
-	// FlowLife is how long a flow may live.
+	// FlowLife is the longest lifetime of a flow.
 	FlowLife time.Duration `yaml:"flow_life"`
-	// WarmUpOvershoot and WarmUpSlack bound the new flows of a back end that warms up in any second:
-	// the service's rate times the first (1 at the least), plus the second.
+	// WarmUpOvershoot and WarmUpSlack bound the new flows per second of a back end that is warming up:
+	// the service's rate times WarmUpOvershoot (at least 1), plus WarmUpSlack.
 	WarmUpOvershoot float64 `yaml:"warm_up_overshoot"`
 	WarmUpSlack     float64 `yaml:"warm_up_slack"`
 }
 
-// defaultBounds stand where the file gives none.
+// defaultBounds apply where the file sets none.
 var defaultBounds = Bounds{
 	Contact:  4 * time.Second,
 	Apply:    3 * time.Second,
@@ -96,13 +96,13 @@
 const (
 	// maxProcessWorkers bounds the workers of the data socket.
 	maxProcessWorkers = 64
-	// maxBound is the largest bound that is plausible.
+	// maxBound is the largest plausible duration in Bounds.
 	maxBound = 24 * time.Hour
-	// maxWarmUp is the largest number in the bounds of back ends that warm up that is plausible.
+	// maxWarmUp is the largest plausible value of WarmUpOvershoot and WarmUpSlack.
 	maxWarmUp = 1e6
 )
 
-// LoadConfig reads and checks the file. It returns every fault, each with its field.
+// LoadConfig reads and validates the file. It returns all errors, each with the name of its field.
 func LoadConfig(path string) (Config, []error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return ParseConfig(document)
 }
 
-// ParseConfig reads and checks a document.
+// ParseConfig parses and validates a document. It returns all errors, each with the name of its field.
 func ParseConfig(document []byte) (Config, []error) {
 	parsed := configFile{Config: Config{Workers: 1, ReadyPath: "/ready", Bounds: defaultBounds}}
 	if err := yaml.Unmarshal(document, &parsed); err != nil {
@@ -145,7 +145,7 @@
 	return config, append(faults, config.faults()...)
 }
 
-// advertised is where other balancers reach this one.
+// advertised returns the control address at which other balancers reach this one.
 func (c *Config) advertised() netip.AddrPort {
 	if c.Advertise.IsValid() {
 		return c.Advertise
@@ -153,17 +153,17 @@
 	return c.Control
 }
 
-// capacity is the class of the machine for tasks of the fleet.
+// capacity returns the capacity class of the machine for fleet tasks.
 func (c *Config) capacity() peers.Capacity {
 	return peers.CapacityOf(c.CPUShare*float64(c.Workers), c.LinkMbps)
 }
 
-// introduction is what other balancers are told of this one.
+// introduction returns the description of this balancer that others receive.
 func (c *Config) introduction() peers.Introduction {
 	return peers.Introduction{Control: c.advertised(), Zone: c.Zone, Capacity: c.capacity()}
 }
 
-// faults returns what is wrong beyond the form.
+// faults returns the errors in the values of a parsed configuration.
 func (c *Config) faults() []error {
 	var faults []error
 	fault := func(field, format string, arguments ...any) {
--- a/internal/edge/cost_test.go
+++ b/internal/edge/cost_test.go
@@ -13,7 +13,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// routeTree is a tree of as many services with a group each as a platform's routes make.
+// routeTree returns the settings tree of a number of routes: a service with one group for each.
 func routeTree(routes int) settings.Tree {
 	tree := settings.Tree{"": settings.Values{settings.KeyFlowIdle: "15s"}}
 	none := settings.Values{}
@@ -28,8 +28,7 @@
 	return tree
 }
 
-// growth returns a directory with 40 routes and the changes that lead to more, as another
-// balancer tells them that has both.
+// settingsGrowth returns a directory with 40 routes, and the changes that add routes to it as a peer sends them.
 func settingsGrowth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
 	tb.Helper()
 	first := &directory.Listing{Revision: 1, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: routeTree(40)}}
@@ -40,7 +39,7 @@
 	teller.Apply(0, &directory.Changes{Revision: 2, Settings: grown})
 	changes, known := teller.Since(1, 1)
 	if !known || changes.Step == nil {
-		tb.Fatal("no step is told")
+		tb.Fatal("the changes have no step")
 	}
 	return asker, changes
 }
@@ -54,7 +53,7 @@
 	return reply
 }
 
-// BenchmarkGrowth has the stages of taking in settings that grow by some routes.
+// BenchmarkGrowth measures the stages of applying settings that grow by some routes.
 func BenchmarkGrowth(b *testing.B) {
 	for _, routes := range []int{40, 1500, 20_000} {
 		_, changes := settingsGrowth(b, routes)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -29,7 +29,7 @@
 	"gaugeyard/internal/steering"
 )
 
-// TestLogLinesNeverBlock: a reader that does not read costs lines, never time.
+// TestLogLinesNeverBlock guards against callers that block on the output of the log.
 func TestLogLinesNeverBlock(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer reader.Close()
@@ -44,28 +44,28 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a writer of log lines waits for a reader that does not read")
+		t.Fatal("a write of a log line blocks while the output is not read")
 	}
 	if dropped := lines.dropped.Load(); dropped < 8*logQueue {
 		t.Errorf("%d lines were dropped and counted", dropped)
 	}
 }
 
-// TestHeldDatagramsAreBoundedAndGetOld.
-func TestHeldDatagramsAreBoundedAndGetOld(t *testing.T) {
-	var held startupQueue
-	if !held.add(0, []byte("old")) {
-		t.Fatal("nothing is held")
+// TestQueuedDatagramsAreBoundedAndExpire checks the limits of the startup queue.
+func TestQueuedDatagramsAreBoundedAndExpire(t *testing.T) {
+	var queue startupQueue
+	if !queue.add(0, []byte("old")) {
+		t.Fatal("the datagram is not queued")
 	}
 	for range 2 * maxQueued {
-		held.add(2*time.Second, []byte("new"))
+		queue.add(2*time.Second, []byte("new"))
 	}
-	released := held.drain(2*time.Second, true)
+	released := queue.drain(2*time.Second, true)
 	if len(released) != maxQueued-1 || string(released[0].datagram) != "new" {
-		t.Errorf("%d datagrams are released, the first %q", len(released), released[0].datagram)
+		t.Errorf("%d datagrams are drained, the first %q", len(released), released[0].datagram)
 	}
-	if held.add(2*time.Second, []byte("late")) {
-		t.Error("a datagram is held after the release")
+	if queue.add(2*time.Second, []byte("late")) {
+		t.Error("a datagram is queued after the queue was closed")
 	}
 }
 
@@ -79,22 +79,22 @@
 	}
 }
 
-// fakeSource is a store whose answers a test gives.
+// fakeSource is a store with the given answers.
 type fakeSource struct {
 	mutex   sync.Mutex
 	listing *directory.Listing
 	changes []*directory.Changes
 	err     error
-	// paged sources need more than one call to list; listed is called after the first,
-	// and refusals is how many of the next ones fail.
+	// paged sources need more than one call for a listing. listed is called at the first, if not nil;
+	// refusals is how many of the next ones fail.
 	paged    bool
 	listed   func()
 	refusals int
-	// kept are parts of the snapshot.
-	kept []snapshot.Stored
+	// parts are stored parts of the snapshot.
+	parts []snapshot.Stored
 }
 
-// Page gives nothing but the revision on the first page of a paged listing.
+// Page returns only the revision on the first page of a paged listing.
 func (s *fakeSource) Page(_ context.Context, after string, most int64) (*Page, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,7 +110,7 @@
 		s.refusals--
 		return nil, errors.New("too many calls")
 	}
-	return &Page{Listing: *s.listing, Kept: s.kept}, nil
+	return &Page{Listing: *s.listing, Kept: s.parts}, nil
 }
 
 func (s *fakeSource) Changes(context.Context, uint64, time.Duration) (*directory.Changes, error) {
@@ -129,7 +129,7 @@
 
 func (s *fakeSource) Reconnect() {}
 
-// newTestNode is a node on loopback that serves nothing.
+// newTestNode returns a node on loopback that serves no HTTP.
 func newTestNode(t testing.TB, source Source) *Node {
 	t.Helper()
 	config := Config{
@@ -173,12 +173,12 @@
 	return recorder.Code
 }
 
-// TestReadinessFollowsWhatIsKnown: nothing known, then known, then leaving.
-func TestReadinessFollowsWhatIsKnown(t *testing.T) {
+// TestReadinessFollowsState checks readiness without settings, with settings and during a planned stop.
+func TestReadinessFollowsState(t *testing.T) {
 	source := &fakeSource{listing: listing(t, 5)}
 	node := newTestNode(t, source)
 	if code := readiness(node); code != http.StatusServiceUnavailable {
-		t.Errorf("%d before anything is known", code)
+		t.Errorf("%d without settings", code)
 	}
 	if err := node.listStore(context.Background(), 0); err != nil {
 		t.Fatal(err)
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestBalancersTellEachOther: what one believes reaches another one whole, the
-// second time as changes only.
-func TestBalancersTellEachOther(t *testing.T) {
+// TestBalancersExchangeState checks that a balancer receives the full listing of another one, and later the changes
+// alone.
+func TestBalancersExchangeState(t *testing.T) {
 	first := newTestNode(t, &fakeSource{listing: listing(t, 5)})
 	plain := *first.config()
 	plain.Defaults = nil
@@ -209,13 +209,13 @@
 	server := httptest.NewServer(first.controlHandler())
 	defer server.Close()
 	control := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	second := newTestNode(t, &fakeSource{err: errors.New("the store is silent")})
+	second := newTestNode(t, &fakeSource{err: errors.New("the store does not respond")})
 	second.fetchListing(context.Background(), control)
 	if second.revision() != 5 || readiness(second) != http.StatusOK {
 		t.Fatalf("revision %d, readiness %d", second.revision(), readiness(second))
 	}
 	if values := second.directory.Listing().Settings.Tree["fonts/any"]; len(values) > 0 {
-		t.Errorf("a node that gives no values has %v", values)
+		t.Errorf("a settings node without values has %v", values)
 	}
 	first.apply(&directory.Changes{Revision: 6, Gone: []directory.Gone{{ID: 9, Revision: 6}}}, "store", 0)
 	answer, err := (&peerSource{second, control}).changes(context.Background(), peerRequest{after: 5, base: 1}, 0, time.Second)
@@ -223,13 +223,13 @@
 		t.Errorf("answer %+v, %v", answer, err)
 	}
 	if _, err := (&peerSource{second, control}).get(context.Background(), pathChanges+"?after=x"); err == nil {
-		t.Error("a faulty question is answered")
+		t.Error("an invalid request is answered")
 	}
 }
 
-// TestAConfirmationPassesToFollowersAtOnce, though nothing has changed: to those that wait, and
-// to those that ask with an older one. Else each in a chain would believe what is older still.
-func TestAConfirmationPassesToFollowersAtOnce(t *testing.T) {
+// TestAConfirmationReachesFollowersAtOnce guards against staleness that grows along a chain of followers: a
+// confirmation without changes goes to requests that wait and to those with an older confirmation.
+func TestAConfirmationReachesFollowersAtOnce(t *testing.T) {
 	first := newTestNode(t, &fakeSource{listing: listing(t, 5)})
 	if err := first.listStore(context.Background(), 0); err != nil {
 		t.Fatal(err)
@@ -248,21 +248,22 @@
 		return time.Since(began), answer.Age
 	}
 	if took, told := ask(time.Minute); took > wait/2 || told > wait/2 {
-		t.Errorf("who has an older confirmation hears of a newer one after %v: %v old", took, told)
+		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, told)
 	}
-	// As if the last one had come long ago.
+	// Make the last confirmation an old one.
 	first.stateMutex.Lock()
 	first.confirmed = follow.Confirmation{}
 	first.confirmed.Note(first.now(), time.Minute)
 	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
 	if took, told := ask(time.Minute); took > wait/2 || told > wait/2 {
-		t.Errorf("who waits hears of a newer confirmation after %v: %v old", took, told)
+		t.Errorf("a waiting follower receives a newer confirmation after %v: %v old", took, told)
 	}
 }
 
-// TestALargeListingIsLeftWhenAnotherBalancerTellsFirst, and goes on when none does.
-func TestALargeListingIsLeftWhenAnotherBalancerTellsFirst(t *testing.T) {
+// TestALargeListingIsAbandonedWhenAPeerDelivers checks that a paged listing ends when a peer delivers the state first,
+// and is finished otherwise.
+func TestALargeListingIsAbandonedWhenAPeerDelivers(t *testing.T) {
 	lower := netip.MustParseAddrPort("127.0.0.1:2")
 	for number := uint16(2); peers.HashOf(lower) >= peers.HashOf(netip.MustParseAddrPort("127.0.0.1:1")); number++ {
 		lower = netip.AddrPortFrom(lower.Addr(), number)
@@ -274,21 +275,21 @@
 		node.peers.Heard(node.now(), &peers.Hello{Control: lower, Zone: "a", Started: 1})
 		node.stateMutex.Unlock()
 		if tells {
-			// What is told before the listing begins is no reason to leave it.
+			// State that arrives before the listing begins must not end it.
 			source.listed = func() { go node.replace(listing(t, 4), "a peer", 0) }
 		}
 		err := node.listStore(context.Background(), 0)
 		if left := errors.Is(err, ErrListingAbandoned); left != tells {
-			t.Errorf("another balancer tells: %v, listing left: %v (%v)", tells, left, err)
+			t.Errorf("a peer delivers: %v, listing abandoned: %v (%v)", tells, left, err)
 		}
 		if node.revision() == 0 {
-			t.Error("nothing is known")
+			t.Error("no state is known")
 		}
 	}
 }
 
-// TestALargeListingAfterLostHistoryIsFinished: what was known before is no reason to leave
-// it; what another balancer tells meanwhile is.
+// TestALargeListingAfterLostHistoryIsFinished checks that state which was known before does not end a listing, and that
+// newer state from a peer does.
 func TestALargeListingAfterLostHistoryIsFinished(t *testing.T) {
 	node := newTestNode(t, &fakeSource{listing: listing(t, 5), paged: true})
 	node.replace(listing(t, 4), "a peer", 0)
@@ -301,9 +302,9 @@
 	}
 }
 
-// TestARefusedPageCostsNoOther: the listing goes on with the page that failed, and is given up
-// when that fails again and again.
-func TestARefusedPageCostsNoOther(t *testing.T) {
+// TestAFailedPageIsRetried checks that a listing continues at the page that failed, and is abandoned after repeated
+// failures.
+func TestAFailedPageIsRetried(t *testing.T) {
 	for refusals, want := range map[int]uint64{2: 5, 20: 0} {
 		source := &fakeSource{listing: listing(t, 5), paged: true, refusals: refusals}
 		node := newTestNode(t, source)
@@ -316,8 +317,8 @@
 	}
 }
 
-// TestTooManyFollowersAreSentAway, and served again when others have gone.
-func TestTooManyFollowersAreSentAway(t *testing.T) {
+// TestTooManyFollowersAreRejected checks the limit of concurrent requests.
+func TestTooManyFollowersAreRejected(t *testing.T) {
 	first := newTestNode(t, &fakeSource{listing: listing(t, 5)})
 	if err := first.listStore(context.Background(), 0); err != nil {
 		t.Fatal(err)
@@ -327,7 +328,7 @@
 	source := &peerSource{first, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	first.followers.Store(maxFollowers)
 	if _, err := source.list(context.Background()); !errors.Is(err, errPeerFull) {
-		t.Errorf("one more is served: %v", err)
+		t.Errorf("a request beyond the limit is served: %v", err)
 	}
 	first.followers.Store(0)
 	if _, err := source.list(context.Background()); err != nil {
@@ -335,7 +336,7 @@
 	}
 }
 
-// FuzzPeerAnswer: whatever another balancer sends, it is refused or safe to believe.
+// FuzzPeerAnswer checks that any input from a peer is rejected or can be applied without a panic.
 func FuzzPeerAnswer(f *testing.F) {
 	var bodies [][]byte
 	for _, answer := range []peerAnswer{
@@ -375,9 +376,9 @@
 	})
 }
 
-// TestAnAnswerThatArrivesIsAwaited: a long answer over a narrow link takes longer than
-// the patience for its first byte; one that stalls is given up.
-func TestAnAnswerThatArrivesIsAwaited(t *testing.T) {
+// TestResponseTimeouts checks that a long response may take longer than the time-out of its first byte, and that a
+// response without progress times out.
+func TestResponseTimeouts(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/silent" {
@@ -422,9 +423,8 @@
 	}
 }
 
-// TestAnEditOfManyServicesIsToldInFewBytes: links of balancers are narrow, and each
-// serves many others.
-func TestAnEditOfManyServicesIsToldInFewBytes(t *testing.T) {
+// TestAnEditOfManyServicesIsSentInFewBytes guards against answers that are too long for narrow links.
+func TestAnEditOfManyServicesIsSentInFewBytes(t *testing.T) {
 	whole := func(services int, revision uint64) *directory.Settings {
 		tree := settings.Tree{"": settings.Values{}}
 		for i := range services {
@@ -446,20 +446,21 @@
 		return recorder.Body.Len()
 	}
 	if bytes := size(pathDirectory); bytes > 30_000 {
-		t.Errorf("everything is told in %d bytes", bytes)
+		t.Errorf("the full listing has %d bytes", bytes)
 	}
 	first.apply(&directory.Changes{Revision: 6, Settings: whole(1501, 6)}, "store", 0)
 	if bytes := size(pathChanges + "?after=5&settings=5&wait=0"); bytes > 300 {
-		t.Errorf("an edit of one service is told in %d bytes", bytes)
+		t.Errorf("an edit of one service has %d bytes", bytes)
 	}
 	first.apply(&directory.Changes{Revision: 7, Settings: whole(2901, 7)}, "store", 0)
 	if bytes := size(pathChanges + "?after=6&settings=6&wait=0"); bytes > 30_000 {
-		t.Errorf("an edit of 1,400 services is told in %d bytes", bytes)
+		t.Errorf("an edit of 1,400 services has %d bytes", bytes)
 	}
 }
 
-// TestABalancerThatKnowsNothingAsksOthersOften, until somebody tells it.
-func TestABalancerThatKnowsNothingAsksOthersOften(t *testing.T) {
+// TestABalancerWithoutStateSendsUrgentRounds checks the interval of rounds until this balancer has state and has
+// received a hello.
+func TestABalancerWithoutStateSendsUrgentRounds(t *testing.T) {
 	node := newTestNode(t, &fakeSource{})
 	seed, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -471,7 +472,7 @@
 	changed.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}
 	node.current.Store(&changed)
 	if wait := node.sendRound(); wait != peers.HurryInterval {
-		t.Errorf("knowing nothing, the next round is due in %v", wait)
+		t.Errorf("without state, the next round is due in %v", wait)
 	}
 	buffer := make([]byte, maxDatagram)
 	_ = seed.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -485,16 +486,16 @@
 	}
 	node.replace(listing(t, 5), "store", 0)
 	if wait := node.sendRound(); wait != peers.HurryInterval {
-		t.Errorf("once something is known and nobody has been heard, the next round is due in %v", wait)
+		t.Errorf("with state and before a hello is received, the next round is due in %v", wait)
 	}
 	node.receiveHello(context.Background(), &peers.Hello{Control: netip.MustParseAddrPort("127.0.0.1:10"), Zone: "a", Started: 1, Revision: 5})
 	if wait := node.sendRound(); wait != peers.HelloInterval {
-		t.Errorf("once something is known and somebody heard, the next round is due in %v", wait)
+		t.Errorf("with state and after a hello is received, the next round is due in %v", wait)
 	}
 }
 
-// TestANarrowLinkTellsEverythingToFewAtOnce, and changes to all.
-func TestANarrowLinkTellsEverythingToFewAtOnce(t *testing.T) {
+// TestANarrowLinkLimitsFullListings checks that full listings over a narrow link are limited and changes are not.
+func TestANarrowLinkLimitsFullListings(t *testing.T) {
 	node := newTestNode(t, &fakeSource{})
 	node.replace(listing(t, 5), "store", 0)
 	code := func(path string) int {
@@ -517,7 +518,7 @@
 	}
 }
 
-// TestLinesOfFlowsAreBounded in each second, and what was left out is told once.
+// TestLinesOfFlowsAreBounded checks the limit per second, and that omitted lines are reported once.
 func TestLinesOfFlowsAreBounded(t *testing.T) {
 	var budget lineBudget
 	written, told := 0, 0
@@ -529,7 +530,7 @@
 		told += leftOut
 	}
 	if written != maxFlowLines || told != 0 {
-		t.Errorf("%d lines are written, %d told as left out", written, told)
+		t.Errorf("%d lines are written, %d reported as omitted", written, told)
 	}
 	for range 3 {
 		allowed, leftOut := budget.allow(4 * time.Second)
@@ -539,11 +540,11 @@
 		told += leftOut
 	}
 	if told != 9*maxFlowLines {
-		t.Errorf("%d lines are told as left out", told)
+		t.Errorf("%d lines are reported as omitted", told)
 	}
 }
 
-// TestConnectionsAreBounded: more than the most wait until others have gone.
+// TestConnectionsAreBounded checks that connections beyond the limit wait until others have closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -585,8 +586,8 @@
 	}
 }
 
-// TestABalancerLearnsFromOneThatIsNamedToIt: seeds may know nothing themselves.
-func TestABalancerLearnsFromOneThatIsNamedToIt(t *testing.T) {
+// TestABalancerFetchesFromANamedPeer guards against a start that depends on seeds which have no state themselves.
+func TestABalancerFetchesFromANamedPeer(t *testing.T) {
 	first := newTestNode(t, &fakeSource{})
 	first.replace(listing(t, 5), "store", 0)
 	server := httptest.NewServer(first.controlHandler())
@@ -596,7 +597,7 @@
 	seed := netip.MustParseAddrPort("127.0.0.1:2")
 	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}}})
 	if second.fetchingListing.Load() {
-		t.Error("it asks one that knows nothing")
+		t.Error("a listing is requested from a balancer without state")
 	}
 	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", Knows: true}}})
 	for deadline := time.Now().Add(10 * time.Second); second.revision() != 5; time.Sleep(time.Millisecond) {
@@ -606,7 +607,7 @@
 	}
 }
 
-// copyCodec takes each datagram for the copy of an opening packet.
+// copyCodec decodes each datagram as a copy of an opening packet.
 type copyCodec struct{ noCodec }
 
 func (copyCodec) Decode(_ []byte, packet *steering.Packet) error {
@@ -615,8 +616,8 @@
 	return nil
 }
 
-// TestACopyThatWaitsIsSteeredAgain, and reaches its back end then.
-func TestACopyThatWaitsIsSteeredAgain(t *testing.T) {
+// TestADelayedCopyIsSteeredAgain checks that a delayed copy reaches its back end.
+func TestADelayedCopyIsSteeredAgain(t *testing.T) {
 	node := newTestNode(t, &fakeSource{})
 	node.adapter.Codec = copyCodec{}
 	backend, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -639,14 +640,14 @@
 		node.handle(node.now(), []byte("copy"), &steering.Packet{}, make([]byte, maxDatagram))
 		dropped := node.metrics.dropped[errkind.Stale].Get() > stale
 		if node.delayed.Load() != 1 && (!dropped || try == 3) {
-			t.Fatalf("%d datagrams wait", node.delayed.Load())
+			t.Fatalf("%d datagrams are delayed", node.delayed.Load())
 		}
 		if err := backend.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		length, _, err := backend.ReadFromUDPAddrPort(buffer)
 		if err != nil && try < 3 && node.metrics.dropped[errkind.Stale].Get() > stale {
-			// The test's own process stood still meanwhile, and what waited is dropped then.
+			// The test process was suspended meanwhile, so that the delayed datagram was dropped.
 			continue
 		}
 		if err != nil || string(buffer[:length]) != "copy" {
@@ -656,8 +657,9 @@
 	}
 }
 
-// TestABoundThatThePlatformDoesNotHaveKeepsItsDefault: the template leaves its value empty.
-func TestABoundThatThePlatformDoesNotHaveKeepsItsDefault(t *testing.T) {
+// TestAnEmptyBoundKeepsItsDefault guards against an empty value from the deployment template that overrides the
+// default.
+func TestAnEmptyBoundKeepsItsDefault(t *testing.T) {
 	config, _ := ParseConfig([]byte("bounds:\n  flow_life: 60s\n  warm_up_overshoot: \n  warm_up_slack: \n"))
 	if config.Bounds.WarmUpOvershoot != 1 || config.Bounds.WarmUpSlack != 0 || config.Bounds.FlowLife != time.Minute {
 		t.Errorf("%+v", config.Bounds)
--- a/internal/edge/fleet_bench_test.go
+++ b/internal/edge/fleet_bench_test.go
@@ -12,7 +12,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// largeFleet is what a balancer is told at its start before 10,000 back ends in five zones.
+// largeFleet returns the full listing of 10,000 back ends in five zones.
 func largeFleet() *directory.Listing {
 	const count = 10_000
 	random := rand.New(rand.NewPCG(1, 2))
@@ -26,8 +26,8 @@
 	return listing
 }
 
-// BenchmarkLearnLargeFleet is what a start costs beside the settings: of the one that tells, once for all who ask, and
-// of each that is told.
+// BenchmarkLearnLargeFleet measures the cost of a full listing without settings: encoding it once for all followers,
+// and decoding and installing it in each.
 func BenchmarkLearnLargeFleet(b *testing.B) {
 	answer := &peerAnswer{Listing: largeFleet()}
 	encoded, err := encodeAnswer(answer)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -13,11 +13,11 @@
 	"gaugeyard/internal/settings"
 )
 
-// learnTimeout is how long another balancer may take until it tells what it knows.
+// firstByteTimeout bounds the wait for the first byte of a listing or summary from another balancer.
 const firstByteTimeout = time.Second
 
-// follow keeps the directory up to date until ctx ends, by the calls that package
-// follow decides on. Whatever a call returns, what is believed already stays in force.
+// follow keeps the directory up to date until ctx ends, with the calls that package follow chooses.
+// The known state stays in force whatever a call returns.
 func (n *Node) follow(ctx context.Context) error {
 	follower := follow.New(n.config().Bounds.Contact, follow.StartPause(n.config().LinkMbps, n.config().FirstStart))
 	for ctx.Err() == nil {
@@ -37,14 +37,14 @@
 	return ctx.Err()
 }
 
-// followState is what the next call is decided by.
+// followState returns the input to the choice of the next call.
 func (n *Node) followState() follow.State {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	return follow.StateOf(n.now(), n.directory.Revision(), n.peers, n.config().Bounds.Contact)
 }
 
-// carryOut makes one call and takes over what it returns.
+// execute makes one call and applies its result.
 func (n *Node) execute(ctx context.Context, call follow.Call) (follow.Outcome, error) {
 	ctx, cancel := ExpectAnswer(ctx, call.Timeout, max(call.Timeout, follow.TransferTimeout), func() { n.receiving.Store(true) })
 	defer cancel()
@@ -79,22 +79,21 @@
 	return outcome, err
 }
 
-// showsConnection tells whether a call that ended so has shown that its connection works.
+// connectionWorked reports whether a call that returned err received a response over its connection.
 func connectionWorked(err error) bool {
 	return err == nil || errors.Is(err, errPeerFull) || errors.Is(err, errEmptyAnswer) ||
 		errors.Is(err, ErrListingAbandoned) || errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrTooLong)
 }
 
-// dropIdleConnections lets the next calls open new connections, to the store and to other
-// balancers: connections fall silent together without a sign to either end, and each pooled one
-// would cost the next call its time-out (a call to the store up to a quarter of the contact bound
-// and 0.5 s). A new connection costs a round trip.
+// dropIdleConnections closes pooled connections to the store and to other balancers. Connections can break
+// together without a reset, and each pooled one would cost a further call its time-out; a new connection
+// costs one round trip.
 func (n *Node) dropIdleConnections() {
 	n.peerClient.CloseIdleConnections()
 	n.adapter.Source.Reconnect()
 }
 
-// watchStore returns how many changes the store told.
+// watchStore reads changes from the store, applies them and returns their number.
 func (n *Node) watchStore(ctx context.Context, wait time.Duration) (count int, err error) {
 	n.metrics.storeCalls.Inc()
 	changes, err := n.adapter.Source.Changes(ctx, n.revision(), wait)
@@ -105,7 +104,7 @@
 	return changes.Count(), nil
 }
 
-// askPeer returns how long ago the store confirmed what the peer told.
+// requestFromPeer requests changes from a peer, applies the answer and returns its staleness.
 func (n *Node) requestFromPeer(ctx context.Context, call follow.Call) (time.Duration, error) {
 	request, staleness := n.requestWithStaleness()
 	answer, err := (&peerSource{n, call.Peer}).changes(ctx, request, staleness, call.Wait)
@@ -131,7 +130,7 @@
 	return answer.Age, nil
 }
 
-// notePeerAnswer keeps what is known of the peer's freshness up to date.
+// recordPeerAnswer updates the peer's entry in the peer table with the staleness and revision of its answer.
 func (n *Node) recordPeerAnswer(peer netip.AddrPort, answer *peerAnswer) {
 	revision := uint64(0)
 	switch {
@@ -145,7 +144,7 @@
 	n.peers.Answered(n.now(), peer, answer.Age, revision)
 }
 
-// noteSource logs where changes come from when that changes.
+// recordSource records the upstream of a call and logs it when it changes.
 func (n *Node) recordSource(call follow.Call) {
 	source := "store"
 	if call.Kind == follow.AskPeer {
@@ -159,7 +158,7 @@
 	n.source = source
 }
 
-// noteContact logs and counts what became of the contact with the store or a peer.
+// recordContact logs and counts the outcome of a call, and a loss or return of the store.
 func (n *Node) recordContact(contact follow.Contact, call follow.Call, err error) {
 	switch {
 	case errors.Is(err, ErrListingAbandoned), err != nil && n.overtaken.Load():
@@ -182,13 +181,13 @@
 		n.log.Warn("store lost", "revision", n.revision(), "call", call.Kind.String(), "error", err)
 	case follow.Regained:
 		n.storeFailing.Store(false)
-		// Others wait to hear of it.
+		// Other balancers wait for this hello.
 		n.announce()
 		n.log.Info("store regained", "through", n.source, "revision", n.revision(), "after_ms", (n.now() - n.storeLostAt).Milliseconds())
 	}
 }
 
-// replace takes over a listing that the store confirmed age ago, and logs what changed.
+// replace installs a listing that the store confirmed age ago, and logs the changes.
 func (n *Node) replace(listing *directory.Listing, from string, age time.Duration) {
 	n.applyDefaults(listing.Settings)
 	listing.Prepared = n.prepare(listing.Settings, nil)
@@ -205,7 +204,7 @@
 	}
 }
 
-// apply takes over changes that the store confirmed age ago, and logs them.
+// apply applies changes that the store confirmed age ago, and logs them.
 func (n *Node) apply(changes *directory.Changes, from string, age time.Duration) {
 	n.applyDefaults(changes.Settings)
 	changes.Prepared = n.prepare(changes.Settings, changes.Step)
@@ -217,22 +216,21 @@
 	n.publish(events, from, age)
 }
 
-// applyTold takes over changes that another balancer gave as its answer to a question. They
-// are passed on as they came to those who ask the same here: to encode them anew is half of what
-// a change costs a balancer that tells others.
+// applyFromPeer applies changes that another balancer sent in answer to a request. Where possible the
+// received bytes are cached for followers that send the same request, which saves encoding them again.
 func (n *Node) applyFromPeer(answer *peerAnswer, request peerRequest, from string) {
 	changes := answer.Changes
 	n.applyDefaults(changes.Settings)
 	changes.Prepared = n.prepare(changes.Settings, changes.Step)
 	if generation, forwardable := n.applyPrepared(answer, request, from); forwardable {
-		// The lock of answers is taken before that of beliefs by those who encode one.
+		// The mutex of the cache is acquired before stateMutex, so stateMutex is not held here.
 		n.answerCache.put(generation, request, answer.received)
 		n.metrics.answersForwarded.Inc()
 	}
 }
 
-// applyAnswer takes over prepared changes and tells whether they may be passed on, and of which generation of
-// beliefs they are then.
+// applyPrepared applies prepared changes. It reports whether the answer may be forwarded to followers,
+// and the generation that it belongs to.
 func (n *Node) applyPrepared(answer *peerAnswer, request peerRequest, from string) (generation uint64, forwardable bool) {
 	changes := answer.Changes
 	n.stateMutex.Lock()
@@ -246,13 +244,13 @@
 	return n.generation, forwardable && (step == nil || step.Revision == n.directory.SettingsRevision())
 }
 
-// question is what this balancer asks others. The beliefs lock is held.
+// changesRequest returns the request for changes after the known state. The state mutex must be held.
 func (n *Node) changesRequest() peerRequest {
 	return peerRequest{after: n.directory.Revision(), base: n.directory.SettingsRevision()}
 }
 
-// steerBy lets packets be steered by what is believed now and tells those who
-// follow. The beliefs lock is held.
+// publish installs the known state in the steerer and wakes followers that wait for changes. The state
+// mutex must be held.
 func (n *Node) publish(events []directory.Event, from string, age time.Duration) {
 	if n.confirmed.Note(n.now(), age) {
 		n.changed.wake()
@@ -267,7 +265,7 @@
 	n.logEvents(events, from, age)
 }
 
-// setView hands the steerer a view of what is believed now. The beliefs lock is held.
+// installView gives the steerer a view of the known state. The state mutex must be held.
 func (n *Node) installView() {
 	view := n.directory.View()
 	n.steeringMutex.Lock()
@@ -277,15 +275,15 @@
 	n.handleObservations(n.now(), &observed, make([]byte, maxDatagram))
 }
 
-// noteCertain tells the directory up to when what it has is complete. The beliefs lock is held.
+// recordCertainty tells the directory up to when its contents are complete. The state mutex must be held.
 func (n *Node) recordCertainty() { n.directory.NoteCertain(n.now() - n.staleness()) }
 
-// beliefAge is how long ago the store confirmed what is believed. The beliefs lock is held.
+// staleness returns the time since the store last confirmed the known state. The state mutex must be held.
 func (n *Node) staleness() time.Duration {
 	return n.confirmed.Age(n.now())
 }
 
-// withDefaults gives the root of the operators' tree the process's own defaults.
+// applyDefaults adds the process's own defaults to the root of the operators' tree. A nil next is allowed.
 func (n *Node) applyDefaults(next *directory.Settings) {
 	if next == nil {
 		return
@@ -299,7 +297,8 @@
 	next.Tree[""] = root
 }
 
-// have is where changes from another balancer must begin, and how old what is believed is.
+// requestWithStaleness returns the request for changes from another balancer, and the staleness of the
+// known state.
 func (n *Node) requestWithStaleness() (peerRequest, time.Duration) {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
@@ -312,7 +311,7 @@
 	return n.directory.Revision()
 }
 
-// pause waits or until ctx ends.
+// pause waits for length or until ctx ends.
 func pause(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -14,13 +14,13 @@
 	"gaugeyard/internal/steering"
 )
 
-// peerAddress is where the datagrams for another balancer go.
+// peerAddress returns the address for datagrams to another balancer.
 func (n *Node) peerAddress(control netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(control.Addr(), n.config().PeerPort)
 }
 
-// sendHellos tells other balancers at each interval that this one lives. While nothing
-// is known here, rounds follow each other quickly and ask for replies.
+// sendHellos sends rounds of hellos until ctx ends. While this balancer has no state, the interval is short
+// and hellos request replies.
 func (n *Node) sendHellos(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -61,18 +61,18 @@
 	n.stateMutex.Unlock()
 	short := hello.Short()
 	for _, target := range targets {
-		datagram := short
+		message := short
 		if target.Full {
-			datagram = hello
+			message = hello
 		}
-		datagram.Reply = target.Reply
-		n.sendHello(datagram, target.Control)
+		message.Reply = target.Reply
+		n.sendHello(message, target.Control)
 	}
 	return interval
 }
 
-// sendAlarm tells all live peers at once what is known of silent back ends. Rounds go on as
-// they were due.
+// sendUrgentReport sends what is known of failing and unresponsive back ends to all live peers. It does
+// not delay the next round.
 func (n *Node) sendUrgentReport() {
 	n.stateMutex.Lock()
 	now := n.now()
@@ -88,7 +88,7 @@
 	}
 }
 
-// sendInquiries asks all live peers where flows rest.
+// sendInquiries asks all live peers for the back ends of flows.
 func (n *Node) sendInquiries(inquiries []steering.Inquiry) {
 	n.stateMutex.Lock()
 	now := n.now()
@@ -100,7 +100,8 @@
 	}
 }
 
-// announce sends a round of hellos at once: this balancer knows something since now.
+// announce requests an immediate round of hellos, after a change that other balancers wait for. It never
+// blocks.
 func (n *Node) announce() {
 	select {
 	case n.announcements <- struct{}{}:
@@ -108,7 +109,7 @@
 	}
 }
 
-// introduceSeeds adds the seeds while few others are known. The beliefs lock is held.
+// introduceSeeds adds the seeds to the peer table while few peers are known. The state mutex must be held.
 func (n *Node) introduceSeeds(now time.Duration) {
 	if !n.peers.NeedsIntroductions(now) {
 		return
@@ -118,7 +119,8 @@
 	}
 }
 
-// hello is what this balancer says of itself, without others and loads. The beliefs lock is held.
+// hello returns a hello that describes this balancer, without other balancers and loads. The state mutex
+// must be held.
 func (n *Node) hello(now time.Duration) *peers.Hello {
 	return &peers.Hello{
 		Control:  n.config().advertised(),
@@ -133,8 +135,8 @@
 	}
 }
 
-// shareLoad makes a hello a full one, with others and the load of this balancer, and
-// takes over what others said of theirs. The beliefs lock is held.
+// completeHello makes a hello a full one, with other balancers and the loads of back ends, and updates the
+// steerer with the loads that peers reported. The state mutex must be held.
 func (n *Node) completeHello(now time.Duration, hello *peers.Hello) {
 	n.steeringMutex.Lock()
 	defer n.steeringMutex.Unlock()
@@ -155,12 +157,11 @@
 		return
 	}
 	n.metrics.helloBytes.Add(len(datagram))
-	// A peer that cannot be reached is found out by its silence.
+	// An unreachable peer is detected by its missing hellos.
 	_, _ = n.peer.WriteToUDPAddrPort(datagram, n.peerAddress(control))
 }
 
-// encodeHello returns the datagram of a hello: a version, then msgpack with
-// structures as arrays.
+// encodeHello returns the datagram of a hello: a version byte, then msgpack with structs as arrays.
 func encodeHello(hello *peers.Hello) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.WriteByte(helloVersion)
@@ -171,7 +172,7 @@
 	return buffer.Bytes(), err
 }
 
-// receiveHellos reads the hellos of other balancers.
+// receiveHellos reads hellos of other balancers until ctx ends. Malformed datagrams are counted.
 func (n *Node) receiveHellos(ctx context.Context) error {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -191,19 +192,19 @@
 	}
 }
 
-// heard takes over a hello. A balancer that is new is greeted at once, and while
-// nothing is known here, it is asked for what it knows.
+// receiveHello processes a hello. A new peer gets a reply at once. While this balancer has no state, it
+// requests the sender's, or that of a peer that the sender names.
 func (n *Node) receiveHello(ctx context.Context, hello *peers.Hello) {
 	n.stateMutex.Lock()
 	now := n.now()
 	isNew := n.peers.Heard(now, hello)
 	var loads map[directory.Tag]steering.Load
 	if len(hello.Failures) > 0 {
-		// The next round would be half a second late for the flows that come meanwhile.
+		// Flows that arrive before the next round need the failures.
 		loads = n.peers.Loads(now)
 	}
 	if hello.Revision == n.directory.Revision() {
-		// What the store confirmed to the sender, it confirmed to this one too.
+		// At equal revisions a confirmation to the sender is valid here too.
 		n.recordConfirmation(hello.StoreAge, false)
 		n.confirmed.Note(now, hello.StoreAge)
 	}
@@ -243,7 +244,8 @@
 	}
 }
 
-// teacherOf returns who, by a hello, can tell everything: the sender, or one of the ablest that it names.
+// listingSource returns a balancer that can send a full listing, by a hello: the sender, or one with the
+// highest capacity among those that it names.
 func listingSource(hello *peers.Hello) (control netip.AddrPort, found bool) {
 	if hello.Revision > 0 {
 		return hello.Control, true
--- a/internal/edge/hello_test.go
+++ b/internal/edge/hello_test.go
@@ -12,7 +12,7 @@
 	"gaugeyard/internal/steering"
 )
 
-// TestAHelloFitsOneDatagram with all that it may name at once, each in the longest form.
+// TestAHelloFitsOneDatagram checks a hello with full lists of the longest values.
 func TestAHelloFitsOneDatagram(t *testing.T) {
 	const long = time.Hour + 1
 	control := netip.MustParseAddrPort("255.255.255.255:65535")
--- a/internal/edge/holding.go
+++ b/internal/edge/holding.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// maxHeld is how many datagrams a process that knows nothing yet keeps.
+	// maxQueued bounds the datagrams in the startup queue.
 	maxQueued = 256
-	// maxHeldTime is how long it keeps one; callers repeat theirs about as often.
+	// maxQueueTime bounds the time of a datagram in the queue. Callers retransmit at about this interval.
 	maxQueueTime = time.Second
 )
 
-// holding keeps the datagrams that arrive in the first moments of a process, before
-// it knows where they go. After a restart the platform may send packets here before
-// this process says that it is ready, and a lost one costs its caller the long pause
-// of a late repetition. The zero value is ready.
+// startupQueue holds datagrams that arrive before the process has the state to steer them. After a restart
+// the platform may send packets before the process reports readiness, and a dropped packet costs its caller
+// a retransmission timeout. The zero value is ready to use.
 type startupQueue struct {
 	mutex  sync.Mutex
 	queued []queuedDatagram
-	// over is set once anything is known; from then on nothing is kept.
+	// closed is set once the full state is known. A closed queue accepts nothing.
 	closed bool
 }
 
@@ -32,7 +31,7 @@
 	datagram []byte
 }
 
-// keep takes a copy of a datagram. It returns false when it is too late or too much.
+// add appends a copy of a datagram. It reports whether the queue accepted it, false if it is closed or full.
 func (h *startupQueue) add(now time.Duration, datagram []byte) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -43,8 +42,8 @@
 	return true
 }
 
-// release returns what is still worth sending, in order. all ends the holding: everything is known, and what is
-// dropped then is dropped for good.
+// drain empties the queue and returns the datagrams that are not too old, in order of arrival. closing
+// closes the queue.
 func (h *startupQueue) drain(now time.Duration, closing bool) []queuedDatagram {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -54,20 +53,20 @@
 	return fresh
 }
 
-// holds tells whether a packet that was dropped may be kept until more is known.
+// queueable reports whether a dropped packet may be queued until more state is known.
 func queueable(decision *steering.Verdict) bool {
 	return decision.Action == steering.Drop && (decision.Reason == errkind.NotReady || decision.Reason == errkind.UnknownTag)
 }
 
-// handleHeld decides anew on the datagrams that came before anything was known, or all of it. What is kept again was
-// kept since then.
+// handleQueued steers the queued datagrams again. all closes the queue. A datagram that is queued again keeps
+// the time of its arrival.
 func (n *Node) handleQueued(all bool) {
 	for _, held := range n.startupQueue.drain(n.now(), all) {
 		n.handleStored(held.datagram, &steering.Packet{Held: n.now() - held.at})
 	}
 }
 
-// handleKept decides anew on a datagram that was kept; packet says why and how long.
+// handleStored steers a stored datagram again. packet has the reason and the time that it was stored for.
 func (n *Node) handleStored(datagram []byte, packet *steering.Packet) {
 	headroom := n.adapter.Codec.Headroom()
 	buffer := make([]byte, headroom+maxDatagram)
--- a/internal/edge/lapsed.go
+++ b/internal/edge/lapsed.go
@@ -9,23 +9,24 @@
 	"gaugeyard/internal/directory"
 )
 
-// headerReturnAge tells in nanoseconds how long ago the store returned from an outage. It is a header, since
-// an answer is encoded once and sent to many.
+// headerReturnAge is the header with the time since the store returned from an outage, in nanoseconds. It
+// is not part of the body, which is encoded once and sent at different times.
 const headerReturnAge = "Gaugeyard-Return-Age"
 
-// noteConfirmed lets the directory know that the store confirmed age ago what is believed; told is
-// set where another balancer says so together with what lapsed. The beliefs lock is held.
+// recordConfirmation tells the directory that the store confirmed the known state age ago. fromPeer is set
+// where a peer reports it together with the expired back ends. The state mutex must be held.
 func (n *Node) recordConfirmation(age time.Duration, fromPeer bool) {
 	before := n.staleness()
 	if fromPeer || !n.directory.NoteConfirmed(n.now(), age, before) {
 		return
 	}
-	// Answers that were encoded before tell of an earlier return.
+	// Cached answers predate the return of the store.
 	n.generation++
 	n.log.Info("store back after an outage", "silent_ms", (before - age).Milliseconds(), "revision", n.directory.Revision())
 }
 
-// hearReturn takes over how long ago the store returned, 0 for not lately.
+// receiveStoreReturn records the time since the store returned from an outage, as a peer reported it; 0 if
+// it has not recently.
 func (n *Node) receiveStoreReturn(age time.Duration) {
 	if age <= 0 {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// tellReturnAge adds how long ago the store returned to an answer.
+// setReturnAge sets the header with the time since the store returned from an outage, if it has recently.
 func (n *Node) setReturnAge(header http.Header) {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// readReturnAge reads it, 0 where there is none.
+// readReturnAge returns the value of that header, 0 if it is missing.
 func readReturnAge(header http.Header) (time.Duration, error) {
 	text := header.Get(headerReturnAge)
 	if text == "" {
@@ -59,8 +60,8 @@
 	return time.Duration(age), nil
 }
 
-// logLapsed counts and logs back ends that are gone and may take new flows for a moment. The beliefs
-// lock is held.
+// logExpired counts and logs removed back ends whose entries expired in an outage of the store, and which may
+// still get new flows for a short time. The state mutex must be held.
 func (n *Node) logExpired(events []directory.Event, from string) {
 	count := 0
 	for _, event := range events {
@@ -73,5 +74,5 @@
 	}
 	n.metrics.expired.Add(count)
 	age, _ := n.directory.ReturnAge(n.now())
-	n.log.Info("back ends lapsed", "count", count, "return_age_ms", age.Milliseconds(), "revision", n.directory.Revision(), "from", from)
+	n.log.Info("back ends expired", "count", count, "return_age_ms", age.Milliseconds(), "revision", n.directory.Revision(), "from", from)
 }
--- a/internal/edge/lapsed_test.go
+++ b/internal/edge/lapsed_test.go
@@ -9,31 +9,31 @@
 	"gaugeyard/internal/settings"
 )
 
-// TestAnotherBalancerHearsWhatLapsed: the time of the store's return goes with each answer, also with one
-// that was encoded before.
-func TestAnotherBalancerHearsWhatLapsed(t *testing.T) {
+// TestExpiredBackendsReachFollowers checks that each answer has the time since the return of the store, also one that
+// was encoded before.
+func TestExpiredBackendsReachFollowers(t *testing.T) {
 	source, follower := newTestNode(t, &fakeSource{}), newTestNode(t, &fakeSource{})
 	listing := &directory.Listing{Revision: 7, Settings: &directory.Settings{Version: 1, Revision: 7, Tree: settings.Tree{"": {}}},
 		Records: []directory.Record{{Revision: 2, Backend: directory.Backend{ID: 1, Group: "feed", Zone: "a"}}}}
 	source.replace(listing, "store", 0)
 	follower.replace(listing, "store", 0)
-	// The last word of the store is old.
+	// The last confirmation by the store is old.
 	source.confirmed = follow.Confirmation{}
 	source.confirmed.Note(source.now(), time.Minute)
 	control, _ := serveWithSilencer(t, source.controlHandler())
 	source.apply(&directory.Changes{Revision: 8, Gone: []directory.Gone{{ID: 1, Revision: 8}}}, "store", 0)
 	if source.metrics.expired.Get() != 1 {
-		t.Error("the lapsed back end is not counted")
+		t.Error("the expired back end is not counted")
 	}
 	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: time.Second}
 	if _, err := follower.execute(t.Context(), call); err != nil {
 		t.Fatal(err)
 	}
 	if !follower.directory.IsLapsed(1) {
-		t.Error("the follower takes the back end for gone")
+		t.Error("the follower treats the expired back end as removed")
 	}
 	age, returning := follower.directory.ReturnAge(follower.now())
 	if own, _ := source.directory.ReturnAge(source.now()); !returning || age < own-50*time.Millisecond {
-		t.Errorf("the follower takes the return for %v ago, it was %v", age, own)
+		t.Errorf("return of the store at the follower: %v ago, want %v", age, own)
 	}
 }
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -9,27 +9,26 @@
 	"gaugeyard/internal/follow"
 )
 
-// mostBytes is how many bytes come over the machine's link within a time, 0 for no bound.
+// maxListingBytes returns how many bytes the machine's link transfers within a time, 0 for no bound.
 func (n *Node) maxListingBytes(transfer time.Duration) int64 {
 	return int64(n.config().LinkMbps * 1e6 / 8 * transfer.Seconds())
 }
 
-// listStore reads everything from the store, page by page, and takes it over. The first page may have
-// most bytes, 0 for no bound.
+// listStore reads a full listing from the store, page by page, and installs it. The first page may have at
+// most maxBytes bytes, 0 for no bound.
 func (n *Node) listStore(ctx context.Context, maxBytes int64) error {
 	paged := follow.NewListing(n.now(), n.revision())
 	page, err := n.readPage(ctx, paged, "", maxBytes)
 	if err != nil {
 		return err
 	}
-	// The listing is complete up to the revision of its first page, and the store answered then: how long
-	// the rest takes is no outage.
+	// The store has confirmed the revision of the first page. The time for the other pages is no outage.
 	n.stateMutex.Lock()
 	n.recordConfirmation(0, false)
 	n.stateMutex.Unlock()
 	listing, parts := &page.Listing, page.Kept
 	if page.Next != "" && n.applySummary(listing, "store") {
-		// They are in force, and read by others.
+		// The settings are in force already, and other goroutines read them.
 		listing.Settings, listing.Prepared = nil, nil
 	}
 	for page.Next != "" {
@@ -47,7 +46,7 @@
 	return nil
 }
 
-// addPage adds what is on a further page.
+// addPage appends a further page to the listing.
 func addPage(listing, page *directory.Listing) {
 	if page.Settings != nil {
 		listing.Settings = page.Settings
@@ -57,7 +56,7 @@
 	listing.Unusable = append(listing.Unusable, page.Unusable...)
 }
 
-// readPage reads one page, again where the listing says so.
+// readPage reads one page and retries as the listing decides.
 func (n *Node) readPage(ctx context.Context, paged *follow.Listing, after string, maxBytes int64) (*Page, error) {
 	for {
 		n.metrics.storeCalls.Inc()
@@ -78,8 +77,8 @@
 	}
 }
 
-// proceeds asks a listing after each page but the last how it goes on; it returns false
-// when it is not needed any more.
+// continueListing reports, after each page but the last, whether to read on. It waits while other balancers
+// may deliver the state first, and returns false when the listing is not needed any more.
 func (n *Node) continueListing(ctx context.Context, listing *follow.Listing) bool {
 	for ctx.Err() == nil {
 		n.stateMutex.Lock()
--- a/internal/edge/logging.go
+++ b/internal/edge/logging.go
@@ -9,11 +9,11 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// logQueue is how many lines may wait to be written.
+// logQueue bounds the lines that wait to be written.
 const logQueue = 512
 
-// lineWriter hands lines to a reader that may be slow or stuck, without ever
-// waiting for it: lines that find the queue full are dropped and counted.
+// lineWriter writes lines to an output that may block, without blocking its callers. Lines are dropped and
+// counted while the queue is full.
 type lineWriter struct {
 	lines   chan []byte
 	done    chan struct{}
@@ -25,7 +25,7 @@
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
-			// A reader that is gone loses the lines; there is nowhere to say so.
+			// There is no place to report that the log cannot be written.
 			_, _ = out.Write(line)
 		}
 	}()
@@ -43,7 +43,7 @@
 	return len(line), nil
 }
 
-// flush waits for queued lines, at most limit. No line may be written after it.
+// flush waits at most limit until the queued lines are written. Write must not be called after it.
 func (w *lineWriter) flush(limit time.Duration) {
 	close(w.lines)
 	select {
@@ -56,22 +56,21 @@
 	return hclog.New(&hclog.LoggerOptions{Name: node, Output: out, JSONFormat: true})
 }
 
-// maxFlowLines is how many lines about flows are written in a second: that many of flows
-// that were placed, and as many of those that were refused or dropped. With 400 bytes a
-// line that is 80 kB a second at most; more are counted, and their number is written.
+// maxFlowLines bounds the lines about flows per second, separately for placed flows and for all other
+// decisions. Further lines are omitted and their number is logged.
 const maxFlowLines = 100
 
-// lineBudget bounds the lines of one sort in each second. The zero value is ready.
+// lineBudget limits log lines of one kind to maxFlowLines per second. The zero value is ready to use.
 type lineBudget struct {
 	mutex  sync.Mutex
 	second time.Duration
 	used   int
-	// left counts the lines that were left out since the last report.
+	// omitted counts the omitted lines since the last report.
 	omitted int
 }
 
-// allows tells whether one more line may be written at now, the time of the process, and
-// how many were left out in seconds that are over: what is not 0 is to be written.
+// allow reports whether one more line may be written at now, and how many lines were omitted in earlier
+// seconds since the last report. The caller logs that number unless it is 0.
 func (b *lineBudget) allow(now time.Duration) (allowed bool, omitted int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -87,12 +86,12 @@
 	return true, omitted
 }
 
-// logFlow writes a line about a flow if the budget of its sort allows it.
+// logFlow writes a line about a flow if its budget allows it.
 func (n *Node) logFlow(budget *lineBudget, message string, args ...any) {
 	allowed, omitted := budget.allow(n.now())
 	if omitted > 0 {
 		n.metrics.linesOmitted.Add(omitted)
-		n.log.Info("lines left out", "like", message, "count", omitted)
+		n.log.Info("log lines omitted", "like", message, "count", omitted)
 	}
 	if allowed {
 		n.log.Info(message, args...)
--- a/internal/edge/main.go
+++ b/internal/edge/main.go
@@ -23,16 +23,15 @@
 	exitInvalid = 2
 )
 
-// stopQueue is how many requests to stop may wait to be handled.
+// stopQueue bounds the stop signals that wait to be handled.
 const stopQueue = 2
 
 const (
-	// gcPercent is how much the heap may grow between two collections. The process
-	// allocates little, so that a small heap costs it little processor time.
+	// gcPercent is the heap growth between two garbage collections, in percent. It is low since the process
+	// allocates little.
 	gcPercent = 25
-	// startGCPercent is that until the settings are known. Their decoding allocates several times
-	// what the heap of a process that starts has, and with a small one each megabyte is a collection:
-	// settings 0.56 s after a start in the median with 25, 0.45 s with 100 (0.045 of a core).
+	// startGCPercent applies until the settings are known. Decoding them allocates several times the heap of
+	// a process that has just started, and gcPercent would delay the start with collections.
 	startGCPercent = 100
 )
 
@@ -46,7 +45,8 @@
 	return "gaugeyard-platform runs a balancer on a platform whose packets carry tags."
 }
 
-// Main runs the process with the adapter of a platform and returns its exit code.
+// Main runs the process and returns its exit code. adapt returns the adapter of the platform; the adapter
+// calls rejected for each entry of the desired state that it cannot use.
 func Main(args []string, out, errOut io.Writer, adapt func(config *Config, rejected func(err error)) Adapter) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "gaugeyard-platform"}, &parsed)
@@ -75,8 +75,8 @@
 	return run(parsed.Settings, config, out, errOut, adapt)
 }
 
-// run serves until SIGTERM or an interrupt has led to the end of a planned stop.
-// An interrupt during the stop ends it at once; SIGHUP reads the settings file again.
+// run serves until the planned stop that SIGTERM or an interrupt starts is over. An interrupt during the
+// stop ends the process at once. SIGHUP reloads the settings file.
 func run(path string, config Config, out, errOut io.Writer, adapt func(config *Config, rejected func(err error)) Adapter) int {
 	debug.SetGCPercent(startGCPercent)
 	node, err := New(config, out)
@@ -96,8 +96,8 @@
 	return exitOK
 }
 
-// listenSignals carries out what signals ask for until the function that it returns is called. Requests to stop have a
-// queue and a goroutine of their own: the runtime drops a signal whose queue is full, and a reload may wait for long.
+// listenSignals handles signals until end is called. Stop signals have their own queue and goroutine: the
+// runtime drops a signal whose queue is full, and a reload may block for long.
 func (n *Node) listenSignals(path string, cancel context.CancelFunc) (end func()) {
 	stops := make(chan os.Signal, stopQueue)
 	signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
@@ -110,8 +110,8 @@
 	}
 }
 
-// handleReloads reads the settings file again when asked to, and looks now and then whether it changed without
-// that. A request that waits stands for all that come meanwhile.
+// handleReloads reloads the settings file on each signal, and at intervals if the file has changed. One
+// pending signal covers all that arrive meanwhile.
 func (n *Node) handleReloads(reloads <-chan os.Signal, done <-chan struct{}, path string) {
 	poll := time.NewTicker(reloadPoll)
 	defer poll.Stop()
@@ -127,8 +127,8 @@
 	}
 }
 
-// handleStops starts a planned stop. Asked again meanwhile, it goes on: open flows still pass here, and a supervisor that
-// repeats itself must not cut them. An interrupt then ends the process at once, for an operator at a terminal.
+// handleStops starts a planned stop at the first signal. A further SIGTERM is ignored, so that a supervisor
+// that repeats it does not break open flows. An interrupt during the stop ends the process at once.
 func (n *Node) handleStops(stops <-chan os.Signal, done <-chan struct{}, cancel context.CancelFunc) {
 	stopping := false
 	for {
@@ -146,8 +146,8 @@
 	}
 }
 
-// rejected counts and logs a part of the desired state that cannot be used. Of settings the last good one
-// stays in force; the entry of a back end names none.
+// rejected counts and logs an entry of the desired state that cannot be used. The last valid settings stay in
+// force; an invalid entry of a back end names no usable server.
 func (n *Node) rejected(err error) {
 	n.metrics.entriesRejected[errkind.Of(err)].Inc()
 	n.logFlow(&n.exceptionLines, "entry rejected", "revision", n.viewRevision.Load(), "error", err)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -10,7 +10,7 @@
 	"gaugeyard/internal/steering"
 )
 
-// processMetrics are the numbers that the process exposes as text.
+// processMetrics are the metrics of the process.
 type processMetrics struct {
 	set                        *metrics.Set
 	packets, forwarded, placed *metrics.Counter
@@ -19,7 +19,7 @@
 	resets, delayedCopies      *metrics.Counter
 	outOfRotation, expired     *metrics.Counter
 	storeCalls, storeFailures  *metrics.Counter
-	// snapshotFaults counts parts that were not believed.
+	// snapshotFaults counts snapshot parts that were rejected.
 	snapshotWrites, snapshotFailures, snapshotFaults *metrics.Counter
 	sendFailures, linesOmitted                       *metrics.Counter
 	peerCalls, peerMalformed                         *metrics.Counter
@@ -94,7 +94,7 @@
 	return m
 }
 
-// handled records how long one packet took; one in sampleEvery is measured.
+// observeHandling records the handling time of a packet. One packet in sampleEvery is measured.
 func (m *processMetrics) observeHandling(started, ended time.Duration) {
 	m.handling.Update((ended - started).Seconds())
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -25,38 +25,39 @@
 )
 
 const (
-	// socketBuffer is the size of the data socket's buffers asked for, in bytes.
+	// socketBuffer is the requested size of the data socket's buffers, in bytes.
 	socketBuffer = 1 << 20
-	// maxDatagram is the longest datagram that is read, in bytes.
+	// maxDatagram is the length of the longest datagram, in bytes.
 	maxDatagram = 2048
-	// maxFlows bounds the memory of flows at about 100 MB.
+	// maxFlows bounds the flow table to about 100 MB.
 	maxFlows = 400_000
-	// tickInterval is how often time passes in the steerer.
+	// tickInterval is the interval of periodic work in the steerer and the directory.
 	tickInterval = time.Second
-	// sampleEvery is how many packets pass for each that is timed.
+	// sampleEvery is the number of packets for each one whose handling is timed.
 	sampleEvery = 64
-	// flushTime bounds the wait for log lines at the end.
-	flushTime = 200 * time.Millisecond
-	// shutdownTime bounds the end of HTTP servers and their reading of headers.
-	shutdownTime = time.Second
-	// maxConnections bounds the connections that each HTTP server has at once.
+	// flushTimeout bounds the wait for log lines when the process ends.
+	flushTimeout = 200 * time.Millisecond
+	// headerTimeout bounds the reading of request headers by the HTTP servers.
+	headerTimeout = time.Second
+	// maxConnections bounds the concurrent connections of each HTTP server.
 	maxConnections = 256
-	// maxInquiries is how many packets' inquiries may wait to be sent.
+	// maxInquiries bounds the batches of inquiries that wait to be sent.
 	maxInquiries = 8
-	// idleTime is how long a connection may rest on either side.
-	idleTime = 5 * time.Second
+	// idleTimeout is how long an HTTP connection may be idle, for clients and servers.
+	idleTimeout = 5 * time.Second
 )
 
-// Node is one running balancer process.
+// Node is a running balancer process.
 type Node struct {
 	// current is the configuration in force; a reload replaces it.
 	current atomic.Pointer[Config]
-	// document is the settings file as last read; only the signal handler uses it.
+	// document is the settings file as last read. Only the goroutine that handles reloads uses it.
 	document []byte
 	adapter  Adapter
 	log      hclog.Logger
 	lines    *lineWriter
-	// placedLines and oddLines bound what is written of flows.
+	// placementLines limits log lines about placed flows, exceptionLines those about other decisions and
+	// rejected entries.
 	placementLines, exceptionLines lineBudget
 	metrics                        *processMetrics
 	data                           *net.UDPConn
@@ -65,78 +66,79 @@
 	// peerClient calls other balancers.
 	peerClient *http.Client
 
-	// source and lostAt belong to the follower's goroutine: whom it asks, and when
-	// the store was lost.
+	// source and storeLostAt are used by the follower's goroutine alone: its upstream, and when the contact
+	// with the store was lost.
 	source      string
 	storeLostAt time.Duration
 
-	// beliefs guards directory, peers, confirmed and generation. It is taken before
-	// steering, which guards steerer and is all that a packet needs, and before
-	// the lock of changed.
+	// stateMutex guards directory, peers, confirmed and generation. It is acquired before steeringMutex, which
+	// guards steerer and is the only lock that a packet needs, and before the mutex of changed.
 	stateMutex sync.Mutex
 	directory  *directory.Directory
 	peers      *peers.Table
-	// confirmed is when the store last confirmed what is believed.
+	// confirmed is when the store last confirmed the known state.
 	confirmed follow.Confirmation
-	// generation counts the changes of what is believed.
+	// generation counts the changes of the known state.
 	generation    uint64
 	steeringMutex sync.Mutex
 	steerer       *steering.Steerer
 
 	startupQueue startupQueue
-	// lag is guarded by beliefs. giveUp ends the follower's present call, and
-	// overtaken tells that it was used since the call began.
+	// lag is guarded by stateMutex. cancelCall cancels the follower's current call, and overtaken reports
+	// whether it was used since that call began.
 	lag        follow.Lag
 	cancelCall atomic.Pointer[context.CancelFunc]
 	overtaken  atomic.Bool
-	// receiving is set once the answer to that call has begun to arrive.
+	// receiving is set once the response to that call has begun to arrive.
 	receiving atomic.Bool
-	// news asks for a round of hellos at once, and alarms for what is known of silent back
-	// ends to be told to all others.
+	// announcements requests an immediate round of hellos, urgentReports an urgent report on back ends to all
+	// live peers.
 	announcements, urgentReports chan struct{}
-	// inquiries are those that all others are to be sent at once.
+	// inquiries are to be sent to all live peers at once.
 	inquiries chan []steering.Inquiry
-	// followers counts the balancers that are being served.
+	// followers counts the requests of other balancers in progress.
 	followers atomic.Int64
-	// listings counts those that are being told everything.
+	// listings counts those of them for a full listing.
 	listings atomic.Int64
-	// changed wakes balancers that wait for changes here.
+	// changed wakes the requests that wait for changes.
 	changed broadcast
-	// answers is what was encoded for them.
+	// answerCache holds encoded answers to them.
 	answerCache answerCache
-	// learning is set once another balancer is asked for everything.
+	// fetchingListing is set while a full listing is requested from other balancers, and stays set once one
+	// has been received.
 	fetchingListing atomic.Bool
-	// outlining is set while another balancer is asked for an outline.
+	// fetchingSummary is set while a summary is requested from another balancer.
 	fetchingSummary atomic.Bool
-	// leaving is set by a planned stop.
+	// leaving is set during a planned stop.
 	leaving atomic.Bool
-	// snapshots decides when the snapshot is written. It is guarded by beliefs.
+	// snapshots decides when the snapshot is written. It is guarded by stateMutex.
 	snapshots snapshot.Writer
-	// knownAt is when anything was first known, since started; 0 for not yet. It is guarded by beliefs.
+	// initializedAt is the time from started to the first known state, 0 while there is none. It is guarded by
+	// stateMutex.
 	initializedAt time.Duration
-	// asksStore is set while the follower asks the store itself.
+	// followsStore is set while the upstream of the follower is the store.
 	followsStore atomic.Bool
-	// failing is set while the store does not answer.
+	// storeFailing is set while the store does not respond.
 	storeFailing atomic.Bool
-	// waiting counts the datagrams that wait to be steered again.
+	// delayed counts the datagrams that wait to be steered again.
 	delayed atomic.Int64
-	// lastPacket is when the last packet came, by now().
+	// lastPacket is the time of the last packet on the clock of now.
 	lastPacket atomic.Int64
-	// viewRevision is the revision that packets are steered by, for logs.
+	// viewRevision is the revision of the steerer's view, for logs.
 	viewRevision atomic.Uint64
-	// onSettingsKnown is called once the settings are known, by the goroutine of tick; nil for nothing.
+	// onSettingsKnown is called once when the settings are known, by the goroutine of tick. It may be nil.
 	onSettingsKnown func()
 	stop            chan struct{}
 	stopOnce        sync.Once
 }
 
-// New opens the process's data socket and makes its parts.
+// New returns a node with open sockets for datagrams of callers and of peers. Its log is written to out.
 func New(config Config, out io.Writer) (*Node, error) {
 	data, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Data))
 	if err != nil {
 		return nil, err
 	}
-	// The kernel may grant less; that is no fault.
+	// The kernel may grant smaller buffers.
 	_ = data.SetReadBuffer(socketBuffer)
 	_ = data.SetWriteBuffer(socketBuffer)
 	peer, err := listenPeers(config.Control, config.PeerPort)
@@ -166,7 +168,7 @@
 	return n, nil
 }
 
-// config is the configuration in force. It is read-only.
+// config returns the configuration in force, which must not be modified.
 func (n *Node) config() *Config {
 	return n.current.Load()
 }
@@ -183,17 +185,17 @@
 	}
 }
 
-// departedTime is how long back ends that are gone are remembered.
+// removedRetention returns how long removed back ends are retained.
 func removedRetention(config *Config) time.Duration {
 	return config.Bounds.FlowLife + config.Bounds.Drain
 }
 
-// now is how long this process runs, by the monotonic clock.
+// now returns the time since the start of the process on the monotonic clock.
 func (n *Node) now() time.Duration {
 	return time.Since(n.started)
 }
 
-// Leave starts a planned stop; Run returns when it is over.
+// Leave starts a planned stop. Run returns when it is over.
 func (n *Node) Leave() {
 	n.stopOnce.Do(func() {
 		n.leaving.Store(true)
@@ -231,11 +233,11 @@
 		err = nil
 	}
 	n.log.Info("stopped", "error", err)
-	n.lines.flush(flushTime)
+	n.lines.flush(flushTimeout)
 	return err
 }
 
-// tick lets time pass in the steerer and the directory.
+// tick does the periodic work of the steerer and the directory until ctx ends.
 func (n *Node) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -253,7 +255,8 @@
 	}
 }
 
-// pulse tells the steerer that the process runs, so that it notices when it did not.
+// pulse tells the steerer at intervals that the process runs, so that it detects when the process was
+// suspended.
 func (n *Node) pulse(ctx context.Context) error {
 	ticker := time.NewTicker(steering.PulseInterval)
 	defer ticker.Stop()
@@ -269,6 +272,7 @@
 	}
 }
 
+// advanceTime removes expired entries from the directory and the steerer.
 func (n *Node) advanceTime() {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
@@ -280,8 +284,7 @@
 	n.steerer.Tick(n.now())
 }
 
-// receive is one worker: read, decode, decide, send. Its memory is reused for
-// each datagram.
+// receive is a worker that reads and handles datagrams until ctx ends. It reuses its buffers.
 func (n *Node) receive(ctx context.Context) error {
 	headroom := n.adapter.Codec.Headroom()
 	buffer := make([]byte, headroom+maxDatagram)
@@ -293,7 +296,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			// An earlier send met a closed port; the socket itself is sound.
+			// The error is of an earlier send to a closed port. The socket stays usable.
 			continue
 		}
 		started := n.now()
@@ -307,7 +310,7 @@
 	}
 }
 
-// handle decides on one datagram and sends what follows.
+// handle decodes and steers a datagram, and forwards, refuses, delays, queues or drops it.
 func (n *Node) handle(now time.Duration, buffer []byte, packet *steering.Packet, answer []byte) {
 	datagram := buffer[n.adapter.Codec.Headroom():]
 	if err := n.adapter.Codec.Decode(datagram, packet); err != nil {
@@ -338,14 +341,14 @@
 	n.logDecision(packet, &decision)
 }
 
-// backendName is the identifier as the logs give it.
+// backendName returns the identifier as it appears in logs.
 func backendName(id settings.BackendID) string {
 	return fmt.Sprintf("%x", uint64(id))
 }
 
-// serve runs one HTTP server until ctx ends. It has at most maxConnections at once; more
-// wait to be accepted, and their callers look elsewhere in time. When a large fleet starts,
-// all ask the same few seeds, and descriptors must be left for the rest of the process.
+// serve runs an HTTP server until ctx ends. More than maxConnections connections wait to be accepted, and
+// their clients time out. The limit leaves file descriptors for the rest of the process when a large fleet
+// starts and connects to the same few seeds.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -354,8 +357,9 @@
 	return serveOn(ctx, netutil.LimitListener(listener, maxConnections), handler)
 }
 
+// serveOn runs an HTTP server on a listener until ctx ends.
 func serveOn(ctx context.Context, listener net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: shutdownTime, IdleTimeout: idleTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/edge/observed.go
+++ b/internal/edge/observed.go
@@ -8,24 +8,23 @@
 	"gaugeyard/internal/steering"
 )
 
-// observations are what the steerer has found out beside the verdict on a packet, mostly
-// nothing.
+// observations are results of the steerer beside the decision on a packet. They are mostly empty.
 type observations struct {
 	events []steering.BackendEvent
 	resets []steering.Reset
-	// alarm is set when others should hear of silent back ends at once.
+	// urgent is set when an urgent report on back ends is to be sent to all live peers.
 	urgent bool
-	// inquiries are to be sent to others.
+	// inquiries are to be sent to all live peers.
 	inquiries []steering.Inquiry
 }
 
-// takeObservations collects them. The steering lock is held.
+// takeObservations takes the pending observations from the steerer. The steering mutex must be held.
 func (n *Node) takeObservations() observations {
 	return observations{n.steerer.TakeEvents(), n.steerer.TakeResets(), n.steerer.TakeAlarm(), n.steerer.TakeInquiries()}
 }
 
-// actOn logs what was observed, ends flows at lost back ends and tells other balancers.
-// buffer is for the datagrams.
+// handleObservations logs observations, resets flows at back ends that are down, and requests reports and
+// inquiries to peers. buffer is scratch space for datagrams. The steering mutex must not be held.
 func (n *Node) handleObservations(now time.Duration, observed *observations, buffer []byte) {
 	if observed.events != nil {
 		n.logObservations(now, observed.events)
@@ -47,7 +46,8 @@
 	}
 }
 
-// inquire has others asked where flows rest.
+// repeatInquiries counts and logs inquiries, and queues them now and once more after an interval, since
+// datagrams may be lost.
 func (n *Node) repeatInquiries(inquiries []steering.Inquiry) {
 	for _, inquiry := range inquiries {
 		n.metrics.inquiries.Inc()
@@ -57,7 +57,7 @@
 	time.AfterFunc(steering.InquiryRepeat, func() { n.queueInquiries(inquiries) })
 }
 
-// passOn hands inquiries to the goroutine that sends hellos; while too many wait there, they are left out.
+// queueInquiries queues inquiries for the goroutine that sends hellos. They are dropped if its queue is full.
 func (n *Node) queueInquiries(inquiries []steering.Inquiry) {
 	select {
 	case n.inquiries <- inquiries:
@@ -65,7 +65,7 @@
 	}
 }
 
-// heardInquiries answers what another balancer asks of flows, and takes over what it answers.
+// receiveInquiries answers the inquiries of another balancer, and records the locations that it sent.
 func (n *Node) receiveInquiries(now time.Duration, hello *peers.Hello) {
 	if len(hello.Inquiries) == 0 && len(hello.Locations) == 0 {
 		return
@@ -88,12 +88,12 @@
 	n.sendHello(answer, hello.Control)
 }
 
-// refuse tells a caller that its flow does not open or is ended.
+// refuse tells a caller that its flow is refused or reset.
 func (n *Node) refuse(buffer []byte, key flow.Key, acknowledged uint32) {
 	n.send(n.adapter.Codec.Refusal(buffer, key, acknowledged), n.adapter.deliverTo(key.Caller.Addr()))
 }
 
-// heardStalls takes over what another balancer told of silent back ends.
+// receiveUnresponsive records the reports of another balancer on unresponsive back ends.
 func (n *Node) receiveUnresponsive(now time.Duration, hello *peers.Hello) {
 	if len(hello.Stalls) == 0 {
 		return
--- a/internal/edge/order_test.go
+++ b/internal/edge/order_test.go
@@ -8,9 +8,8 @@
 	"gaugeyard/internal/directory"
 )
 
-// TestAnAnswerIsBuiltWhileAnotherIsTakenOver: who tells others is told itself at the same moment, after each
-// change.
-func TestAnAnswerIsBuiltWhileAnotherIsTakenOver(t *testing.T) {
+// TestAnswersAreBuiltAndAppliedConcurrently guards against a deadlock between the answer cache and the state.
+func TestAnswersAreBuiltAndAppliedConcurrently(t *testing.T) {
 	const rounds = 3000
 	n := newTestNode(t, &fakeSource{})
 	n.replace(listing(t, 1), "store", 0)
@@ -34,7 +33,7 @@
 		select {
 		case <-done:
 		case <-time.After(time.Minute):
-			t.Fatal("each waits for the other one's lock")
+			t.Fatal("deadlock between building and applying answers")
 		}
 	}
 }
--- a/internal/edge/outline.go
+++ b/internal/edge/outline.go
@@ -14,14 +14,13 @@
 	"gaugeyard/internal/peers"
 )
 
-// An outline goes ahead of everything at a start: settings and some back ends, so that new flows are placed while the
-// rest is read. After all of 986 balancers were killed settings were known 0.67 s (first), 1.39 s (middle) and
-// 1.78 s (last) after their starts, since 10,000 back ends were read from the store, told and put in force before.
+// A summary has the settings and a subset of the back ends. A balancer that has just started requests one first, so
+// that it can place new flows while the full listing is read.
 
-// manyBackends is from how many back ends on everything takes so long to tell that an outline goes ahead.
+// minSummaryBackends is the number of back ends from which a summary is offered beside the full listing.
 const minSummaryBackends = 1024
 
-// tellsOutline tells whether this balancer says that it has one for those that start. The beliefs lock is held.
+// offersSummary reports whether hellos of this balancer offer a summary. The state mutex must be held.
 func (n *Node) offersSummary() bool {
 	if n.directory.SettingsVersion() == 0 {
 		return false
@@ -30,7 +29,8 @@
 	return n.directory.Revision() == 0 || count >= minSummaryBackends
 }
 
-// outlineTeacherOf returns who, by a hello, has an outline: the sender, or one of the ablest that it names.
+// summarySource returns a balancer that offers a summary, by a hello: the sender, or one with the highest
+// capacity among those that it names.
 func summarySource(hello *peers.Hello) (control netip.AddrPort, found bool) {
 	if hello.Outline {
 		return hello.Control, true
@@ -38,8 +38,8 @@
 	return mostCapable(hello.Others, func(other *peers.Introduction) bool { return other.Outline })
 }
 
-// ablestOf returns one of the ablest of those that a condition holds for, drawn by chance since many are told the
-// same names.
+// mostCapable returns one of the balancers with the highest capacity among those that meet a condition. The choice
+// is random, since many receive the same candidates.
 func mostCapable(others []peers.Introduction, condition func(other *peers.Introduction) bool) (control netip.AddrPort, found bool) {
 	eligible := slices.DeleteFunc(slices.Clone(others), func(other peers.Introduction) bool { return !condition(&other) })
 	if len(eligible) == 0 {
@@ -50,7 +50,7 @@
 	return eligible[rand.N(len(eligible))].Control, true
 }
 
-// serveOutline tells one that starts what it needs first.
+// serveSummary sends a summary to a balancer that has just started.
 func (n *Node) serveSummary(w http.ResponseWriter, r *http.Request) {
 	zone := r.URL.Query().Get("zone")
 	if zone == "" {
@@ -64,7 +64,8 @@
 	n.answerPeer(w, peerRequest{zone: zone})
 }
 
-// learnOutline asks another balancer for an outline, once. Where that fails the next hello names one again.
+// fetchSummary requests a summary from another balancer, once. After a failure the next hello that offers one starts
+// another request.
 func (n *Node) fetchSummary(ctx context.Context, control netip.AddrPort) {
 	defer n.fetchingSummary.Store(false)
 	ctx, cancel := ExpectAnswer(ctx, firstByteTimeout, follow.TransferTimeout, nil)
@@ -74,14 +75,14 @@
 		err = errEmptyAnswer
 	}
 	if err != nil {
-		n.log.Info("outline not told", "peer", control, "error", err)
+		n.log.Info("no summary from peer", "peer", control, "error", err)
 		return
 	}
 	n.applySummary(answer.Listing, control.String())
 }
 
-// takeOutline lets new flows be placed by an outline where no settings are known yet, and tells whether its settings
-// are in force by it. Packets of flows whose back end is not in it wait for the rest.
+// applySummary installs a summary if no settings are known yet, and reports whether its settings are now in force.
+// Packets of flows whose back end is not in it are queued for the full listing.
 func (n *Node) applySummary(summary *directory.Listing, from string) (applied bool) {
 	n.applyDefaults(summary.Settings)
 	summary.Prepared = n.prepare(summary.Settings, nil)
--- a/internal/edge/outline_test.go
+++ b/internal/edge/outline_test.go
@@ -12,55 +12,56 @@
 	"gaugeyard/internal/peers"
 )
 
-// controlOf serves a node to others and returns its address.
+// startControl serves a node's control address and returns it.
 func startControl(t *testing.T, n *Node) netip.AddrPort {
 	server := httptest.NewServer(n.controlHandler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// TestAnOutlineGoesAheadOfEverything: one that knows an outline alone tells it on, flows are placed by it, packets
-// that wait for the rest are kept, and everything is learned as ever.
-func TestAnOutlineGoesAheadOfEverything(t *testing.T) {
+// TestASummaryPrecedesTheFullListing checks that a balancer with a summary is ready and offers it to others, queues
+// packets for back ends that are not in it, and still fetches the full listing.
+func TestASummaryPrecedesTheFullListing(t *testing.T) {
 	first, second := newTestNode(t, &fakeSource{}), newTestNode(t, &fakeSource{})
 	control := startControl(t, first)
 	if reply, err := http.Get("http://" + control.String() + pathSummary + "?zone=a"); err != nil || reply.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("one that knows nothing answers %v, %v", reply, err)
+		t.Errorf("a balancer without state answers %v, %v", reply, err)
 	}
 	if !first.applySummary(listing(t, 5), "store") || first.revision() != 0 || !first.ready() {
 		t.Fatalf("revision %d, ready %v", first.revision(), first.ready())
 	}
 	if first.applySummary(listing(t, 6), "store") {
-		t.Error("a second outline is taken")
+		t.Error("a second summary is applied")
 	}
 	hello := first.hello(first.now())
 	hello.Control = control
 	if !hello.Outline || hello.Revision != 0 {
-		t.Errorf("it says %+v", hello)
+		t.Errorf("hello %+v", hello)
 	}
 	second.receiveHello(context.Background(), hello)
-	await(t, 10*time.Second, "no outline is learned", second.ready)
+	await(t, 10*time.Second, "no summary is applied", second.ready)
 	if second.revision() != 0 || second.fetchingListing.Load() {
-		t.Errorf("revision %d, learning %v", second.revision(), second.fetchingListing.Load())
+		t.Errorf("revision %d, fetching listing %v", second.revision(), second.fetchingListing.Load())
 	}
 	if !second.startupQueue.add(second.now(), []byte("of a flow whose back end is not known")) {
-		t.Error("nothing is kept for the rest")
+		t.Error("a packet is not queued for the full listing")
 	}
 	first.replace(listing(t, 5), "store", 0)
 	hello = first.hello(first.now())
 	hello.Control = control
 	if hello.Outline {
-		t.Error("a few back ends need no outline")
+		t.Error("a summary of a few back ends is offered")
 	}
 	second.receiveHello(context.Background(), hello)
-	await(t, 10*time.Second, "the rest is not learned", func() bool { return second.revision() == 5 })
+	await(t, 10*time.Second, "the full listing is not applied", func() bool { return second.revision() == 5 })
 	if second.startupQueue.add(second.now(), []byte("late")) {
-		t.Error("a packet is kept though everything is known")
+		t.Error("a packet is queued after the full listing")
 	}
 }
 
-// TestAnOutlineIsAskedOfOneThatIsNamed, the ablest, by one that has none.
-func TestAnOutlineIsAskedOfOneThatIsNamed(t *testing.T) {
+// TestASummaryIsRequestedFromANamedPeer checks that a hello without a summary leads to the named balancer with the
+// highest capacity that offers one.
+func TestASummaryIsRequestedFromANamedPeer(t *testing.T) {
 	able, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
 	hello := &peers.Hello{Control: other, Others: []peers.Introduction{
 		{Control: other, Outline: true}, {Control: able, Outline: true, Capacity: peers.Able}, {Control: other, Capacity: peers.Able},
@@ -69,6 +70,6 @@
 		t.Errorf("%v, %v", teacher, found)
 	}
 	if _, found := summarySource(&peers.Hello{Control: other, Revision: 5}); found {
-		t.Error("one that has none to tell is asked")
+		t.Error("a summary is requested from a balancer that offers none")
 	}
 }
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -13,8 +13,8 @@
 	"gaugeyard/internal/follow"
 )
 
-// Paths between balancers, on the control address. Their version is that of what is told: one of another
-// version is told that there is nothing, and asks the store.
+// URL paths for other balancers on the control address. They contain the version of the encoding: a balancer
+// of another version finds no such path and reads from the store.
 const (
 	pathDirectory = "/v2/directory"
 	pathChanges   = "/v2/changes"
@@ -22,40 +22,40 @@
 )
 
 const (
-	// maxPeerWait bounds what another balancer may ask for.
+	// maxPeerWait bounds the wait for changes that another balancer may request.
 	maxPeerWait = 10 * time.Second
-	// maxPeerAnswer bounds what is read of one answer, in bytes.
+	// maxPeerAnswer bounds the length of an answer in bytes, both as sent and decompressed.
 	maxPeerAnswer = 64 << 20
-	// maxFollowers is how many other balancers are served at once; more are sent
-	// away and look elsewhere. A fleet that starts knows the same few seeds.
+	// maxFollowers bounds the concurrent requests of other balancers. Further ones are rejected and go to other
+	// balancers: a fleet that starts knows the same few seeds.
 	maxFollowers = 48
-	// maxNarrowListings is how many of them are told everything at once over a narrow link.
+	// maxNarrowListings bounds the concurrent full listings over a narrow link.
 	maxNarrowListings = 3
-	// helloVersion is the first byte of a hello.
+	// helloVersion is the first byte of a hello. Hellos of other versions are dropped.
 	helloVersion = 10
 )
 
-// errPeerFull means that a balancer serves as many others as it can.
-var errPeerFull = errors.New("the balancer serves no more others")
+// errPeerFull means that a balancer rejected a request because it is at its limit.
+var errPeerFull = errors.New("the balancer is at its limit of concurrent requests")
 
 var errEmptyAnswer = errors.New("the balancer's answer is empty")
 
-// peerAnswer is what one balancer tells another of its beliefs.
+// peerAnswer is the part of its known state that a balancer sends to another one.
 type peerAnswer struct {
-	// Age is how long ago the store confirmed them. It goes in a header, since the same
-	// answer is sent to many.
+	// Age is the staleness of the answer. It is sent in a header, since the encoded body is sent to many at
+	// different times.
 	Age time.Duration `msgpack:"-"`
-	// received is the answer as it came.
+	// received is the encoded body, to forward it.
 	received encodedAnswer
-	// ReturnAge is how long ago the store returned from an outage, 0 where no back end is lapsed; in a
-	// header as well.
+	// ReturnAge is the time since the store returned from an outage, 0 if no entry has expired in one. It is
+	// sent in a header too.
 	ReturnAge time.Duration `msgpack:"-"`
-	// Changes follow what the asker has; Listing stands where they are not known.
+	// Changes are those after the revision of the request. Listing is sent where they are not known.
 	Changes *directory.Changes
 	Listing *directory.Listing
 }
 
-// peerSource reads the beliefs of another balancer.
+// peerSource reads the known state of another balancer.
 type peerSource struct {
 	node    *Node
 	control netip.AddrPort
@@ -90,13 +90,13 @@
 	return readAnswer(reply)
 }
 
-// learnTries is how many balancers are asked for everything before the next hello
-// must come: each serves a few at once.
+// maxListingPeers is how many balancers are tried for a full listing after one hello. Each serves a few requests
+// at once.
 const maxListingPeers = 8
 
-// learnFrom reads everything that another balancer knows, once after the start: the
-// store may be silent or busy, and it does not know the back ends that have left and
-// still serve flows. Where that one cannot serve, others are tried.
+// fetchListing fetches a full listing from another balancer, once after the start: the store may be unavailable
+// or busy, and it does not have removed back ends that still serve flows. If that balancer fails, others are
+// tried.
 func (n *Node) fetchListing(ctx context.Context, control netip.AddrPort) {
 	for range maxListingPeers {
 		err := n.fetchListingOnce(ctx, control)
@@ -104,7 +104,7 @@
 			n.stopCall()
 			return
 		}
-		n.log.Warn("peer gave nothing", "peer", control, "error", err)
+		n.log.Warn("no listing from peer", "peer", control, "error", err)
 		n.peerClient.CloseIdleConnections()
 		n.stateMutex.Lock()
 		n.peers.Refused(n.now(), control)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// stopCall ends the follower's present call, since more is known already.
+// stopCall cancels the follower's current call, since newer state is known already.
 func (n *Node) stopCall() {
 	if cancel := n.cancelCall.Load(); cancel != nil {
 		n.overtaken.Store(true)
@@ -141,6 +141,7 @@
 	}
 }
 
+// listenPeers opens the socket for datagrams of other balancers.
 func listenPeers(control netip.AddrPort, port uint16) (*net.UDPConn, error) {
 	return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(control.Addr(), port)))
 }
--- a/internal/edge/pieces.go
+++ b/internal/edge/pieces.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// pieceBytes is how many bytes of an answer are decoded at a time: 0.2 ms of a whole core.
+	// pieceBytes is how many bytes of an answer are decoded between pauses.
 	pieceBytes = 16 << 10
-	// packetPause is the pause between pieces of long work. In it the worker of the data socket
-	// runs until no packet waits; giving way to it without a pause would not do, since a
-	// process that is never idle looks for packets each 10 ms alone.
+	// packetPause is the pause between pieces of long work, in which workers handle pending packets. Yielding
+	// without a pause is not enough: the runtime of a process that is never idle polls the network only every
+	// 10 ms.
 	packetPause = 500 * time.Microsecond
 )
 
-// pauseForPackets lets packets that wait be handled. No lock is held.
+// pauseForPackets lets workers handle pending packets. No lock may be held.
 func pauseForPackets() { time.Sleep(packetPause) }
 
-// prepare does in pieces what taking over newer settings costs.
+// prepare does the expensive part of applying newer settings, with pauses for packets. It returns nil if
+// there are none. The state mutex must not be held.
 func (n *Node) prepare(next *directory.Settings, step *directory.Step) *directory.Prepared {
 	if next == nil && step == nil {
 		return nil
--- a/internal/edge/ports.go
+++ b/internal/edge/ports.go
@@ -1,14 +1,13 @@
-// Package edge is the balancer process on a platform whose transport carries tags:
-// sockets, workers, the follower of the store, peers, readiness and metrics, around
-// the decisions of package steering and the beliefs of package directory. What the
-// platform speaks comes in through the interfaces of this file.
+// Package edge is the balancer process on a platform whose transport carries tags: sockets, workers, the
+// follower of the store, peers, readiness and metrics, around the decisions of package steering and the known
+// state in package directory. The interfaces in this file adapt it to the protocols of a platform.
 //
-// Locks are taken in the order beliefs, steering, and the lock of those that wait for
-// changes; a packet needs the second alone. Nothing waits for a reader of logs.
+// Locks are acquired in the order answer cache, state, steering, broadcast of changes. A packet needs the
+// steering lock alone. Logging never blocks.
 //
 // # Usage
 //
-// A program of a platform calls Main with what makes its Adapter:
+// The program of a platform calls Main with a function that returns its Adapter:
 //
 //	os.Exit(edge.Main(os.Args[1:], os.Stdout, os.Stderr, platform.Adapt))
 package edge
@@ -25,73 +24,70 @@
 	"gaugeyard/internal/steering"
 )
 
-// Codec translates the datagrams of the transport. Implementations have no state.
+// Codec encodes and decodes the datagrams of the transport. Implementations are stateless.
 type Codec interface {
-	// Headroom is how many bytes Forward needs before a datagram.
+	// Headroom returns how many bytes Forward needs before a datagram.
 	Headroom() int
-	// Decode reads a caller's datagram into packet; an error names what is wrong.
+	// Decode reads a caller's datagram into packet. An error describes what is malformed.
 	Decode(datagram []byte, packet *steering.Packet) error
-	// Forward turns the datagram at buffer[Headroom():] into the one for the back
-	// end, which returns the tag to the caller, in place, and returns it.
+	// Forward turns the datagram at buffer[Headroom():] into the datagram for the back end, in place, and
+	// returns it. The back end returns the tag to the caller.
 	Forward(buffer []byte, backend *directory.Member, tag directory.Tag) []byte
-	// Refusal returns the datagram that tells a caller that its flow does not open, or is
-	// ended, written into buffer. acknowledged is the caller's position in what it received, 0
-	// while the flow is not open.
+	// Refusal writes into buffer the datagram that refuses or resets a caller's flow, and returns it.
+	// acknowledged is the caller's position in the data that it received, 0 while the flow is not open.
 	Refusal(buffer []byte, key flow.Key, acknowledged uint32) []byte
 }
 
-// Source is where the desired state is read.
+// Source reads the desired state from the store.
 type Source interface {
-	// Page reads the page of everything that follows after, "" for the first one. It returns
-	// ErrTooLong, without reading on, where the page is known to have more than most bytes; 0 is
-	// no bound.
+	// Page reads the page of the full listing that follows after, "" for the first page. It returns ErrTooLong,
+	// without reading on, if the page is known to have more than maxBytes bytes; 0 is no bound.
 	Page(ctx context.Context, after string, maxBytes int64) (*Page, error)
-	// Changes waits up to wait for changes after a revision. It returns at once
-	// when there are any, and ErrHistoryLost when the revision is too old.
+	// Changes waits up to wait for changes after a revision. It returns at once when there are any, and
+	// ErrHistoryLost if the revision is too old.
 	Changes(ctx context.Context, after uint64, wait time.Duration) (*directory.Changes, error)
-	// Reconnect drops connections, of which one may be dead.
+	// Reconnect drops idle connections, which may be dead.
 	Reconnect()
 }
 
-// Keeper keeps the snapshot of back ends beside what a Source reads.
+// SnapshotStore stores the snapshot of the back ends beside the entries that a Source reads.
 type Keeper interface {
-	// Keep stores all parts of a write, each in place of the revision that it names, or none. After an
-	// error that may not be known.
+	// WriteSnapshot atomically replaces all parts of a write, or none if a stored part has another revision than
+	// the write names. After an error the outcome may be unknown.
 	Keep(ctx context.Context, write *snapshot.Write) (snapshot.Outcome, error)
 }
 
-// Page is a part of everything.
+// Page is a page of a full listing.
 type Page struct {
-	// Listing has what is on this page. Its revision is the source's when it was read;
-	// pages are no snapshot.
+	// Listing has the entries of this page. Its revision is that of the source when the page was read; the
+	// pages of a listing are not read atomically.
 	directory.Listing
-	// Kept are parts of the snapshot.
+	// SnapshotParts are stored parts of the snapshot.
 	Kept []snapshot.Stored
-	// Next is what the next page follows, "" after the last one.
+	// Next is the argument for the next page, "" after the last one.
 	Next string
 }
 
-// ErrTooLong means that an answer is longer than was asked for.
+// ErrTooLong means that an answer exceeds the requested length.
 var ErrTooLong = errors.New("the answer is too long")
 
-// ErrHistoryLost means that the changes since a revision are not known any more,
-// and everything must be listed again.
+// ErrHistoryLost means that the changes after a revision are no longer available and a full listing is needed.
 var ErrHistoryLost = errors.New("the store has no history since the revision")
 
-// ErrListingLeft means that a listing was not finished, since it is not needed any more.
-var ErrListingAbandoned = errors.New("the listing was left unfinished")
+// ErrListingAbandoned means that a listing was not finished since it is not needed any more.
+var ErrListingAbandoned = errors.New("the listing was abandoned")
 
-// Adapter is everything that a platform gives to the process.
+// Adapter connects the process to a platform.
 type Adapter struct {
 	Codec  Codec
 	Source Source
-	// Keeper is nil where nothing is kept.
+	// SnapshotStore is nil if no snapshot is stored.
 	Keeper Keeper
-	// CallerPort is the port at which the platform takes datagrams for callers.
+	// CallerPort is the port at which the platform accepts datagrams for callers.
 	CallerPort uint16
 }
 
-// deliverTo returns where a datagram for the caller is sent.
+// deliverTo returns the destination of a datagram for the caller.
 func (a *Adapter) deliverTo(caller netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(caller, a.CallerPort)
 }
--- a/internal/edge/readiness.go
+++ b/internal/edge/readiness.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// releaseTime is how long after readiness falls packets may still come: the
-	// platform asks twice a second and lets go after two misses.
+	// deregistrationTime is how long packets may arrive after the process has become unready: the platform
+	// checks readiness twice a second and stops sending after two failures.
 	deregistrationTime = 1600 * time.Millisecond
-	// quietTime without a packet then shows that the platform has let go.
+	// quietTime without a packet after that shows that the platform has stopped sending.
 	quietTime = 300 * time.Millisecond
-	// stopMargin is how long before the end by force the process ends itself.
+	// stopMargin is how long before the forced termination the process exits.
 	stopMargin = 1500 * time.Millisecond
-	// stopPoll is how often the end of traffic is looked for.
+	// stopPoll is the interval of checks for the end of traffic.
 	stopPoll = 100 * time.Millisecond
 )
 
-// ready tells whether new flows may come here.
+// ready reports whether this balancer accepts new flows.
 func (n *Node) ready() bool {
 	return !n.leaving.Load() && n.settingsKnown()
 }
@@ -42,8 +42,8 @@
 	return mux
 }
 
-// awaitStop waits for a planned stop and then until the platform has let go:
-// meanwhile packets are forwarded as before.
+// awaitStop waits for a planned stop, and then until the platform has stopped sending packets, which are
+// forwarded meanwhile, or the grace time is nearly over.
 func (n *Node) awaitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -10,12 +10,11 @@
 	"gaugeyard/internal/directory"
 )
 
-// reloadInterval is how often the settings file is looked at without a signal.
+// reloadPoll is the interval at which the settings file is checked for changes without a signal.
 const reloadPoll = 2 * time.Second
 
-// reload reads the settings file again and puts in force what may change while the
-// process runs: seeds, bounds and defaults. A faulty file changes nothing. Without
-// asked, a file that reads as before is not mentioned.
+// reload reads the settings file again and applies the fields that may change at run time: seeds, bounds and
+// defaults. An invalid file changes nothing. An unchanged file is ignored unless requested is set.
 func (n *Node) reload(path string, requested bool) {
 	document, err := os.ReadFile(path)
 	if err == nil && !requested && bytes.Equal(document, n.document) {
@@ -38,8 +37,8 @@
 	}
 }
 
-// reconfigure puts the changeable fields of next in force. It returns the names of
-// the fields that changed and of those that differ but need a restart.
+// reconfigure applies the fields of next that may change at run time. It returns the names of the fields that
+// changed, and of those that differ but need a restart.
 func (n *Node) reconfigure(next *Config) (changed, needRestart []string) {
 	merged := *n.config()
 	if !slices.Equal(merged.Seeds, next.Seeds) {
--- a/internal/edge/serving.go
+++ b/internal/edge/serving.go
@@ -10,7 +10,7 @@
 	"gaugeyard/internal/follow"
 )
 
-// controlHandler serves other balancers.
+// controlHandler returns the handler of requests from other balancers.
 func (n *Node) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathDirectory, n.servePeerListing)
@@ -19,8 +19,8 @@
 	return n.limitFollowers(mux)
 }
 
-// servePeerListing tells everything, over a narrow link to few at once: more would all
-// wait, while others could tell them.
+// servePeerListing sends a full listing. Over a narrow link only a few are sent at once: more would slow each
+// other down, while other balancers could send them.
 func (n *Node) servePeerListing(w http.ResponseWriter, _ *http.Request) {
 	defer n.listings.Add(-1)
 	if n.listings.Add(1) > maxNarrowListings && follow.Narrow(n.config().LinkMbps) {
@@ -30,13 +30,13 @@
 	n.answerPeer(w, peerRequest{})
 }
 
-// sendAway tells another balancer to look elsewhere.
+// rejectPeer rejects a request, so that the other balancer tries another one.
 func rejectPeer(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// limitFollowers sends away more balancers than can be served at once.
+// limitFollowers rejects requests beyond maxFollowers at once.
 func (n *Node) limitFollowers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.followers.Add(1) > maxFollowers {
@@ -50,17 +50,16 @@
 	})
 }
 
-// endWriting bounds how long the answer may take to write from now on. A connection that has
-// fallen silent, or an asker that does not read, would hold the place of a follower until the
-// kernel gives up, which takes many minutes; the asker gives up after follow.TransferTimeout.
+// setWriteTimeout bounds the time to write the answer. Otherwise a broken connection, or a follower that does not
+// read, would occupy one of maxFollowers until the kernel times out after many minutes. The follower times out
+// after follow.TransferTimeout.
 func setWriteTimeout(w http.ResponseWriter, within time.Duration) {
-	// It fails only where the connection has no deadlines, as in tests that write to memory.
+	// It fails only if the connection has no deadlines, as with the recorders of tests.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(within))
 }
 
-// servePeerChanges answers as soon as there are changes, when the store has confirmed again
-// what is believed, when the wait is over, or when this balancer loses the store, so that the
-// asker looks elsewhere.
+// servePeerChanges answers when there are changes, when the store has confirmed the known state again, when the
+// requested wait is over, or when this balancer loses the store, so that the follower chooses another upstream.
 func (n *Node) servePeerChanges(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -87,37 +86,36 @@
 	n.answerPeer(w, peerRequest{after: after, base: base})
 }
 
-// knowsMore tells whether this balancer knows of changes after a revision, or of a newer
-// confirmation of it by the store than one of the age.
+// hasNewer reports whether this balancer has changes after a revision, or a confirmation by the store that is
+// newer than one of the given age.
 func (n *Node) hasNewer(after uint64, age time.Duration) bool {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	return n.directory.Revision() > after || n.confirmed.Renews(n.now(), age)
 }
 
-// question is what another balancer asks for: everything, or what follows after what
-// it has.
+// peerRequest is a request of another balancer for a full listing, for changes or for a summary.
 type peerRequest struct {
-	// after is up to where the asker is complete, 0 for nothing.
+	// after is the revision up to which the sender is complete, 0 if it has no state.
 	after uint64
-	// base is the revision of the settings that it has in force.
+	// base is the revision of the sender's settings in force.
 	base uint64
-	// zone is that of an asker that wants an outline, empty for all others.
+	// zone is the sender's zone in a request for a summary, empty in others.
 	zone string
 }
 
-// answerPeer tells another balancer what is believed here.
+// answerPeer sends the answer to a request of another balancer.
 func (n *Node) answerPeer(w http.ResponseWriter, request peerRequest) {
 	n.stateMutex.Lock()
 	age, generation := n.staleness(), n.generation
 	n.stateMutex.Unlock()
 	body, err := n.answerCache.get(generation, request, func() *peerAnswer { return n.buildAnswer(request) })
 	if err != nil {
-		n.log.Error("cannot encode beliefs for another balancer", "error", err)
+		n.log.Error("cannot encode an answer for another balancer", "error", err)
 		http.Error(w, "encoding", http.StatusInternalServerError)
 		return
 	}
-	// Read after the body, which may name back ends that lapsed only just now.
+	// Set after the body is built, which may name back ends that have expired meanwhile.
 	n.setReturnAge(w.Header())
 	w.Header().Set(headerAge, strconv.FormatInt(int64(age), 10))
 	if body.compressed {
@@ -125,11 +123,11 @@
 	}
 	setWriteTimeout(w, follow.TransferTimeout)
 	n.metrics.answerBytes.Add(len(body.bytes))
-	// The asker may be gone; it asks again elsewhere.
+	// A follower that has closed the connection tries another balancer.
 	_, _ = w.Write(body.bytes)
 }
 
-// answerTo collects the answer to a question.
+// buildAnswer returns the answer to a request.
 func (n *Node) buildAnswer(request peerRequest) *peerAnswer {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
--- a/internal/edge/signals_test.go
+++ b/internal/edge/signals_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sendSelf sends a signal to the test's own process, which handles it, and leaves it the time to be taken.
+// sendSelf sends a signal to the test process and waits until it is delivered.
 func sendSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -27,7 +27,7 @@
 store: 127.0.0.1:9004
 `
 
-// signalled is a node that handles the test process's signals until the test ends.
+// nodeWithSignals returns a node that handles the signals of the test process until the test ends.
 func nodeWithSignals(t *testing.T) (node *Node, cancelled chan struct{}) {
 	t.Helper()
 	if _, faults := ParseConfig([]byte(signalSettings)); len(faults) > 0 {
@@ -42,10 +42,9 @@
 	return node, cancelled
 }
 
-// TestAStopIsHeardBehindManyReloads: signals came through one queue of four, and the runtime drops what finds a queue
-// full. While a reload waited for a large change to be taken in, four more filled it, and the request to stop was
-// lost: no line "leaving", and the platform ended the process by force once its time was over.
-func TestAStopIsHeardBehindManyReloads(t *testing.T) {
+// TestAStopIsHandledBehindManyReloads guards against a stop signal that is dropped because pending reloads fill a
+// shared queue.
+func TestAStopIsHandledBehindManyReloads(t *testing.T) {
 	node, _ := nodeWithSignals(t)
 	node.stateMutex.Lock()
 	defer node.stateMutex.Unlock()
@@ -56,13 +55,13 @@
 	select {
 	case <-node.stop:
 	case <-time.After(2 * time.Second):
-		t.Error("the request to stop is lost")
+		t.Error("the stop signal is lost")
 	}
 }
 
-// TestASecondRequestToStopCutsNothing: it ended the process at once, in the time in which routers still send packets of
-// open flows here. Only an operator at a terminal, who interrupts twice, wants that.
-func TestASecondRequestToStopCutsNothing(t *testing.T) {
+// TestASecondStopSignalBreaksNoFlows guards against a second SIGTERM that ends the process while routers still send
+// packets of open flows. Only an interrupt during the stop ends it at once.
+func TestASecondStopSignalBreaksNoFlows(t *testing.T) {
 	node, cancelled := nodeWithSignals(t)
 	sendSelf(t, syscall.SIGTERM)
 	sendSelf(t, syscall.SIGTERM)
--- a/internal/edge/silent_test.go
+++ b/internal/edge/silent_test.go
@@ -16,7 +16,7 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// serveSilenceable serves another balancer's control address on connections that can fall silent.
+// serveWithSilencer serves another balancer's control address on connections that the silencer can break.
 func serveWithSilencer(t *testing.T, handler http.Handler) (netip.AddrPort, *tagged.Silencer) {
 	t.Helper()
 	silencer := &tagged.Silencer{}
@@ -27,8 +27,8 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String()), silencer
 }
 
-// TestATimeoutDropsEveryPooledConnection: connections fall silent together, and one time-out
-// must not be followed by another one for each of them.
+// TestATimeoutDropsEveryPooledConnection guards against one time-out for each pooled connection when all of them
+// break together.
 func TestATimeoutDropsEveryPooledConnection(t *testing.T) {
 	source := newTestNode(t, &fakeSource{})
 	source.directory.Replace(0, &directory.Listing{Revision: 7, Settings: &directory.Settings{Version: 1, Revision: 7, Tree: settings.Tree{"": {}}}})
@@ -63,16 +63,16 @@
 	silencer.Silence()
 	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: 300 * time.Millisecond}
 	if outcome, _ := node.execute(t.Context(), call); outcome.Result != follow.Failed {
-		t.Fatalf("a call on a silent connection ends with %v", outcome.Result)
+		t.Fatalf("a call on a broken connection ends with %v", outcome.Result)
 	}
 	if outcome, err := node.execute(t.Context(), call); outcome.Result != follow.Done {
 		t.Errorf("the call after it ends with %v: %v", outcome.Result, err)
 	}
 }
 
-// TestAFollowerThatDoesNotReadGivesItsPlaceBack: a large answer to a connection that has fallen
-// silent must not hold one of the few places of followers.
-func TestAFollowerThatDoesNotReadGivesItsPlaceBack(t *testing.T) {
+// TestAFollowerThatDoesNotReadIsDisconnected guards against a large answer on a broken connection that occupies one
+// of maxFollowers for long.
+func TestAFollowerThatDoesNotReadIsDisconnected(t *testing.T) {
 	t.Parallel()
 	const smallBuffer = 4096
 	node := newTestNode(t, &fakeSource{})
@@ -100,16 +100,16 @@
 	if _, err := io.WriteString(connection, "GET "+pathDirectory+" HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	// The bound runs from the answer on, which takes seconds to encode beside other work.
+	// The write timeout starts with the answer, which may take seconds to encode on a busy machine.
 	await(t, time.Minute, "the answer begins", func() bool { return node.metrics.answerBytes.Get() > 0 })
 	time.Sleep(100 * time.Millisecond)
 	if node.followers.Load() == 0 {
-		t.Fatal("the answer fits the buffers; the test shows nothing")
+		t.Fatal("the answer fits into the socket buffers")
 	}
-	await(t, follow.TransferTimeout+time.Second, "the place is given back", func() bool { return node.followers.Load() == 0 && node.listings.Load() == 0 })
+	await(t, follow.TransferTimeout+time.Second, "the request ends", func() bool { return node.followers.Load() == 0 && node.listings.Load() == 0 })
 }
 
-// await waits until a condition holds.
+// await fails the test unless the condition holds within the timeout.
 func await(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -9,10 +9,11 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// snapshotPoll is how often it is asked whether the snapshot is to be written.
+// snapshotPoll is the interval of checks whether to write the snapshot.
 const snapshotPoll = time.Second
 
-// keepSnapshot writes the snapshot when this balancer is to, until ctx ends.
+// maintainSnapshot writes the snapshot whenever it is this balancer's task, until ctx ends. It returns nil at
+// once if snapshots are disabled.
 func (n *Node) maintainSnapshot(ctx context.Context) error {
 	if n.adapter.Keeper == nil || !n.config().Snapshot {
 		return nil
@@ -31,7 +32,7 @@
 	}
 }
 
-// nextSnapshot returns what is to be written now, if anything.
+// nextSnapshot returns the write that is due now. It reports false if there is nothing to write.
 func (n *Node) nextSnapshot() (*snapshot.Write, bool) {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
@@ -54,7 +55,7 @@
 	return &write, len(write.Parts) > 0
 }
 
-// writeSnapshot makes the call and takes over what came of it.
+// writeSnapshot sends a write to the store and records its outcome.
 func (n *Node) writeSnapshot(ctx context.Context, write *snapshot.Write) {
 	ctx, cancel := ExpectAnswer(ctx, follow.PageTimeout, follow.TransferTimeout, nil)
 	defer cancel()
@@ -72,8 +73,8 @@
 	n.log.Info("snapshot not written", "parts", len(write.Parts), "conflict", outcome.Conflict, "error", err)
 }
 
-// readSnapshot adds to a listing which back ends are missing by the snapshot, where nothing was known here
-// before: a process that is about as old as the contact bound has others to ask.
+// readSnapshot adds to a listing the back ends that are in the snapshot and missing from the listing. It does so only
+// if no state was known before, and while snapshotUsable holds: later, other balancers can be asked.
 func (n *Node) readSnapshot(listing *directory.Listing, parts []snapshot.Stored) {
 	if len(parts) == 0 || !n.config().Snapshot {
 		return
@@ -88,7 +89,7 @@
 	reading := snapshot.Read(parts)
 	if len(reading.Faults) > 0 {
 		n.metrics.snapshotFaults.Add(len(reading.Faults))
-		n.log.Warn("snapshot not believed", "parts", len(reading.Faults), "of", len(parts), "error", reading.Faults[0])
+		n.log.Warn("snapshot rejected", "parts", len(reading.Faults), "of", len(parts), "error", reading.Faults[0])
 	}
 	listing.Missing = reading.Missing(listing.Records)
 	if len(listing.Missing) > 0 {
@@ -97,14 +98,15 @@
 	}
 }
 
-// mayBelieveSnapshot tells whether the belief ends before this process can be in touch: the contact bound after its
-// start, or after the outage of the store that it has met itself.
+// snapshotUsable reports whether this process may use the snapshot: the back ends that it adds expire before the
+// process must be in contact with others, within the contact bound after its start, or after an outage of the
+// store that it has detected itself.
 func (n *Node) snapshotUsable() bool {
 	bounds := &n.config().Bounds
 	return n.storeFailing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
 }
 
-// noteMembership tells the writer of the snapshot of changes. The beliefs lock is held.
+// recordMembership tells the writer of the snapshot about changes of membership. The state mutex must be held.
 func (n *Node) recordMembership(events []directory.Event) {
 	if n.initializedAt == 0 {
 		n.initializedAt = n.now()
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -12,9 +12,9 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// fakeKeeper keeps parts as the store does; lost answers are those of writes that are done.
+// fakeSnapshotStore stores parts as the store does. If lost is set, writes succeed and return an error.
 type fakeSnapshotStore struct {
-	kept  map[int]snapshot.Stored
+	parts map[int]snapshot.Stored
 	lost  bool
 	calls int
 }
@@ -22,12 +22,12 @@
 func (k *fakeSnapshotStore) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
 	k.calls++
 	for _, part := range write.Parts {
-		if stored := k.kept[part.Part]; stored.Revision != part.Revision {
+		if stored := k.parts[part.Part]; stored.Revision != part.Revision {
 			return snapshot.Outcome{Conflict: true, Current: []snapshot.Stored{stored}}, nil
 		}
 	}
 	for _, part := range write.Parts {
-		k.kept[part.Part] = snapshot.Stored{Part: part.Part, Value: part.Value, Revision: uint64(k.calls)}
+		k.parts[part.Part] = snapshot.Stored{Part: part.Part, Value: part.Value, Revision: uint64(k.calls)}
 	}
 	if k.lost {
 		return snapshot.Outcome{}, errors.New("no answer")
@@ -35,7 +35,7 @@
 	return snapshot.Outcome{Revision: uint64(k.calls)}, nil
 }
 
-// eight are back ends of one group.
+// eightBackends returns a listing of eight back ends of one group.
 func eightBackends() *directory.Listing {
 	listing := &directory.Listing{Revision: 9, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: settings.Tree{"": {}}}}
 	for id := settings.BackendID(1); id <= 8; id++ {
@@ -45,7 +45,7 @@
 	return listing
 }
 
-// writerOf is a node that is to write a snapshot of what a listing has.
+// snapshotWriter returns a node that has installed a listing and whose task it is to write the snapshot.
 func snapshotWriter(t *testing.T, keeper *fakeSnapshotStore, listing *directory.Listing) *Node {
 	node := newTestNode(t, &fakeSource{})
 	enableSnapshot(node)
@@ -63,10 +63,10 @@
 	node.current.Store(&config)
 }
 
-// starter is a node that starts and lists the store, which has few back ends and the parts.
+// startedNode returns a node that has read a listing and parts of the snapshot from the store.
 func startedNode(t *testing.T, on bool, listed *directory.Listing, kept ...snapshot.Stored) *Node {
 	t.Helper()
-	node := newTestNode(t, &fakeSource{listing: listed, kept: kept})
+	node := newTestNode(t, &fakeSource{listing: listed, parts: kept})
 	if on {
 		enableSnapshot(node)
 	}
@@ -85,9 +85,10 @@
 	return count
 }
 
-// TestABalancerThatStartsKnowsWhoWasThere by what another one wrote before.
-func TestABalancerThatStartsKnowsWhoWasThere(t *testing.T) {
-	keeper := &fakeSnapshotStore{kept: map[int]snapshot.Stored{}}
+// TestAStartedBalancerUsesTheSnapshot checks that a balancer that has just started retains back ends which are missing
+// from the store and named by a valid snapshot, and that an older process ignores it.
+func TestAStartedBalancerUsesTheSnapshot(t *testing.T) {
+	keeper := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}}
 	writer := snapshotWriter(t, keeper, eightBackends())
 	write, due := writer.nextSnapshot()
 	if !due {
@@ -98,35 +99,35 @@
 		t.Error("the write is not counted")
 	}
 	if _, again := writer.nextSnapshot(); again {
-		t.Error("it is written again without a change")
+		t.Error("the snapshot is written again without a change")
 	}
 	few := eightBackends()
 	few.Records = few.Records[:2]
-	if lapsed := expiredCount(startedNode(t, true, few, keeper.kept[0])); lapsed != 6 {
-		t.Errorf("%d back ends are believed in, want 6", lapsed)
+	if lapsed := expiredCount(startedNode(t, true, few, keeper.parts[0])); lapsed != 6 {
+		t.Errorf("%d back ends are retained, want 6", lapsed)
 	}
-	if lapsed := expiredCount(startedNode(t, false, few, keeper.kept[0])); lapsed != 0 {
-		t.Errorf("%d back ends are believed in though no snapshot is wanted", lapsed)
+	if lapsed := expiredCount(startedNode(t, false, few, keeper.parts[0])); lapsed != 0 {
+		t.Errorf("%d back ends are retained with snapshots disabled", lapsed)
 	}
-	torn := keeper.kept[0]
+	torn := keeper.parts[0]
 	torn.Value = torn.Value[:len(torn.Value)-1]
 	node := startedNode(t, true, few, torn)
 	if lapsed := expiredCount(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
-		t.Errorf("a torn part: %d are believed in, %d faults", lapsed, node.metrics.snapshotFaults.Get())
+		t.Errorf("truncated part: %d back ends are retained, %d faults", lapsed, node.metrics.snapshotFaults.Get())
 	}
-	// A process of some age has not lost everything just now.
-	old := newTestNode(t, &fakeSource{listing: few, kept: []snapshot.Stored{keeper.kept[0]}})
+	// A process that has run for longer does not use the snapshot.
+	old := newTestNode(t, &fakeSource{listing: few, parts: []snapshot.Stored{keeper.parts[0]}})
 	enableSnapshot(old)
 	old.started = time.Now().Add(-time.Minute)
 	if err := old.listStore(t.Context(), 0); err != nil || expiredCount(old) != 0 {
-		t.Errorf("an old process believes in %d, %v", expiredCount(old), err)
+		t.Errorf("a process that has run for longer retains %d, %v", expiredCount(old), err)
 	}
 }
 
-// TestAWriteWithoutAnAnswerIsFoundOut: it was done, so that the next one hears of a conflict and has
-// nothing to write.
-func TestAWriteWithoutAnAnswerIsFoundOut(t *testing.T) {
-	keeper := &fakeSnapshotStore{kept: map[int]snapshot.Stored{}, lost: true}
+// TestAWriteWithoutAResponseIsDetected checks that a write which succeeded without a response leads to a conflict at the
+// next one, and to no further write.
+func TestAWriteWithoutAResponseIsDetected(t *testing.T) {
+	keeper := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}, lost: true}
 	node := snapshotWriter(t, keeper, eightBackends())
 	for range 3 {
 		write, due := node.nextSnapshot()
@@ -134,7 +135,7 @@
 			break
 		}
 		node.writeSnapshot(t.Context(), write)
-		// The time until the next write passes.
+		// Advance to the next write.
 		node.started = node.started.Add(-time.Minute)
 		node.confirmed.Note(node.now(), 0)
 	}
--- a/internal/edge/start_bench_test.go
+++ b/internal/edge/start_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// startSettings is a settings file as the template makes it.
+// startSettings is a settings file as the deployment template generates it.
 const startSettings = "testdata/balancer.yaml"
 
-// BenchmarkReadSettings is the reading of the settings file at a start.
+// BenchmarkReadSettings measures the parsing of the settings file.
 func BenchmarkReadSettings(b *testing.B) {
 	document, err := os.ReadFile(startSettings)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkMakeNode is what a start does between the settings file and the first packet.
+// BenchmarkMakeNode measures the start between the settings file and the first packet.
 func BenchmarkMakeNode(b *testing.B) {
 	document, err := os.ReadFile(startSettings)
 	if err != nil {
--- a/internal/edge/telling_bench_test.go
+++ b/internal/edge/telling_bench_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// BenchmarkTellAFollower is what one answer to a follower costs, the asker's own work included, once it
-// is encoded: by what it costs maxFollowers of them, machines are classed.
-func BenchmarkTellAFollower(b *testing.B) {
+// BenchmarkAnswerFollower measures a cached answer to a follower, including the work of the follower. The capacity
+// classes of machines depend on its cost for maxFollowers.
+func BenchmarkAnswerFollower(b *testing.B) {
 	node := newTestNode(b, &fakeSource{listing: listing(b, 5)})
 	node.replace(listing(b, 5), "store", 0)
 	server := httptest.NewServer(node.controlHandler())
--- a/internal/edge/verdict.go
+++ b/internal/edge/verdict.go
@@ -8,16 +8,14 @@
 	"gaugeyard/internal/steering"
 )
 
-// send sends one datagram. One that cannot be sent is lost as on any network; the
-// protocols above repeat it.
+// send sends a datagram. A failure is counted; the protocols above retransmit.
 func (n *Node) send(datagram []byte, to netip.AddrPort) {
 	if _, err := n.data.WriteToUDPAddrPort(datagram, to); err != nil {
 		n.metrics.sendFailures.Inc()
 	}
 }
 
-// logVerdict writes a line for each decision on a flow. Packets of established
-// flows that follow their tag decide nothing and are only counted.
+// logDecision logs each decision on a flow. Packets of established flows that follow their tag are only counted.
 func (n *Node) logDecision(packet *steering.Packet, decision *steering.Verdict) {
 	switch {
 	case decision.Action != steering.Forward:
@@ -47,7 +45,7 @@
 		"load", round(decision.Load), "mean", round(decision.Mean), "candidates", decision.Candidates, "revision", n.viewRevision.Load())
 }
 
-// logObservations writes what packets have shown of back ends.
+// logObservations logs changes in the observed state of back ends.
 func (n *Node) logObservations(now time.Duration, events []steering.BackendEvent) {
 	for _, event := range events {
 		if event.Observation == steering.OutOfRotation {
@@ -62,7 +60,7 @@
 	}
 }
 
-// round keeps a load short in the log.
+// round rounds a load to one decimal for the log.
 func round(load float64) float64 {
 	return math.Round(load*10) / 10
 }
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -6,10 +6,10 @@
 	"gaugeyard/internal/steering"
 )
 
-// maxWaiting is how many datagrams may wait at once; more are steered at once.
+// maxDelayed bounds the datagrams that are delayed at the same time. Further ones are steered without delay.
 const maxDelayed = 256
 
-// waitWith steers a datagram again after a moment, or at once where too many wait.
+// delayCopy steers a copy of an opening datagram again after steering.CopyWait, or at once if too many are delayed.
 func (n *Node) delayCopy(datagram []byte) {
 	if n.delayed.Add(1) > maxDelayed {
 		n.handleDelayed(datagram)
@@ -20,7 +20,7 @@
 	time.AfterFunc(steering.CopyWait, func() { n.handleDelayed(copied) })
 }
 
-// steerAgain steers a datagram that has waited.
+// handleDelayed steers a datagram after its delay.
 func (n *Node) handleDelayed(datagram []byte) {
 	defer n.delayed.Add(-1)
 	n.handleStored(datagram, &steering.Packet{Waited: true})
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,5 @@
-// Package hangup receives SIGHUP from the first moments of a process on, before its main function runs. Whoever
-// changes the settings file of a process that is just starting sends the signal then, and without a receiver
-// it ends the process.
+// Package hangup registers a handler for SIGHUP before the main function of a process runs. An operator who changes
+// the settings file may send the signal while the process starts; without a handler it terminates the process.
 //
 // # Usage
 //
@@ -15,10 +14,11 @@
 	"syscall"
 )
 
-// received has room for one signal: one that waits stands for all that come meanwhile.
+// received buffers one signal. A pending one covers all that arrive meanwhile.
 var received = make(chan os.Signal, 1)
 
 func init() { signal.Notify(received, syscall.SIGHUP) }
 
-// Received returns the signals since the process's start, as one where several wait. All callers share them.
+// Received returns the channel of the signals since the start of the process. Pending signals are merged into one,
+// and all callers share the channel, so that each signal reaches one of them.
 func Received() <-chan os.Signal { return received }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// starting makes the test's program a process that does nothing but start.
+// childEnv is the environment variable that makes the test binary run as the child process of the test.
 const childEnv = "GAUGEYARD_TEST_STARTING"
 
 func TestMain(m *testing.M) {
@@ -26,9 +26,8 @@
 	}
 }
 
-// TestAProcessThatStartsSurvivesAHangup: balancers received SIGHUP only once their settings were read and their sockets
-// open; one that came before ended them. The soak showed it (seed 1, "balancer 2 ended by itself: signal: hangup", a
-// reload series at a balancer that had just been started).
+// TestAProcessThatStartsSurvivesAHangup guards against a SIGHUP before the settings are read and the sockets are
+// open, which terminated the process.
 func TestAProcessThatStartsSurvivesAHangup(t *testing.T) {
 	program := exec.Command(os.Args[0])
 	program.Env = append(os.Environ(), childEnv+"=1")
