--- a/internal/edge/answers.go
+++ b/internal/edge/answers.go
@@ -29,7 +29,6 @@
 	maxCachedAnswers = 8
 )
 
-// encodedAnswer is the body of an answer as it is sent.
 type encodedAnswer struct {
 	bytes      []byte
 	compressed bool
--- a/internal/edge/answers_test.go
+++ b/internal/edge/answers_test.go
@@ -38,11 +38,11 @@
 	second, atSecond := startPeer(t)
 	third, _ := startPeer(t)
 	first.apply(&directory.Changes{Revision: 2, Settings: &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(300)}}, "store", 0)
-	asked := peerRequest{after: 1, base: 1}
+	request := peerRequest{after: 1, base: 1}
 	requestChanges(t, second, atFirst)
-	kept, passedOn := second.answerCache.entries[asked]
-	if sent := first.answerCache.entries[asked]; !passedOn || !bytes.Equal(kept.bytes, sent.bytes) || !kept.compressed {
-		t.Errorf("an answer of %d bytes is forwarded as %d", len(sent.bytes), len(kept.bytes))
+	cached, forwardable := second.answerCache.entries[request]
+	if sent := first.answerCache.entries[request]; !forwardable || !bytes.Equal(cached.bytes, sent.bytes) || !cached.compressed {
+		t.Errorf("an answer of %d bytes is forwarded as %d", len(sent.bytes), len(cached.bytes))
 	}
 	requestChanges(t, third, atSecond)
 	if got := len(third.directory.View().Settings.Services); got != 300 || third.revision() != 2 || third.directory.SettingsVersion() != 2 {
--- a/internal/edge/client.go
+++ b/internal/edge/client.go
@@ -46,7 +46,6 @@
 	}
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a connection.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var failure error
 	err := connection.Control(func(descriptor uintptr) {
--- a/internal/edge/cost_test.go
+++ b/internal/edge/cost_test.go
@@ -32,16 +32,16 @@
 func settingsGrowth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
 	tb.Helper()
 	first := &directory.Listing{Revision: 1, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: routeTree(40)}}
-	grown := &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(40 + routes)}
-	teller, asker := directory.New(0), directory.New(0)
-	teller.Replace(0, first)
-	asker.Replace(0, first)
-	teller.Apply(0, &directory.Changes{Revision: 2, Settings: grown})
-	changes, known := teller.Since(1, 1)
+	larger := &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(40 + routes)}
+	sender, follower := directory.New(0), directory.New(0)
+	sender.Replace(0, first)
+	follower.Replace(0, first)
+	sender.Apply(0, &directory.Changes{Revision: 2, Settings: larger})
+	changes, known := sender.Since(1, 1)
 	if !known || changes.Step == nil {
 		tb.Fatal("the changes have no step")
 	}
-	return asker, changes
+	return follower, changes
 }
 
 func httpReply(encoded encodedAnswer) *http.Response {
@@ -126,7 +126,7 @@
 			b.ReportMetric(float64(longest.Microseconds()), "longest-piece-us")
 		})
 		listing := &directory.Listing{Revision: 2, Settings: &directory.Settings{Version: 2, Revision: 2, Tree: tree}}
-		whole, err := encodeAnswer(&peerAnswer{Listing: listing})
+		full, err := encodeAnswer(&peerAnswer{Listing: listing})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -137,12 +137,12 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(len(whole.bytes)), "wire-bytes")
+			b.ReportMetric(float64(len(full.bytes)), "wire-bytes")
 		})
 		b.Run(fmt.Sprintf("whole-decode/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := readAnswer(httpReply(whole)); err != nil {
+				if _, err := readAnswer(httpReply(full)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -95,7 +95,7 @@
 }
 
 // Page returns only the revision on the first page of a paged listing.
-func (s *fakeSource) Page(_ context.Context, after string, most int64) (*Page, error) {
+func (s *fakeSource) Page(_ context.Context, after string, maxBytes int64) (*Page, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
@@ -239,7 +239,7 @@
 	second := newTestNode(t, &fakeSource{})
 	source := &peerSource{second, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	const wait = 10 * time.Second
-	ask := func(age time.Duration) (took, told time.Duration) {
+	ask := func(age time.Duration) (took, staleness time.Duration) {
 		began := time.Now()
 		answer, err := source.changes(context.Background(), peerRequest{after: 5, base: 1}, age, wait)
 		if err != nil {
@@ -247,8 +247,8 @@
 		}
 		return time.Since(began), answer.Age
 	}
-	if took, told := ask(time.Minute); took > wait/2 || told > wait/2 {
-		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, told)
+	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, staleness)
 	}
 	// Make the last confirmation an old one.
 	first.stateMutex.Lock()
@@ -256,8 +256,8 @@
 	first.confirmed.Note(first.now(), time.Minute)
 	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
-	if took, told := ask(time.Minute); took > wait/2 || told > wait/2 {
-		t.Errorf("a waiting follower receives a newer confirmation after %v: %v old", took, told)
+	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+		t.Errorf("a waiting follower receives a newer confirmation after %v: %v old", took, staleness)
 	}
 }
 
@@ -268,19 +268,19 @@
 	for number := uint16(2); peers.HashOf(lower) >= peers.HashOf(netip.MustParseAddrPort("127.0.0.1:1")); number++ {
 		lower = netip.AddrPortFrom(lower.Addr(), number)
 	}
-	for _, tells := range []bool{true, false} {
+	for _, delivers := range []bool{true, false} {
 		source := &fakeSource{listing: listing(t, 5), paged: true}
 		node := newTestNode(t, source)
 		node.stateMutex.Lock()
 		node.peers.Heard(node.now(), &peers.Hello{Control: lower, Zone: "a", Started: 1})
 		node.stateMutex.Unlock()
-		if tells {
+		if delivers {
 			// State that arrives before the listing begins must not end it.
 			source.listed = func() { go node.replace(listing(t, 4), "a peer", 0) }
 		}
 		err := node.listStore(context.Background(), 0)
-		if left := errors.Is(err, ErrListingAbandoned); left != tells {
-			t.Errorf("a peer delivers: %v, listing abandoned: %v (%v)", tells, left, err)
+		if left := errors.Is(err, ErrListingAbandoned); left != delivers {
+			t.Errorf("a peer delivers: %v, listing abandoned: %v (%v)", delivers, left, err)
 		}
 		if node.revision() == 0 {
 			t.Error("no state is known")
@@ -327,7 +327,7 @@
 	defer server.Close()
 	source := &peerSource{first, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	first.followers.Store(maxFollowers)
-	if _, err := source.list(context.Background()); !errors.Is(err, errPeerFull) {
+	if _, err := source.list(context.Background()); !errors.Is(err, errPeerRejected) {
 		t.Errorf("a request beyond the limit is served: %v", err)
 	}
 	first.followers.Store(0)
@@ -366,10 +366,10 @@
 			}
 			d.View()
 		}
-		var heard peers.Hello
-		if codec.Unmarshal(body, &heard) == nil {
+		var hello peers.Hello
+		if codec.Unmarshal(body, &hello) == nil {
 			table := peers.New(peers.Introduction{Control: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "a"})
-			table.Heard(0, &heard)
+			table.Heard(0, &hello)
 			table.Round(0, 1)
 			table.Loads(0)
 		}
@@ -521,26 +521,26 @@
 // TestLinesOfFlowsAreBounded checks the limit per second, and that omitted lines are reported once.
 func TestLinesOfFlowsAreBounded(t *testing.T) {
 	var budget lineBudget
-	written, told := 0, 0
+	written, reported := 0, 0
 	for i := range 10 * maxFlowLines {
-		allowed, leftOut := budget.allow(3*time.Second + time.Duration(i)*time.Millisecond/2)
+		allowed, omitted := budget.allow(3*time.Second + time.Duration(i)*time.Millisecond/2)
 		if allowed {
 			written++
 		}
-		told += leftOut
+		reported += omitted
 	}
-	if written != maxFlowLines || told != 0 {
-		t.Errorf("%d lines are written, %d reported as omitted", written, told)
+	if written != maxFlowLines || reported != 0 {
+		t.Errorf("%d lines are written, %d reported as omitted", written, reported)
 	}
 	for range 3 {
-		allowed, leftOut := budget.allow(4 * time.Second)
+		allowed, omitted := budget.allow(4 * time.Second)
 		if !allowed {
 			t.Error("nothing is written in the next second")
 		}
-		told += leftOut
+		reported += omitted
 	}
-	if told != 9*maxFlowLines {
-		t.Errorf("%d lines are reported as omitted", told)
+	if reported != 9*maxFlowLines {
+		t.Errorf("%d lines are reported as omitted", reported)
 	}
 }
 
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -81,7 +81,7 @@
 
 // connectionWorked reports whether a call that returned err received a response over its connection.
 func connectionWorked(err error) bool {
-	return err == nil || errors.Is(err, errPeerFull) || errors.Is(err, errEmptyAnswer) ||
+	return err == nil || errors.Is(err, errPeerRejected) || errors.Is(err, errEmptyAnswer) ||
 		errors.Is(err, ErrListingAbandoned) || errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrTooLong)
 }
 
@@ -108,7 +108,7 @@
 func (n *Node) requestFromPeer(ctx context.Context, call follow.Call) (time.Duration, error) {
 	request, staleness := n.requestWithStaleness()
 	answer, err := (&peerSource{n, call.Peer}).changes(ctx, request, staleness, call.Wait)
-	if errors.Is(err, errPeerFull) {
+	if errors.Is(err, errPeerRejected) {
 		n.stateMutex.Lock()
 		n.peers.Refused(n.now(), call.Peer)
 		n.stateMutex.Unlock()
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// receiveHello processes a hello. A new peer gets a reply at once. While this balancer has no state, it
-// requests the sender's, or that of a peer that the sender names.
+// receiveHello processes a hello. A new peer gets a reply at once. The first hello that leads to a balancer with state
+// starts a fetch of its listing, and while no settings are known, of a summary.
 func (n *Node) receiveHello(ctx context.Context, hello *peers.Hello) {
 	n.stateMutex.Lock()
 	now := n.now()
--- a/internal/edge/holding.go
+++ b/internal/edge/holding.go
@@ -27,29 +27,29 @@
 }
 
 type queuedDatagram struct {
-	at       time.Duration
+	arrived  time.Duration
 	datagram []byte
 }
 
 // add appends a copy of a datagram. It reports whether the queue accepted it, false if it is closed or full.
-func (h *startupQueue) add(now time.Duration, datagram []byte) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.closed || len(h.queued) >= maxQueued {
+func (q *startupQueue) add(now time.Duration, datagram []byte) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	if q.closed || len(q.queued) >= maxQueued {
 		return false
 	}
-	h.queued = append(h.queued, queuedDatagram{now, append([]byte(nil), datagram...)})
+	q.queued = append(q.queued, queuedDatagram{now, append([]byte(nil), datagram...)})
 	return true
 }
 
-// drain empties the queue and returns the datagrams that are not too old, in order of arrival. closing
-// closes the queue.
-func (h *startupQueue) drain(now time.Duration, closing bool) []queuedDatagram {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.closed = h.closed || closing
-	fresh := slices.DeleteFunc(h.queued, func(held queuedDatagram) bool { return now-held.at > maxQueueTime })
-	h.queued = nil
+// drain empties the queue, closes it if closing is set, and returns the datagrams that have not exceeded maxQueueTime,
+// in order of arrival.
+func (q *startupQueue) drain(now time.Duration, closing bool) []queuedDatagram {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.closed = q.closed || closing
+	fresh := slices.DeleteFunc(q.queued, func(item queuedDatagram) bool { return now-item.arrived > maxQueueTime })
+	q.queued = nil
 	return fresh
 }
 
@@ -58,11 +58,11 @@
 	return decision.Action == steering.Drop && (decision.Reason == errkind.NotReady || decision.Reason == errkind.UnknownTag)
 }
 
-// handleQueued steers the queued datagrams again. all closes the queue. A datagram that is queued again keeps
-// the time of its arrival.
-func (n *Node) handleQueued(all bool) {
-	for _, held := range n.startupQueue.drain(n.now(), all) {
-		n.handleStored(held.datagram, &steering.Packet{Held: n.now() - held.at})
+// handleQueued drains the startup queue and steers its datagrams again. One that is queued again keeps the time of its
+// arrival.
+func (n *Node) handleQueued(closing bool) {
+	for _, item := range n.startupQueue.drain(n.now(), closing) {
+		n.handleStored(item.datagram, &steering.Packet{Held: n.now() - item.arrived})
 	}
 }
 
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -46,7 +46,6 @@
 	return nil
 }
 
-// addPage appends a further page to the listing.
 func addPage(listing, page *directory.Listing) {
 	if page.Settings != nil {
 		listing.Settings = page.Settings
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -10,7 +10,6 @@
 	"gaugeyard/internal/steering"
 )
 
-// processMetrics are the metrics of the process.
 type processMetrics struct {
 	set                        *metrics.Set
 	packets, forwarded, placed *metrics.Counter
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -34,8 +34,7 @@
 	// tickInterval is the interval of periodic work in the steerer and the directory.
 	tickInterval = time.Second
 	// sampleEvery is the number of packets for each one whose handling is timed.
-	sampleEvery = 64
-	// flushTimeout bounds the wait for log lines when the process ends.
+	sampleEvery  = 64
 	flushTimeout = 200 * time.Millisecond
 	// headerTimeout bounds the reading of request headers by the HTTP servers.
 	headerTimeout = time.Second
@@ -107,7 +106,6 @@
 	// fetchingListing is set while a full listing is requested from other balancers, and stays set once one
 	// has been received.
 	fetchingListing atomic.Bool
-	// fetchingSummary is set while a summary is requested from another balancer.
 	fetchingSummary atomic.Bool
 	// leaving is set during a planned stop.
 	leaving atomic.Bool
@@ -237,7 +235,7 @@
 	return err
 }
 
-// tick does the periodic work of the steerer and the directory until ctx ends.
+// tick calls advanceTime at intervals until ctx ends, and onSettingsKnown once.
 func (n *Node) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -272,7 +270,7 @@
 	}
 }
 
-// advanceTime removes expired entries from the directory and the steerer.
+// advanceTime does the periodic work of the directory and the steerer.
 func (n *Node) advanceTime() {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
@@ -357,7 +355,6 @@
 	return serveOn(ctx, netutil.LimitListener(listener, maxConnections), handler)
 }
 
-// serveOn runs an HTTP server on a listener until ctx ends.
 func serveOn(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/internal/edge/order_test.go
+++ b/internal/edge/order_test.go
@@ -23,9 +23,9 @@
 	go func() {
 		for range rounds {
 			n.stateMutex.Lock()
-			asked := n.changesRequest()
+			request := n.changesRequest()
 			n.stateMutex.Unlock()
-			n.applyFromPeer(&peerAnswer{Changes: &directory.Changes{Revision: asked.after + 1, Told: true}}, asked, "peer")
+			n.applyFromPeer(&peerAnswer{Changes: &directory.Changes{Revision: request.after + 1, Told: true}}, request, "peer")
 		}
 		done <- struct{}{}
 	}()
--- a/internal/edge/outline_test.go
+++ b/internal/edge/outline_test.go
@@ -62,12 +62,12 @@
 // TestASummaryIsRequestedFromANamedPeer checks that a hello without a summary leads to the named balancer with the
 // highest capacity that offers one.
 func TestASummaryIsRequestedFromANamedPeer(t *testing.T) {
-	able, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
+	capable, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
 	hello := &peers.Hello{Control: other, Others: []peers.Introduction{
-		{Control: other, Outline: true}, {Control: able, Outline: true, Capacity: peers.Able}, {Control: other, Capacity: peers.Able},
+		{Control: other, Outline: true}, {Control: capable, Outline: true, Capacity: peers.Able}, {Control: other, Capacity: peers.Able},
 	}}
-	if teacher, found := summarySource(hello); !found || teacher != able {
-		t.Errorf("%v, %v", teacher, found)
+	if source, found := summarySource(hello); !found || source != capable {
+		t.Errorf("%v, %v", source, found)
 	}
 	if _, found := summarySource(&peers.Hello{Control: other, Revision: 5}); found {
 		t.Error("a summary is requested from a balancer that offers none")
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -35,8 +35,8 @@
 	helloVersion = 10
 )
 
-// errPeerFull means that a balancer rejected a request because it is at its limit.
-var errPeerFull = errors.New("the balancer is at its limit of concurrent requests")
+// errPeerRejected means that a balancer is at its limit of requests, or has no state to send.
+var errPeerRejected = errors.New("the balancer rejected the request")
 
 var errEmptyAnswer = errors.New("the balancer's answer is empty")
 
@@ -82,7 +82,7 @@
 	}
 	defer reply.Body.Close()
 	if reply.StatusCode == http.StatusServiceUnavailable {
-		return nil, errPeerFull
+		return nil, errPeerRejected
 	}
 	if reply.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("balancer %s answered %s", s.control, reply.Status)
@@ -141,7 +141,6 @@
 	}
 }
 
-// listenPeers opens the socket for datagrams of other balancers.
 func listenPeers(control netip.AddrPort, port uint16) (*net.UDPConn, error) {
 	return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(control.Addr(), port)))
 }
--- a/internal/edge/ports.go
+++ b/internal/edge/ports.go
@@ -1,6 +1,6 @@
 // Package edge is the balancer process on a platform whose transport carries tags: sockets, workers, the
 // follower of the store, peers, readiness and metrics, around the decisions of package steering and the known
-// state in package directory. The interfaces in this file adapt it to the protocols of a platform.
+// state in package directory. Codec, Source and SnapshotStore adapt it to the protocols of a platform.
 //
 // Locks are acquired in the order answer cache, state, steering, broadcast of changes. A packet needs the
 // steering lock alone. Logging never blocks.
--- a/internal/edge/serving.go
+++ b/internal/edge/serving.go
@@ -53,9 +53,9 @@
 // setWriteTimeout bounds the time to write the answer. Otherwise a broken connection, or a follower that does not
 // read, would occupy one of maxFollowers until the kernel times out after many minutes. The follower times out
 // after follow.TransferTimeout.
-func setWriteTimeout(w http.ResponseWriter, within time.Duration) {
+func setWriteTimeout(w http.ResponseWriter, timeout time.Duration) {
 	// It fails only if the connection has no deadlines, as with the recorders of tests.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(within))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 }
 
 // servePeerChanges answers when there are changes, when the store has confirmed the known state again, when the
@@ -71,12 +71,12 @@
 		return
 	}
 	wait := min(time.Duration(waitMs)*time.Millisecond, maxPeerWait)
-	woken := n.changed.wait()
+	changed := n.changed.wait()
 	if !n.hasNewer(after, time.Duration(ageMs)*time.Millisecond) {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
-		case <-woken:
+		case <-changed:
 		case <-timer.C:
 		case <-n.stop:
 		case <-r.Context().Done():
@@ -127,7 +127,6 @@
 	_, _ = w.Write(body.bytes)
 }
 
-// buildAnswer returns the answer to a request.
 func (n *Node) buildAnswer(request peerRequest) *peerAnswer {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -12,11 +12,11 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// fakeSnapshotStore stores parts as the store does. If lost is set, writes succeed and return an error.
+// fakeSnapshotStore stores parts as the store does. If loseResponses is set, writes succeed and return an error.
 type fakeSnapshotStore struct {
-	parts map[int]snapshot.Stored
-	lost  bool
-	calls int
+	parts         map[int]snapshot.Stored
+	loseResponses bool
+	calls         int
 }
 
 func (k *fakeSnapshotStore) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
@@ -29,7 +29,7 @@
 	for _, part := range write.Parts {
 		k.parts[part.Part] = snapshot.Stored{Part: part.Part, Value: part.Value, Revision: uint64(k.calls)}
 	}
-	if k.lost {
+	if k.loseResponses {
 		return snapshot.Outcome{}, errors.New("no answer")
 	}
 	return snapshot.Outcome{Revision: uint64(k.calls)}, nil
@@ -46,10 +46,10 @@
 }
 
 // snapshotWriter returns a node that has installed a listing and whose task it is to write the snapshot.
-func snapshotWriter(t *testing.T, keeper *fakeSnapshotStore, listing *directory.Listing) *Node {
+func snapshotWriter(t *testing.T, store *fakeSnapshotStore, listing *directory.Listing) *Node {
 	node := newTestNode(t, &fakeSource{})
 	enableSnapshot(node)
-	node.adapter.Keeper = keeper
+	node.adapter.Keeper = store
 	node.started = time.Now().Add(-time.Minute)
 	node.followsStore.Store(true)
 	node.replace(listing, "store", 0)
@@ -64,10 +64,10 @@
 }
 
 // startedNode returns a node that has read a listing and parts of the snapshot from the store.
-func startedNode(t *testing.T, on bool, listed *directory.Listing, kept ...snapshot.Stored) *Node {
+func startedNode(t *testing.T, enabled bool, listed *directory.Listing, parts ...snapshot.Stored) *Node {
 	t.Helper()
-	node := newTestNode(t, &fakeSource{listing: listed, parts: kept})
-	if on {
+	node := newTestNode(t, &fakeSource{listing: listed, parts: parts})
+	if enabled {
 		enableSnapshot(node)
 	}
 	if err := node.listStore(t.Context(), 0); err != nil {
@@ -88,8 +88,8 @@
 // TestAStartedBalancerUsesTheSnapshot checks that a balancer that has just started retains back ends which are missing
 // from the store and named by a valid snapshot, and that an older process ignores it.
 func TestAStartedBalancerUsesTheSnapshot(t *testing.T) {
-	keeper := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}}
-	writer := snapshotWriter(t, keeper, eightBackends())
+	store := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}}
+	writer := snapshotWriter(t, store, eightBackends())
 	write, due := writer.nextSnapshot()
 	if !due {
 		t.Fatal("nothing is written")
@@ -103,20 +103,20 @@
 	}
 	few := eightBackends()
 	few.Records = few.Records[:2]
-	if lapsed := expiredCount(startedNode(t, true, few, keeper.parts[0])); lapsed != 6 {
+	if lapsed := expiredCount(startedNode(t, true, few, store.parts[0])); lapsed != 6 {
 		t.Errorf("%d back ends are retained, want 6", lapsed)
 	}
-	if lapsed := expiredCount(startedNode(t, false, few, keeper.parts[0])); lapsed != 0 {
+	if lapsed := expiredCount(startedNode(t, false, few, store.parts[0])); lapsed != 0 {
 		t.Errorf("%d back ends are retained with snapshots disabled", lapsed)
 	}
-	torn := keeper.parts[0]
-	torn.Value = torn.Value[:len(torn.Value)-1]
-	node := startedNode(t, true, few, torn)
+	truncated := store.parts[0]
+	truncated.Value = truncated.Value[:len(truncated.Value)-1]
+	node := startedNode(t, true, few, truncated)
 	if lapsed := expiredCount(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
 		t.Errorf("truncated part: %d back ends are retained, %d faults", lapsed, node.metrics.snapshotFaults.Get())
 	}
 	// A process that has run for longer does not use the snapshot.
-	old := newTestNode(t, &fakeSource{listing: few, parts: []snapshot.Stored{keeper.parts[0]}})
+	old := newTestNode(t, &fakeSource{listing: few, parts: []snapshot.Stored{store.parts[0]}})
 	enableSnapshot(old)
 	old.started = time.Now().Add(-time.Minute)
 	if err := old.listStore(t.Context(), 0); err != nil || expiredCount(old) != 0 {
@@ -127,19 +127,18 @@
 // TestAWriteWithoutAResponseIsDetected checks that a write which succeeded without a response leads to a conflict at the
 // next one, and to no further write.
 func TestAWriteWithoutAResponseIsDetected(t *testing.T) {
-	keeper := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}, lost: true}
-	node := snapshotWriter(t, keeper, eightBackends())
+	store := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}, loseResponses: true}
+	node := snapshotWriter(t, store, eightBackends())
 	for range 3 {
 		write, due := node.nextSnapshot()
 		if !due {
 			break
 		}
 		node.writeSnapshot(t.Context(), write)
-		// Advance to the next write.
 		node.started = node.started.Add(-time.Minute)
 		node.confirmed.Note(node.now(), 0)
 	}
-	if keeper.calls != 2 || node.metrics.snapshotFailures.Get() != 2 {
-		t.Errorf("%d calls, %d failures, want 2 of each", keeper.calls, node.metrics.snapshotFailures.Get())
+	if store.calls != 2 || node.metrics.snapshotFailures.Get() != 2 {
+		t.Errorf("%d calls, %d failures, want 2 of each", store.calls, node.metrics.snapshotFailures.Get())
 	}
 }
--- a/internal/edge/telling_bench_test.go
+++ b/internal/edge/telling_bench_test.go
@@ -16,10 +16,10 @@
 	node.replace(listing(b, 5), "store", 0)
 	server := httptest.NewServer(node.controlHandler())
 	defer server.Close()
-	asker := peerSource{node, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
+	follower := peerSource{node, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := asker.changes(context.Background(), peerRequest{after: 1, base: 1}, time.Minute, time.Second); err != nil {
+		if _, err := follower.changes(context.Background(), peerRequest{after: 1, base: 1}, time.Minute, time.Second); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -100,12 +100,12 @@
 
 // TestHelloBytes guards against hellos that other versions decode differently.
 func TestHelloBytes(t *testing.T) {
-	inquiry := wireHello()
-	full, err := encodeHello(inquiry)
+	hello := wireHello()
+	full, err := encodeHello(hello)
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, err := encodeHello(inquiry.Short())
+	short, err := encodeHello(hello.Short())
 	if err != nil {
 		t.Fatal(err)
 	}
