--- a/internal/edge/cost_test.go
+++ b/internal/edge/growth_bench_test.go
@@ -13,7 +13,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// routeTree is a tree of as many services with a group each as a platform's routes make.
+// routeTree returns the settings tree of a number of routes: a service with one group for each.
 func routeTree(routes int) settings.Tree {
 	tree := settings.Tree{"": settings.Values{settings.KeyFlowIdle: "15s"}}
 	none := settings.Values{}
@@ -28,24 +28,23 @@
 	return tree
 }
 
-// growth returns a directory with 40 routes and the changes that lead to more, as another
-// balancer tells them that has both.
-func growth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
+// settingsGrowth returns a directory with 40 routes, and the changes that add routes to it as a peer sends them.
+func settingsGrowth(tb testing.TB, routes int) (*directory.Directory, *directory.Changes) {
 	tb.Helper()
 	first := &directory.Listing{Revision: 1, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: routeTree(40)}}
-	grown := &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(40 + routes)}
-	teller, asker := directory.New(0), directory.New(0)
-	teller.Replace(0, first)
-	asker.Replace(0, first)
-	teller.Apply(0, &directory.Changes{Revision: 2, Settings: grown})
-	changes, known := teller.Since(1, 1)
+	larger := &directory.Settings{Version: 2, Revision: 2, Tree: routeTree(40 + routes)}
+	sender, follower := directory.New(0), directory.New(0)
+	sender.Replace(0, first)
+	follower.Replace(0, first)
+	sender.Apply(0, &directory.Changes{Revision: 2, Settings: larger})
+	changes, known := sender.Since(1, 1)
 	if !known || changes.Step == nil {
-		tb.Fatal("no step is told")
+		tb.Fatal("the changes have no step")
 	}
-	return asker, changes
+	return follower, changes
 }
 
-func replyOf(encoded encodedAnswer) *http.Response {
+func httpReply(encoded encodedAnswer) *http.Response {
 	reply := &http.Response{Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(encoded.bytes))}
 	reply.Header.Set(headerAge, "0")
 	if encoded.compressed {
@@ -54,10 +53,10 @@
 	return reply
 }
 
-// BenchmarkGrowth has the stages of taking in settings that grow by some routes.
+// BenchmarkGrowth measures the stages of applying settings that grow by some routes.
 func BenchmarkGrowth(b *testing.B) {
 	for _, routes := range []int{40, 1500, 20_000} {
-		_, changes := growth(b, routes)
+		_, changes := settingsGrowth(b, routes)
 		encoded, err := encodeAnswer(&peerAnswer{Changes: changes})
 		if err != nil {
 			b.Fatal(err)
@@ -74,7 +73,7 @@
 		b.Run(fmt.Sprintf("decode/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := readAnswer(replyOf(encoded)); err != nil {
+				if _, err := readAnswer(httpReply(encoded)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -127,7 +126,7 @@
 			b.ReportMetric(float64(longest.Microseconds()), "longest-piece-us")
 		})
 		listing := &directory.Listing{Revision: 2, Settings: &directory.Settings{Version: 2, Revision: 2, Tree: tree}}
-		whole, err := encodeAnswer(&peerAnswer{Listing: listing})
+		full, err := encodeAnswer(&peerAnswer{Listing: listing})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -138,12 +137,12 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(len(whole.bytes)), "wire-bytes")
+			b.ReportMetric(float64(len(full.bytes)), "wire-bytes")
 		})
 		b.Run(fmt.Sprintf("whole-decode/%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := readAnswer(replyOf(whole)); err != nil {
+				if _, err := readAnswer(httpReply(full)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -14,13 +14,13 @@
 	"gaugeyard/internal/steering"
 )
 
-// peerAddress is where the datagrams for another balancer go.
+// peerAddress returns the address for datagrams to another balancer.
 func (n *Node) peerAddress(control netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(control.Addr(), n.config().PeerPort)
 }
 
-// sendHellos tells other balancers at each interval that this one lives. While nothing
-// is known here, rounds follow each other quickly and ask for replies.
+// sendHellos sends rounds of hellos until ctx ends. While this balancer has no state, the interval is short
+// and hellos request replies.
 func (n *Node) sendHellos(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -30,13 +30,13 @@
 			return ctx.Err()
 		case <-n.stop:
 			pause(ctx, peers.HelloInterval)
-		case <-n.alarms:
-			n.sendAlarm()
+		case <-n.urgentReports:
+			n.sendUrgentReport()
 			continue
 		case inquiries := <-n.inquiries:
 			n.sendInquiries(inquiries)
 			continue
-		case <-n.news:
+		case <-n.announcements:
 		case <-timer.C:
 		}
 		timer.Reset(n.sendRound())
@@ -45,70 +45,71 @@
 
 // sendRound sends one round of hellos and returns when the next one is due.
 func (n *Node) sendRound() time.Duration {
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	now := n.now()
 	n.peers.Forget(now)
 	n.introduceSeeds(now)
-	knows := n.directory.Revision() > 0
+	initialized := n.directory.Revision() > 0
 	hello := n.hello(now)
-	n.shareLoad(now, hello)
+	n.completeHello(now, hello)
 	interval, targets := peers.HelloInterval, []peers.Target(nil)
-	if n.peers.Hurries(now, knows) {
+	if n.peers.Hurries(now, initialized) {
 		interval, targets = peers.HurryInterval, n.peers.HurryRound()
 	} else {
 		targets = n.peers.Round(now, len(hello.Loads))
 	}
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	short := hello.Short()
 	for _, target := range targets {
-		due := short
+		message := short
 		if target.Full {
-			due = hello
+			message = hello
 		}
-		due.Reply = target.Reply
-		n.sendHello(due, target.Control)
+		message.Reply = target.Reply
+		n.sendHello(message, target.Control)
 	}
 	return interval
 }
 
-// sendAlarm tells all live peers at once what is known of silent back ends. Rounds go on as
-// they were due.
-func (n *Node) sendAlarm() {
-	n.beliefs.Lock()
+// sendUrgentReport sends what is known of failing and unresponsive back ends to all live peers. It does
+// not delay the next round.
+func (n *Node) sendUrgentReport() {
+	n.stateMutex.Lock()
 	now := n.now()
 	hello, targets := n.hello(now), n.peers.Everyone(now)
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
 	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
-	n.steering.Unlock()
-	n.beliefs.Unlock()
+	n.steeringMutex.Unlock()
+	n.stateMutex.Unlock()
 	for _, target := range targets {
 		n.sendHello(hello, target.Control)
 	}
 }
 
-// sendInquiries asks all live peers where flows rest.
+// sendInquiries asks all live peers for the back ends of flows.
 func (n *Node) sendInquiries(inquiries []steering.Inquiry) {
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	now := n.now()
 	hello, targets := n.hello(now), n.peers.Everyone(now)
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	hello.Inquiries = inquiries
 	for _, target := range targets {
 		n.sendHello(hello, target.Control)
 	}
 }
 
-// announce sends a round of hellos at once: this balancer knows something since now.
+// announce requests an immediate round of hellos, after a change that other balancers wait for. It never
+// blocks.
 func (n *Node) announce() {
 	select {
-	case n.news <- struct{}{}:
+	case n.announcements <- struct{}{}:
 	default:
 	}
 }
 
-// introduceSeeds adds the seeds while few others are known. The beliefs lock is held.
+// introduceSeeds adds the seeds to the peer table while few peers are known. The state mutex must be held.
 func (n *Node) introduceSeeds(now time.Duration) {
 	if !n.peers.NeedsIntroductions(now) {
 		return
@@ -118,26 +119,27 @@
 	}
 }
 
-// hello is what this balancer says of itself, without others and loads. The beliefs lock is held.
+// hello returns a hello that describes this balancer, without other balancers and loads. The state mutex
+// must be held.
 func (n *Node) hello(now time.Duration) *peers.Hello {
 	return &peers.Hello{
 		Control:  n.config().advertised(),
 		Zone:     n.config().Zone,
 		Started:  n.started.UnixNano(),
 		Leaving:  n.leaving.Load(),
-		Failing:  n.failing.Load(),
+		Failing:  n.storeFailing.Load(),
 		Revision: n.directory.Revision(),
-		Outline:  n.tellsOutline(),
-		StoreAge: n.beliefAge(),
+		Outline:  n.offersSummary(),
+		StoreAge: n.staleness(),
 		Capacity: n.config().capacity(),
 	}
 }
 
-// shareLoad makes a hello a full one, with others and the load of this balancer, and
-// takes over what others said of theirs. The beliefs lock is held.
-func (n *Node) shareLoad(now time.Duration, hello *peers.Hello) {
-	n.steering.Lock()
-	defer n.steering.Unlock()
+// completeHello makes a hello a full one, with other balancers and the loads of back ends, and updates the
+// steerer with the loads that peers reported. The state mutex must be held.
+func (n *Node) completeHello(now time.Duration, hello *peers.Hello) {
+	n.steeringMutex.Lock()
+	defer n.steeringMutex.Unlock()
 	n.steerer.SetOthersLoad(n.peers.Loads(now))
 	n.steerer.SetPlace(n.peers.OwnPlace(now))
 	hello.Others, hello.Full = n.peers.Sample(now), true
@@ -155,12 +157,11 @@
 		return
 	}
 	n.metrics.helloBytes.Add(len(datagram))
-	// A peer that cannot be reached is found out by its silence.
+	// An unreachable peer is detected by its missing hellos.
 	_, _ = n.peer.WriteToUDPAddrPort(datagram, n.peerAddress(control))
 }
 
-// encodeHello returns the datagram of a hello: a version, then msgpack with
-// structures as arrays.
+// encodeHello returns the datagram of a hello: a version byte, then msgpack with structs as arrays.
 func encodeHello(hello *peers.Hello) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.WriteByte(helloVersion)
@@ -171,7 +172,7 @@
 	return buffer.Bytes(), err
 }
 
-// receiveHellos reads the hellos of other balancers.
+// receiveHellos reads hellos of other balancers until ctx ends. Malformed datagrams are counted.
 func (n *Node) receiveHellos(ctx context.Context) error {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -187,24 +188,24 @@
 			n.metrics.peerMalformed.Inc()
 			continue
 		}
-		n.heard(ctx, hello)
+		n.receiveHello(ctx, hello)
 	}
 }
 
-// heard takes over a hello. A balancer that is new is greeted at once, and while
-// nothing is known here, it is asked for what it knows.
-func (n *Node) heard(ctx context.Context, hello *peers.Hello) {
-	n.beliefs.Lock()
+// receiveHello processes a hello. A new peer gets a reply at once. The first hello that leads to a balancer with state
+// starts a fetch of its listing, and while no settings are known, of a summary.
+func (n *Node) receiveHello(ctx context.Context, hello *peers.Hello) {
+	n.stateMutex.Lock()
 	now := n.now()
 	isNew := n.peers.Heard(now, hello)
 	var loads map[directory.Tag]steering.Load
 	if len(hello.Failures) > 0 {
-		// The next round would be half a second late for the flows that come meanwhile.
+		// Flows that arrive before the next round need the failures.
 		loads = n.peers.Loads(now)
 	}
 	if hello.Revision == n.directory.Revision() {
-		// What the store confirmed to the sender, it confirmed to this one too.
-		n.noteConfirmed(hello.StoreAge, false)
+		// At equal revisions a confirmation to the sender is valid here too.
+		n.recordConfirmation(hello.StoreAge, false)
 		n.confirmed.Note(now, hello.StoreAge)
 	}
 	var reply *peers.Hello
@@ -213,40 +214,41 @@
 		reply.Others = n.peers.ForAsker(now, hello)
 	}
 	behind := n.lag.Note(now, n.directory.Revision(), hello.Revision)
-	teacher, found := teacherOf(hello)
-	outliner, outlined := outlineTeacherOf(hello)
-	outlined = outlined && n.directory.SettingsVersion() == 0
-	n.beliefs.Unlock()
+	source, found := listingSource(hello)
+	summaryPeer, summaryFound := summarySource(hello)
+	summaryFound = summaryFound && n.directory.SettingsVersion() == 0
+	n.stateMutex.Unlock()
 	if behind && !n.receiving.Load() {
 		n.stopCall()
 	}
-	n.steering.Lock()
+	n.steeringMutex.Lock()
 	n.steerer.SetOthersDoubts(now, hello.Doubted)
 	n.steerer.HearBaselines(hello.Baselines)
 	if loads != nil {
 		n.steerer.SetOthersLoad(loads)
 	}
-	n.steering.Unlock()
-	n.heardStalls(now, hello)
-	n.heardInquiries(now, hello)
+	n.steeringMutex.Unlock()
+	n.receiveUnresponsive(now, hello)
+	n.receiveInquiries(now, hello)
 	if isNew {
 		n.log.Info("peer found", "peer", hello.Control, "zone", hello.Zone, "capacity", hello.Capacity, "revision", hello.Revision, "age_ms", hello.StoreAge.Milliseconds())
 	}
 	if reply != nil {
 		n.sendHello(reply, hello.Control)
 	}
-	if outlined && n.outlining.CompareAndSwap(false, true) {
-		go n.learnOutline(ctx, outliner)
+	if summaryFound && n.fetchingSummary.CompareAndSwap(false, true) {
+		go n.fetchSummary(ctx, summaryPeer)
 	}
-	if found && n.learning.CompareAndSwap(false, true) {
-		go n.learnFrom(ctx, teacher)
+	if found && n.fetchingListing.CompareAndSwap(false, true) {
+		go n.fetchListing(ctx, source)
 	}
 }
 
-// teacherOf returns who, by a hello, can tell everything: the sender, or one of the ablest that it names.
-func teacherOf(hello *peers.Hello) (control netip.AddrPort, found bool) {
+// listingSource returns a balancer that can send a full listing, by a hello: the sender, or one with the
+// highest capacity among those that it names.
+func listingSource(hello *peers.Hello) (control netip.AddrPort, found bool) {
 	if hello.Revision > 0 {
 		return hello.Control, true
 	}
-	return ablestOf(hello.Others, func(other *peers.Introduction) bool { return other.Knows })
+	return mostCapable(hello.Others, func(other *peers.Introduction) bool { return other.Knows })
 }
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -9,45 +9,43 @@
 	"gaugeyard/internal/follow"
 )
 
-// mostBytes is how many bytes come over the machine's link within a time, 0 for no bound.
-func (n *Node) mostBytes(transfer time.Duration) int64 {
+// maxListingBytes returns how many bytes the machine's link transfers within a time, 0 for no bound.
+func (n *Node) maxListingBytes(transfer time.Duration) int64 {
 	return int64(n.config().LinkMbps * 1e6 / 8 * transfer.Seconds())
 }
 
-// listStore reads everything from the store, page by page, and takes it over. The first page may have
-// most bytes, 0 for no bound.
-func (n *Node) listStore(ctx context.Context, most int64) error {
+// listStore reads a full listing from the store, page by page, and installs it. The first page may have at
+// most maxBytes bytes, 0 for no bound.
+func (n *Node) listStore(ctx context.Context, maxBytes int64) error {
 	paged := follow.NewListing(n.now(), n.revision())
-	page, err := n.readPage(ctx, paged, "", most)
+	page, err := n.readPage(ctx, paged, "", maxBytes)
 	if err != nil {
 		return err
 	}
-	// The listing is complete up to the revision of its first page, and the store answered then: how long
-	// the rest takes is no outage.
-	n.beliefs.Lock()
-	n.noteConfirmed(0, false)
-	n.beliefs.Unlock()
-	listing, kept := &page.Listing, page.Kept
-	if page.Next != "" && n.takeOutline(listing, "store") {
-		// They are in force, and read by others.
+	// The store has confirmed the revision of the first page. The time for the other pages is no outage.
+	n.stateMutex.Lock()
+	n.recordConfirmation(0, false)
+	n.stateMutex.Unlock()
+	listing, parts := &page.Listing, page.Kept
+	if page.Next != "" && n.applySummary(listing, "store") {
+		// The settings are in force already, and other goroutines read them.
 		listing.Settings, listing.Prepared = nil, nil
 	}
 	for page.Next != "" {
-		if !n.proceeds(ctx, paged) {
-			return ErrListingLeft
+		if !n.continueListing(ctx, paged) {
+			return ErrListingAbandoned
 		}
 		if page, err = n.readPage(ctx, paged, page.Next, 0); err != nil {
 			return err
 		}
 		addPage(listing, &page.Listing)
-		kept = append(kept, page.Kept...)
+		parts = append(parts, page.Kept...)
 	}
-	n.readSnapshot(listing, kept)
+	n.readSnapshot(listing, parts)
 	n.replace(listing, "store", 0)
 	return nil
 }
 
-// addPage adds what is on a further page.
 func addPage(listing, page *directory.Listing) {
 	if page.Settings != nil {
 		listing.Settings = page.Settings
@@ -57,19 +55,19 @@
 	listing.Unusable = append(listing.Unusable, page.Unusable...)
 }
 
-// readPage reads one page, again where the listing says so.
-func (n *Node) readPage(ctx context.Context, paged *follow.Listing, after string, most int64) (*Page, error) {
+// readPage reads one page and retries as the listing decides.
+func (n *Node) readPage(ctx context.Context, paged *follow.Listing, after string, maxBytes int64) (*Page, error) {
 	for {
 		n.metrics.storeCalls.Inc()
-		asked := n.now()
-		page, err := n.adapter.Source.Page(ctx, after, most)
+		requested := n.now()
+		page, err := n.adapter.Source.Page(ctx, after, maxBytes)
 		if err == nil {
 			return page, nil
 		}
 		if errors.Is(err, ErrTooLong) {
 			return nil, err
 		}
-		wait, again := paged.Failed(n.now() - asked)
+		wait, again := paged.Failed(n.now() - requested)
 		if !again || ctx.Err() != nil {
 			return nil, err
 		}
@@ -78,14 +76,14 @@
 	}
 }
 
-// proceeds asks a listing after each page but the last how it goes on; it returns false
-// when it is not needed any more.
-func (n *Node) proceeds(ctx context.Context, listing *follow.Listing) bool {
+// continueListing reports, after each page but the last, whether to read on. It waits while other balancers
+// may deliver the state first, and returns false when the listing is not needed any more.
+func (n *Node) continueListing(ctx context.Context, listing *follow.Listing) bool {
 	for ctx.Err() == nil {
-		n.beliefs.Lock()
+		n.stateMutex.Lock()
 		index, _, _ := n.peers.Place(n.now())
 		step := listing.Next(n.now(), n.directory.Revision(), n.peers.HasLower(n.now()), index)
-		n.beliefs.Unlock()
+		n.stateMutex.Unlock()
 		if step != follow.WaitForOthers {
 			return step == follow.ReadOn
 		}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -25,118 +25,118 @@
 )
 
 const (
-	// socketBuffer is the size of the data socket's buffers asked for, in bytes.
+	// socketBuffer is the requested size of the data socket's buffers, in bytes.
 	socketBuffer = 1 << 20
-	// maxDatagram is the longest datagram that is read, in bytes.
+	// maxDatagram is the length of the longest datagram, in bytes.
 	maxDatagram = 2048
-	// maxFlows bounds the memory of flows at about 100 MB.
+	// maxFlows bounds the flow table to about 100 MB.
 	maxFlows = 400_000
-	// tickInterval is how often time passes in the steerer.
+	// tickInterval is the interval of periodic work in the steerer and the directory.
 	tickInterval = time.Second
-	// sampleEvery is how many packets pass for each that is timed.
-	sampleEvery = 64
-	// flushTime bounds the wait for log lines at the end.
-	flushTime = 200 * time.Millisecond
-	// shutdownTime bounds the end of HTTP servers and their reading of headers.
-	shutdownTime = time.Second
-	// maxConnections bounds the connections that each HTTP server has at once.
+	// sampleEvery is the number of packets for each one whose handling is timed.
+	sampleEvery  = 64
+	flushTimeout = 200 * time.Millisecond
+	// headerTimeout bounds the reading of request headers by the HTTP servers.
+	headerTimeout = time.Second
+	// maxConnections bounds the concurrent connections of each HTTP server.
 	maxConnections = 256
-	// maxInquiries is how many packets' inquiries may wait to be sent.
+	// maxInquiries bounds the batches of inquiries that wait to be sent.
 	maxInquiries = 8
-	// idleTime is how long a connection may rest on either side.
-	idleTime = 5 * time.Second
+	// idleTimeout is how long an HTTP connection may be idle, for clients and servers.
+	idleTimeout = 5 * time.Second
 )
 
-// Node is one running balancer process.
+// Node is a running balancer process.
 type Node struct {
 	// current is the configuration in force; a reload replaces it.
 	current atomic.Pointer[Config]
-	// document is the settings file as last read; only the signal handler uses it.
+	// document is the settings file as last read. Only the goroutine that handles reloads uses it.
 	document []byte
 	adapter  Adapter
 	log      hclog.Logger
 	lines    *lineWriter
-	// placedLines and oddLines bound what is written of flows.
-	placedLines, oddLines lineBudget
-	metrics               *processMetrics
-	data                  *net.UDPConn
-	started               time.Time
-	peer                  *net.UDPConn
+	// placementLines limits log lines about placed flows, exceptionLines those about other decisions and
+	// rejected entries.
+	placementLines, exceptionLines lineBudget
+	metrics                        *processMetrics
+	data                           *net.UDPConn
+	started                        time.Time
+	peer                           *net.UDPConn
 	// peerClient calls other balancers.
 	peerClient *http.Client
 
-	// source and lostAt belong to the follower's goroutine: whom it asks, and when
-	// the store was lost.
-	source string
-	lostAt time.Duration
+	// source and storeLostAt are used by the follower's goroutine alone: its upstream, and when the contact
+	// with the store was lost.
+	source      string
+	storeLostAt time.Duration
 
-	// beliefs guards directory, peers, confirmed and generation. It is taken before
-	// steering, which guards steerer and is all that a packet needs, and before
-	// the lock of changed.
-	beliefs   sync.Mutex
-	directory *directory.Directory
-	peers     *peers.Table
-	// confirmed is when the store last confirmed what is believed.
+	// stateMutex guards directory, peers, confirmed and generation. It is acquired before steeringMutex, which
+	// guards steerer and is the only lock that a packet needs, and before the mutex of changed.
+	stateMutex sync.Mutex
+	directory  *directory.Directory
+	peers      *peers.Table
+	// confirmed is when the store last confirmed the known state.
 	confirmed follow.Confirmation
-	// generation counts the changes of what is believed.
-	generation uint64
-	steering   sync.Mutex
-	steerer    *steering.Steerer
+	// generation counts the changes of the known state.
+	generation    uint64
+	steeringMutex sync.Mutex
+	steerer       *steering.Steerer
 
-	holding holding
-	// lag is guarded by beliefs. giveUp ends the follower's present call, and
-	// overtaken tells that it was used since the call began.
-	lag       follow.Lag
-	giveUp    atomic.Pointer[context.CancelFunc]
-	overtaken atomic.Bool
-	// receiving is set once the answer to that call has begun to arrive.
+	startupQueue startupQueue
+	// lag is guarded by stateMutex. cancelCall cancels the follower's current call, and overtaken reports
+	// whether it was used since that call began.
+	lag        follow.Lag
+	cancelCall atomic.Pointer[context.CancelFunc]
+	overtaken  atomic.Bool
+	// receiving is set once the response to that call has begun to arrive.
 	receiving atomic.Bool
-	// news asks for a round of hellos at once, and alarms for what is known of silent back
-	// ends to be told to all others.
-	news, alarms chan struct{}
-	// inquiries are those that all others are to be sent at once.
+	// announcements requests an immediate round of hellos, urgentReports an urgent report on back ends to all
+	// live peers.
+	announcements, urgentReports chan struct{}
+	// inquiries are to be sent to all live peers at once.
 	inquiries chan []steering.Inquiry
-	// followers counts the balancers that are being served.
+	// followers counts the requests of other balancers in progress.
 	followers atomic.Int64
-	// listings counts those that are being told everything.
+	// listings counts those of them for a full listing.
 	listings atomic.Int64
-	// changed wakes balancers that wait for changes here.
+	// changed wakes the requests that wait for changes.
 	changed broadcast
-	// answers is what was encoded for them.
-	answers answers
-	// learning is set once another balancer is asked for everything.
-	learning atomic.Bool
-	// outlining is set while another balancer is asked for an outline.
-	outlining atomic.Bool
-	// leaving is set by a planned stop.
+	// answerCache holds encoded answers to them.
+	answerCache answerCache
+	// fetchingListing is set while a full listing is requested from other balancers, and stays set once one
+	// has been received.
+	fetchingListing atomic.Bool
+	fetchingSummary atomic.Bool
+	// leaving is set during a planned stop.
 	leaving atomic.Bool
-	// snapshots decides when the snapshot is written. It is guarded by beliefs.
+	// snapshots decides when the snapshot is written. It is guarded by stateMutex.
 	snapshots snapshot.Writer
-	// knownAt is when anything was first known, since started; 0 for not yet. It is guarded by beliefs.
-	knownAt time.Duration
-	// asksStore is set while the follower asks the store itself.
-	asksStore atomic.Bool
-	// failing is set while the store does not answer.
-	failing atomic.Bool
-	// waiting counts the datagrams that wait to be steered again.
-	waiting atomic.Int64
-	// lastPacket is when the last packet came, by now().
+	// initializedAt is the time from started to the first known state, 0 while there is none. It is guarded by
+	// stateMutex.
+	initializedAt time.Duration
+	// followsStore is set while the upstream of the follower is the store.
+	followsStore atomic.Bool
+	// storeFailing is set while the store does not respond.
+	storeFailing atomic.Bool
+	// delayed counts the datagrams that wait to be steered again.
+	delayed atomic.Int64
+	// lastPacket is the time of the last packet on the clock of now.
 	lastPacket atomic.Int64
-	// viewRevision is the revision that packets are steered by, for logs.
+	// viewRevision is the revision of the steerer's view, for logs.
 	viewRevision atomic.Uint64
-	// onSettingsKnown is called once the settings are known, by the goroutine of tick; nil for nothing.
+	// onSettingsKnown is called once when the settings are known, by the goroutine of tick. It may be nil.
 	onSettingsKnown func()
 	stop            chan struct{}
 	stopOnce        sync.Once
 }
 
-// New opens the process's data socket and makes its parts.
+// New returns a node with open sockets for datagrams of callers and of peers. Its log is written to out.
 func New(config Config, out io.Writer) (*Node, error) {
 	data, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.Data))
 	if err != nil {
 		return nil, err
 	}
-	// The kernel may grant less; that is no fault.
+	// The kernel may grant smaller buffers.
 	_ = data.SetReadBuffer(socketBuffer)
 	_ = data.SetWriteBuffer(socketBuffer)
 	peer, err := listenPeers(config.Control, config.PeerPort)
@@ -145,19 +145,19 @@
 	}
 	lines := newLineWriter(out)
 	n := &Node{
-		lines:      lines,
-		log:        newLogger(config.Node, lines),
-		data:       data,
-		peer:       peer,
-		peerClient: NewHTTPClient(),
-		peers:      peers.New(config.introduction()),
-		started:    time.Now(),
-		directory:  directory.New(departedTime(&config)),
-		steerer:    steering.New(steeringConfig(&config)),
-		stop:       make(chan struct{}),
-		news:       make(chan struct{}, 1),
-		alarms:     make(chan struct{}, 1),
-		inquiries:  make(chan []steering.Inquiry, maxInquiries),
+		lines:         lines,
+		log:           newLogger(config.Node, lines),
+		data:          data,
+		peer:          peer,
+		peerClient:    NewHTTPClient(),
+		peers:         peers.New(config.introduction()),
+		started:       time.Now(),
+		directory:     directory.New(removedRetention(&config)),
+		steerer:       steering.New(steeringConfig(&config)),
+		stop:          make(chan struct{}),
+		announcements: make(chan struct{}, 1),
+		urgentReports: make(chan struct{}, 1),
+		inquiries:     make(chan []steering.Inquiry, maxInquiries),
 	}
 	n.current.Store(&config)
 	n.directory.SetLapse(directory.LapseWithin(config.Bounds.Contact, config.Bounds.Drain))
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-// config is the configuration in force. It is read-only.
+// config returns the configuration in force, which must not be modified.
 func (n *Node) config() *Config {
 	return n.current.Load()
 }
@@ -183,17 +183,17 @@
 	}
 }
 
-// departedTime is how long back ends that are gone are remembered.
-func departedTime(config *Config) time.Duration {
+// removedRetention returns how long removed back ends are retained.
+func removedRetention(config *Config) time.Duration {
 	return config.Bounds.FlowLife + config.Bounds.Drain
 }
 
-// now is how long this process runs, by the monotonic clock.
+// now returns the time since the start of the process on the monotonic clock.
 func (n *Node) now() time.Duration {
 	return time.Since(n.started)
 }
 
-// Leave starts a planned stop; Run returns when it is over.
+// Leave starts a planned stop. Run returns when it is over.
 func (n *Node) Leave() {
 	n.stopOnce.Do(func() {
 		n.leaving.Store(true)
@@ -217,7 +217,7 @@
 	group.Go(func() error { return n.receiveHellos(ctx) })
 	group.Go(func() error { return n.tick(ctx) })
 	group.Go(func() error { return n.pulse(ctx) })
-	group.Go(func() error { return n.keepSnapshot(ctx) })
+	group.Go(func() error { return n.maintainSnapshot(ctx) })
 	group.Go(func() error {
 		defer cancel()
 		return n.awaitStop(ctx)
@@ -231,11 +231,11 @@
 		err = nil
 	}
 	n.log.Info("stopped", "error", err)
-	n.lines.flush(flushTime)
+	n.lines.flush(flushTimeout)
 	return err
 }
 
-// tick lets time pass in the steerer and the directory.
+// tick calls advanceTime at intervals until ctx ends, and onSettingsKnown once.
 func (n *Node) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -244,7 +244,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			n.letTimePass()
+			n.advanceTime()
 			if n.onSettingsKnown != nil && n.settingsKnown() {
 				n.onSettingsKnown()
 				n.onSettingsKnown = nil
@@ -253,14 +253,15 @@
 	}
 }
 
-// pulse tells the steerer that the process runs, so that it notices when it did not.
+// pulse tells the steerer at intervals that the process runs, so that it detects when the process was
+// suspended.
 func (n *Node) pulse(ctx context.Context) error {
 	ticker := time.NewTicker(steering.PulseInterval)
 	defer ticker.Stop()
 	for {
-		n.steering.Lock()
+		n.steeringMutex.Lock()
 		n.steerer.Pulse(n.now())
-		n.steering.Unlock()
+		n.steeringMutex.Unlock()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -269,19 +270,19 @@
 	}
 }
 
-func (n *Node) letTimePass() {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+// advanceTime does the periodic work of the directory and the steerer.
+func (n *Node) advanceTime() {
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	if n.directory.Forget(n.now()) {
-		n.setView()
+		n.installView()
 	}
-	n.steering.Lock()
-	defer n.steering.Unlock()
+	n.steeringMutex.Lock()
+	defer n.steeringMutex.Unlock()
 	n.steerer.Tick(n.now())
 }
 
-// receive is one worker: read, decode, decide, send. Its memory is reused for
-// each datagram.
+// receive is a worker that reads and handles datagrams until ctx ends. It reuses its buffers.
 func (n *Node) receive(ctx context.Context) error {
 	headroom := n.adapter.Codec.Headroom()
 	buffer := make([]byte, headroom+maxDatagram)
@@ -293,7 +294,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			// An earlier send met a closed port; the socket itself is sound.
+			// The error is of an earlier send to a closed port. The socket stays usable.
 			continue
 		}
 		started := n.now()
@@ -302,50 +303,50 @@
 		packet.Waited, packet.Held = false, 0
 		n.handle(started, buffer[:headroom+length], packet, answer)
 		if count%sampleEvery == 0 {
-			n.metrics.handled(started, n.now())
+			n.metrics.observeHandling(started, n.now())
 		}
 	}
 }
 
-// handle decides on one datagram and sends what follows.
+// handle decodes and steers a datagram, and forwards, refuses, delays, queues or drops it.
 func (n *Node) handle(now time.Duration, buffer []byte, packet *steering.Packet, answer []byte) {
 	datagram := buffer[n.adapter.Codec.Headroom():]
 	if err := n.adapter.Codec.Decode(datagram, packet); err != nil {
 		n.metrics.dropped[errkind.Malformed].Inc()
 		return
 	}
-	n.steering.Lock()
-	verdict := n.steerer.Steer(now, packet)
-	seen := n.takeObservations()
-	n.steering.Unlock()
-	n.actOn(now, &seen, answer)
-	switch verdict.Action {
+	n.steeringMutex.Lock()
+	decision := n.steerer.Steer(now, packet)
+	observed := n.takeObservations()
+	n.steeringMutex.Unlock()
+	n.handleObservations(now, &observed, answer)
+	switch decision.Action {
 	case steering.Forward:
 		n.metrics.forwarded.Inc()
-		n.send(n.adapter.Codec.Forward(buffer, verdict.Backend, verdict.Tag), verdict.Backend.Address)
+		n.send(n.adapter.Codec.Forward(buffer, decision.Backend, decision.Tag), decision.Backend.Address)
 	case steering.Refuse:
-		n.metrics.refused[verdict.Reason].Inc()
+		n.metrics.refused[decision.Reason].Inc()
 		n.refuse(answer, packet.Flow, packet.Acknowledged)
 	case steering.Wait:
-		n.waitWith(datagram)
+		n.delayCopy(datagram)
 		return
 	case steering.Drop:
-		if holds(&verdict) && n.holding.keep(now-packet.Held, datagram) {
+		if queueable(&decision) && n.startupQueue.add(now-packet.Held, datagram) {
 			return
 		}
-		n.metrics.dropped[verdict.Reason].Inc()
+		n.metrics.dropped[decision.Reason].Inc()
 	}
-	n.logVerdict(packet, &verdict)
+	n.logDecision(packet, &decision)
 }
 
-// backendName is the identifier as the logs give it.
+// backendName returns the identifier as it appears in logs.
 func backendName(id settings.BackendID) string {
 	return fmt.Sprintf("%x", uint64(id))
 }
 
-// serve runs one HTTP server until ctx ends. It has at most maxConnections at once; more
-// wait to be accepted, and their callers look elsewhere in time. When a large fleet starts,
-// all ask the same few seeds, and descriptors must be left for the rest of the process.
+// serve runs an HTTP server until ctx ends. More than maxConnections connections wait to be accepted, and
+// their clients time out. The limit leaves file descriptors for the rest of the process when a large fleet
+// starts and connects to the same few seeds.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -355,7 +356,7 @@
 }
 
 func serveOn(ctx context.Context, listener net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: shutdownTime, IdleTimeout: idleTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -9,11 +9,12 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// snapshotPoll is how often it is asked whether the snapshot is to be written.
+// snapshotPoll is the interval of checks whether to write the snapshot.
 const snapshotPoll = time.Second
 
-// keepSnapshot writes the snapshot when this balancer is to, until ctx ends.
-func (n *Node) keepSnapshot(ctx context.Context) error {
+// maintainSnapshot writes the snapshot whenever it is this balancer's task, until ctx ends. It returns nil at
+// once if snapshots are disabled.
+func (n *Node) maintainSnapshot(ctx context.Context) error {
 	if n.adapter.Keeper == nil || !n.config().Snapshot {
 		return nil
 	}
@@ -31,14 +32,14 @@
 	}
 }
 
-// nextSnapshot returns what is to be written now, if anything.
+// nextSnapshot returns the write that is due now. It reports false if there is nothing to write.
 func (n *Node) nextSnapshot() (*snapshot.Write, bool) {
-	n.beliefs.Lock()
-	defer n.beliefs.Unlock()
+	n.stateMutex.Lock()
+	defer n.stateMutex.Unlock()
 	now := n.now()
 	state := snapshot.State{
-		Now: now, Age: n.beliefAge(), Known: now - n.knownAt, Lower: n.peers.HasLower(now),
-		Able: n.directory.Revision() > 0 && n.asksStore.Load() && !n.leaving.Load() && !n.failing.Load(),
+		Now: now, Age: n.staleness(), Known: now - n.initializedAt, Lower: n.peers.HasLower(now),
+		Able: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeFailing.Load(),
 	}
 	if age, known := n.directory.SinceReturn(now); known {
 		state.ReturnAge = age
@@ -54,15 +55,15 @@
 	return &write, len(write.Parts) > 0
 }
 
-// writeSnapshot makes the call and takes over what came of it.
+// writeSnapshot sends a write to the store and records its outcome.
 func (n *Node) writeSnapshot(ctx context.Context, write *snapshot.Write) {
 	ctx, cancel := ExpectAnswer(ctx, follow.PageTimeout, follow.TransferTimeout, nil)
 	defer cancel()
 	n.metrics.storeCalls.Inc()
 	outcome, err := n.adapter.Keeper.Keep(ctx, write)
-	n.beliefs.Lock()
+	n.stateMutex.Lock()
 	n.snapshots.Done(n.now(), *write, outcome)
-	n.beliefs.Unlock()
+	n.stateMutex.Unlock()
 	if outcome.Revision > 0 {
 		n.metrics.snapshotWrites.Inc()
 		n.log.Info("snapshot written", "parts", len(write.Parts), "revision", outcome.Revision)
@@ -72,42 +73,43 @@
 	n.log.Info("snapshot not written", "parts", len(write.Parts), "conflict", outcome.Conflict, "error", err)
 }
 
-// readSnapshot adds to a listing which back ends are missing by the snapshot, where nothing was known here
-// before: a process that is about as old as the contact bound has others to ask.
-func (n *Node) readSnapshot(listing *directory.Listing, kept []snapshot.Stored) {
-	if len(kept) == 0 || !n.config().Snapshot {
+// readSnapshot adds to a listing the back ends that are in the snapshot and missing from the listing. It does so only
+// if no state was known before, and while snapshotUsable holds: later, other balancers can be asked.
+func (n *Node) readSnapshot(listing *directory.Listing, parts []snapshot.Stored) {
+	if len(parts) == 0 || !n.config().Snapshot {
 		return
 	}
-	n.beliefs.Lock()
-	n.snapshots.Heard(kept)
-	young := n.directory.Revision() == 0 && n.mayBelieveSnapshot()
-	n.beliefs.Unlock()
-	if !young {
+	n.stateMutex.Lock()
+	n.snapshots.Heard(parts)
+	usable := n.directory.Revision() == 0 && n.snapshotUsable()
+	n.stateMutex.Unlock()
+	if !usable {
 		return
 	}
-	reading := snapshot.Read(kept)
+	reading := snapshot.Read(parts)
 	if len(reading.Faults) > 0 {
 		n.metrics.snapshotFaults.Add(len(reading.Faults))
-		n.log.Warn("snapshot not believed", "parts", len(reading.Faults), "of", len(kept), "error", reading.Faults[0])
+		n.log.Warn("snapshot rejected", "parts", len(reading.Faults), "of", len(parts), "error", reading.Faults[0])
 	}
 	listing.Missing = reading.Missing(listing.Records)
 	if len(listing.Missing) > 0 {
-		n.metrics.lapsed.Add(len(listing.Missing))
+		n.metrics.expired.Add(len(listing.Missing))
 		n.log.Info("back ends known by the snapshot", "count", len(listing.Missing), "listed", len(listing.Records), "revision", listing.Revision)
 	}
 }
 
-// mayBelieveSnapshot tells whether the belief ends before this process can be in touch: the contact bound after its
-// start, or after the outage of the store that it has met itself.
-func (n *Node) mayBelieveSnapshot() bool {
+// snapshotUsable reports whether this process may use the snapshot: the back ends that it adds expire before the
+// process must be in contact with others, within the contact bound after its start, or after an outage of the
+// store that it has detected itself.
+func (n *Node) snapshotUsable() bool {
 	bounds := &n.config().Bounds
-	return n.failing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
+	return n.storeFailing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
 }
 
-// noteMembership tells the writer of the snapshot of changes. The beliefs lock is held.
-func (n *Node) noteMembership(events []directory.Event) {
-	if n.knownAt == 0 {
-		n.knownAt = n.now()
+// recordMembership tells the writer of the snapshot about changes of membership. The state mutex must be held.
+func (n *Node) recordMembership(events []directory.Event) {
+	if n.initializedAt == 0 {
+		n.initializedAt = n.now()
 	}
 	if directory.MembershipChanged(events) {
 		n.snapshots.Changed()
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -12,31 +12,31 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// fakeKeeper keeps parts as the store does; lost answers are those of writes that are done.
-type fakeKeeper struct {
-	kept  map[int]snapshot.Stored
-	lost  bool
-	calls int
+// fakeSnapshotStore stores parts as the store does. If loseResponses is set, writes succeed and return an error.
+type fakeSnapshotStore struct {
+	parts         map[int]snapshot.Stored
+	loseResponses bool
+	calls         int
 }
 
-func (k *fakeKeeper) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
+func (k *fakeSnapshotStore) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
 	k.calls++
 	for _, part := range write.Parts {
-		if stored := k.kept[part.Part]; stored.Revision != part.Revision {
+		if stored := k.parts[part.Part]; stored.Revision != part.Revision {
 			return snapshot.Outcome{Conflict: true, Current: []snapshot.Stored{stored}}, nil
 		}
 	}
 	for _, part := range write.Parts {
-		k.kept[part.Part] = snapshot.Stored{Part: part.Part, Value: part.Value, Revision: uint64(k.calls)}
+		k.parts[part.Part] = snapshot.Stored{Part: part.Part, Value: part.Value, Revision: uint64(k.calls)}
 	}
-	if k.lost {
+	if k.loseResponses {
 		return snapshot.Outcome{}, errors.New("no answer")
 	}
 	return snapshot.Outcome{Revision: uint64(k.calls)}, nil
 }
 
-// eight are back ends of one group.
-func eight() *directory.Listing {
+// eightBackends returns a listing of eight back ends of one group.
+func eightBackends() *directory.Listing {
 	listing := &directory.Listing{Revision: 9, Settings: &directory.Settings{Version: 1, Revision: 1, Tree: settings.Tree{"": {}}}}
 	for id := settings.BackendID(1); id <= 8; id++ {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 80)
@@ -45,30 +45,30 @@
 	return listing
 }
 
-// writerOf is a node that is to write a snapshot of what a listing has.
-func writerOf(t *testing.T, keeper *fakeKeeper, listing *directory.Listing) *Node {
+// snapshotWriter returns a node that has installed a listing and whose task it is to write the snapshot.
+func snapshotWriter(t *testing.T, store *fakeSnapshotStore, listing *directory.Listing) *Node {
 	node := newTestNode(t, &fakeSource{})
-	switchOn(node)
-	node.adapter.Keeper = keeper
+	enableSnapshot(node)
+	node.adapter.Keeper = store
 	node.started = time.Now().Add(-time.Minute)
-	node.asksStore.Store(true)
+	node.followsStore.Store(true)
 	node.replace(listing, "store", 0)
-	node.knownAt = time.Second
+	node.initializedAt = time.Second
 	return node
 }
 
-func switchOn(node *Node) {
+func enableSnapshot(node *Node) {
 	config := *node.config()
 	config.Snapshot = true
 	node.current.Store(&config)
 }
 
-// starter is a node that starts and lists the store, which has few back ends and the parts.
-func starter(t *testing.T, on bool, listed *directory.Listing, kept ...snapshot.Stored) *Node {
+// startedNode returns a node that has read a listing and parts of the snapshot from the store.
+func startedNode(t *testing.T, enabled bool, listed *directory.Listing, parts ...snapshot.Stored) *Node {
 	t.Helper()
-	node := newTestNode(t, &fakeSource{listing: listed, kept: kept})
-	if on {
-		switchOn(node)
+	node := newTestNode(t, &fakeSource{listing: listed, parts: parts})
+	if enabled {
+		enableSnapshot(node)
 	}
 	if err := node.listStore(t.Context(), 0); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	return node
 }
 
-func lapsedOf(node *Node) (count int) {
+func expiredCount(node *Node) (count int) {
 	for id := settings.BackendID(1); id <= 8; id++ {
 		if node.directory.IsLapsed(id) {
 			count++
@@ -85,10 +85,11 @@
 	return count
 }
 
-// TestABalancerThatStartsKnowsWhoWasThere by what another one wrote before.
-func TestABalancerThatStartsKnowsWhoWasThere(t *testing.T) {
-	keeper := &fakeKeeper{kept: map[int]snapshot.Stored{}}
-	writer := writerOf(t, keeper, eight())
+// TestAStartedBalancerUsesTheSnapshot checks that a balancer that has just started retains back ends which are missing
+// from the store and named by a valid snapshot, and that an older process ignores it.
+func TestAStartedBalancerUsesTheSnapshot(t *testing.T) {
+	store := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}}
+	writer := snapshotWriter(t, store, eightBackends())
 	write, due := writer.nextSnapshot()
 	if !due {
 		t.Fatal("nothing is written")
@@ -98,47 +99,46 @@
 		t.Error("the write is not counted")
 	}
 	if _, again := writer.nextSnapshot(); again {
-		t.Error("it is written again without a change")
+		t.Error("the snapshot is written again without a change")
 	}
-	few := eight()
+	few := eightBackends()
 	few.Records = few.Records[:2]
-	if lapsed := lapsedOf(starter(t, true, few, keeper.kept[0])); lapsed != 6 {
-		t.Errorf("%d back ends are believed in, want 6", lapsed)
+	if lapsed := expiredCount(startedNode(t, true, few, store.parts[0])); lapsed != 6 {
+		t.Errorf("%d back ends are retained, want 6", lapsed)
 	}
-	if lapsed := lapsedOf(starter(t, false, few, keeper.kept[0])); lapsed != 0 {
-		t.Errorf("%d back ends are believed in though no snapshot is wanted", lapsed)
+	if lapsed := expiredCount(startedNode(t, false, few, store.parts[0])); lapsed != 0 {
+		t.Errorf("%d back ends are retained with snapshots disabled", lapsed)
 	}
-	torn := keeper.kept[0]
-	torn.Value = torn.Value[:len(torn.Value)-1]
-	node := starter(t, true, few, torn)
-	if lapsed := lapsedOf(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
-		t.Errorf("a torn part: %d are believed in, %d faults", lapsed, node.metrics.snapshotFaults.Get())
+	truncated := store.parts[0]
+	truncated.Value = truncated.Value[:len(truncated.Value)-1]
+	node := startedNode(t, true, few, truncated)
+	if lapsed := expiredCount(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
+		t.Errorf("truncated part: %d back ends are retained, %d faults", lapsed, node.metrics.snapshotFaults.Get())
 	}
-	// A process of some age has not lost everything just now.
-	old := newTestNode(t, &fakeSource{listing: few, kept: []snapshot.Stored{keeper.kept[0]}})
-	switchOn(old)
+	// A process that has run for longer does not use the snapshot.
+	old := newTestNode(t, &fakeSource{listing: few, parts: []snapshot.Stored{store.parts[0]}})
+	enableSnapshot(old)
 	old.started = time.Now().Add(-time.Minute)
-	if err := old.listStore(t.Context(), 0); err != nil || lapsedOf(old) != 0 {
-		t.Errorf("an old process believes in %d, %v", lapsedOf(old), err)
+	if err := old.listStore(t.Context(), 0); err != nil || expiredCount(old) != 0 {
+		t.Errorf("a process that has run for longer retains %d, %v", expiredCount(old), err)
 	}
 }
 
-// TestAWriteWithoutAnAnswerIsFoundOut: it was done, so that the next one hears of a conflict and has
-// nothing to write.
-func TestAWriteWithoutAnAnswerIsFoundOut(t *testing.T) {
-	keeper := &fakeKeeper{kept: map[int]snapshot.Stored{}, lost: true}
-	node := writerOf(t, keeper, eight())
+// TestAWriteWithoutAResponseIsDetected checks that a write which succeeded without a response leads to a conflict at the
+// next one, and to no further write.
+func TestAWriteWithoutAResponseIsDetected(t *testing.T) {
+	store := &fakeSnapshotStore{parts: map[int]snapshot.Stored{}, loseResponses: true}
+	node := snapshotWriter(t, store, eightBackends())
 	for range 3 {
 		write, due := node.nextSnapshot()
 		if !due {
 			break
 		}
 		node.writeSnapshot(t.Context(), write)
-		// The time until the next write passes.
 		node.started = node.started.Add(-time.Minute)
 		node.confirmed.Note(node.now(), 0)
 	}
-	if keeper.calls != 2 || node.metrics.snapshotFailures.Get() != 2 {
-		t.Errorf("%d calls, %d failures, want 2 of each", keeper.calls, node.metrics.snapshotFailures.Get())
+	if store.calls != 2 || node.metrics.snapshotFailures.Get() != 2 {
+		t.Errorf("%d calls, %d failures, want 2 of each", store.calls, node.metrics.snapshotFailures.Get())
 	}
 }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// starting makes the test's program a process that does nothing but start.
-const starting = "GAUGEYARD_TEST_STARTING"
+// childEnv is the environment variable that makes the test binary run as the child process of the test.
+const childEnv = "GAUGEYARD_TEST_STARTING"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(starting) == "" {
+	if os.Getenv(childEnv) == "" {
 		os.Exit(m.Run())
 	}
 	fmt.Print("!")
@@ -26,12 +26,11 @@
 	}
 }
 
-// TestAProcessThatStartsSurvivesAHangup: balancers received SIGHUP only once their settings were read and their sockets
-// open; one that came before ended them. The soak showed it (seed 1, "balancer 2 ended by itself: signal: hangup", a
-// reload series at a balancer that had just been started).
+// TestAProcessThatStartsSurvivesAHangup guards against a SIGHUP before the settings are read and the sockets are
+// open, which terminated the process.
 func TestAProcessThatStartsSurvivesAHangup(t *testing.T) {
 	program := exec.Command(os.Args[0])
-	program.Env = append(os.Environ(), starting+"=1")
+	program.Env = append(os.Environ(), childEnv+"=1")
 	out, err := program.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
