--- a/internal/discovery/load.go
+++ b/internal/discovery/load.go
@@ -1,5 +1,4 @@
-// Package discovery reads what is around a balancer: the machine list of balancers
-// and the load that back ends report of themselves.
+// Package discovery reads the machine list of balancers and the load that back ends report.
 package discovery
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// Names of the gauges that a back end reports in the usual exposition format.
+// Gauges that a back end reports in the Prometheus text format.
 const (
 	// GaugeBusy is the number of requests running and waiting.
 	GaugeBusy = "backend_requests_busy"
@@ -21,13 +20,13 @@
 	GaugeSlots = "backend_slots"
 )
 
-// loadTimeout bounds one read of a load endpoint.
-const loadTimeout = 500 * time.Millisecond
+// loadReadTimeout bounds one read of a back end's metrics.
+const loadReadTimeout = 500 * time.Millisecond
 
-// Utilization reads a back end's load: requests running and waiting, divided by
-// slots.
+// Utilization returns a back end's load: the requests running and waiting, divided by its slots. It
+// fails for a back end that reports no slots.
 func Utilization(ctx context.Context, address netip.AddrPort) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, loadReadTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/metrics", nil)
 	if err != nil {
--- a/internal/discovery/machines.go
+++ b/internal/discovery/machines.go
@@ -9,10 +9,9 @@
 	"time"
 )
 
-// MachineState is what the machine list says of a machine.
+// MachineState is the state of a machine in the machine list.
 type MachineState string
 
-// The states of the machine list.
 const (
 	MachineLive    MachineState = "live"
 	MachineLeaving MachineState = "leaving"
@@ -21,19 +20,19 @@
 // Machine is one balancer in the machine list.
 type Machine struct {
 	Zone string
-	// Cell names the balancers that own flows together; empty is DefaultCell.
+	// Cell names the group of balancers that own flows together, DefaultCell if the list names
+	// none.
 	Cell  string
 	State MachineState
-	// Data receives datagrams from the fabric, Peer those from balancers, and
-	// Admin is the HTTP address for operators.
+	// Data receives datagrams from the fabric and Peer those from balancers. Admin is the HTTP
+	// address for operators.
 	Data, Peer, Admin netip.AddrPort
 }
 
-// DefaultCell is the cell of machines that name none.
+// DefaultCell is the cell of machines whose entry names none.
 const DefaultCell = "main"
 
-// TargetGroup is one entry of the machine list, in the format of Prometheus HTTP
-// service discovery.
+// TargetGroup is one entry of the machine list, in the format of Prometheus HTTP service discovery.
 type TargetGroup struct {
 	Targets []string      `json:"targets"`
 	Labels  MachineLabels `json:"labels"`
@@ -56,34 +55,34 @@
 	}
 }
 
-// Machine decodes an entry of the list.
+// Machine decodes an entry of the list, which must have exactly one target.
 func (g TargetGroup) Machine() (Machine, error) {
 	machine := Machine{Zone: g.Labels.Zone, Cell: g.Labels.Cell, State: g.Labels.State}
 	if machine.Cell == "" {
 		machine.Cell = DefaultCell
 	}
 	if len(g.Targets) != 1 {
-		return machine, fmt.Errorf("machine list: an entry has %d targets, not 1", len(g.Targets))
+		return machine, fmt.Errorf("machine list: entry has %d targets, want 1", len(g.Targets))
 	}
-	for _, part := range []struct {
-		text string
-		into *netip.AddrPort
+	for _, field := range []struct {
+		text   string
+		target *netip.AddrPort
 	}{{g.Targets[0], &machine.Admin}, {g.Labels.Data, &machine.Data}, {g.Labels.Peer, &machine.Peer}} {
-		address, err := netip.ParseAddrPort(part.text)
+		address, err := netip.ParseAddrPort(field.text)
 		if err != nil {
 			return machine, fmt.Errorf("machine list: %w", err)
 		}
-		*part.into = address
+		*field.target = address
 	}
 	return machine, nil
 }
 
-// maxListTime bounds one read of the machine list.
-const maxListTime = 2 * time.Second
+// listReadTimeout bounds one read of the machine list.
+const listReadTimeout = 2 * time.Second
 
-// Machines reads the machine list at the URL.
+// Machines reads the machine list at the URL. One invalid entry fails the read.
 func Machines(ctx context.Context, url string) ([]Machine, error) {
-	ctx, cancel := context.WithTimeout(ctx, maxListTime)
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	var groups []TargetGroup
 	if err := GetJSON(ctx, url, &groups); err != nil {
@@ -100,8 +99,8 @@
 	return machines, nil
 }
 
-// GetJSON decodes what the URL serves; any status but 200 is an error.
-func GetJSON(ctx context.Context, url string, into any) error {
+// GetJSON decodes the JSON document at the URL into target. Any status but 200 is an error.
+func GetJSON(ctx context.Context, url string, target any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -112,7 +111,7 @@
 	}
 	defer reply.Body.Close()
 	if reply.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %s", url, reply.Status)
+		return fmt.Errorf("%s: unexpected status %s", url, reply.Status)
 	}
-	return json.NewDecoder(reply.Body).Decode(into)
+	return json.NewDecoder(reply.Body).Decode(target)
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -6,64 +6,63 @@
 	"time"
 )
 
-// Timing of the failure detector.
 const (
 	// HeartbeatInterval is the time between two heartbeats to each peer.
 	HeartbeatInterval = 400 * time.Millisecond
-	// DeadAfter is the silence after which a peer leaves the view. A node that
-	// starts, or resumes after a pause, listens this long before it joins.
+	// DeadAfter is the silence after which a peer leaves the view. A node that starts, or resumes
+	// after a pause, listens this long before it joins.
 	DeadAfter = 1500 * time.Millisecond
-	// ViewSettle is how long a change of view must stand before decisions follow
-	// from it. Members that fall silent together are noticed within it.
+	// ViewSettle is how long a change of view must last before decisions follow from it. Members
+	// that fail together are detected within it.
 	ViewSettle = HeartbeatInterval + HeartbeatInterval/2
-	// ForgetAfter is the silence after which a peer that the machine list does
-	// not name no longer counts towards the quorum.
+	// ForgetAfter is the silence after which a peer that is not listed no longer counts towards the
+	// quorum.
 	ForgetAfter = 10 * time.Second
 )
 
-// peer is what the detector knows of another balancer.
+// peer is the known state of another balancer.
 type peer struct {
 	// Member has the zero ID until the first heartbeat.
 	Member
-	heard  time.Duration
-	listed bool
+	lastReceived time.Duration
+	listed       bool
 	Report
-	// goneOn is set when this node decided without the peer, which has not yet
-	// confirmed that it knows; breaksThen is the peer's count of breaks then.
-	goneOn     bool
-	breaksThen uint32
-	// introductions is how many heartbeats to the peer must still say who this
-	// node is.
-	introductions int
+	// decidedWithout is set while this node has decided without the peer, which has not yet
+	// confirmed that it knows; invalidationsThen is the peer's Report.Invalidations at that time.
+	decidedWithout    bool
+	invalidationsThen uint32
+	// introductionsLeft is the number of heartbeats to the peer that must still introduce this
+	// node.
+	introductionsLeft int
 }
 
-// Report is what a peer says of itself in a heartbeat.
+// Report is what a peer reports about itself in a heartbeat.
 type Report struct {
 	// Sequence numbers the heartbeats of one run of the peer.
 	Sequence uint64
 	// Absent is set while the peer listens before it joins, or leaves.
 	Absent bool
-	// Leaving is set once the peer has left for good. A peer that only listens
-	// may join and decide at any moment, and so counts towards the quorum.
+	// Leaving is set once the peer has left for good. A peer that only listens may join and decide
+	// at any time, and so counts towards the quorum.
 	Leaving bool
-	// Settled is set when everything that the peer holds is held twice.
+	// Settled is set when everything that the peer holds is replicated.
 	Settled bool
-	// Breaks counts how often the peer has stopped to vouch for its records.
+	// Invalidations counts how often the peer has stopped to attest that its records are complete.
 	Breaks uint32
 }
 
 func (p *peer) alive(now time.Duration) bool {
-	return p.ID != 0 && now-p.heard <= DeadAfter
+	return p.ID != 0 && now-p.lastReceived <= DeadAfter
 }
 
-// Detector decides which peers are alive from their heartbeats and the machine
-// list. Peers are kept in order of address.
+// Detector decides which peers are alive, from their heartbeats and the machine list. Peers are in
+// order of address.
 type Detector struct {
 	self  Member
 	peers []*peer
-	// absent keeps this node out of the view that it computes.
+	// absent excludes this node from the view that it computes.
 	absent bool
-	// forgotten has the breaksThen of peers that were dropped while goneOn.
+	// forgotten has the invalidationsThen of peers that were dropped while decidedWithout.
 	forgotten map[ID]uint32
 }
 
@@ -72,7 +71,7 @@
 	return &Detector{self: self, absent: true, forgotten: map[ID]uint32{}}
 }
 
-func (d *Detector) find(id ID) *peer {
+func (d *Detector) peerByID(id ID) *peer {
 	for _, p := range d.peers {
 		if p.ID == id {
 			return p
@@ -81,97 +80,97 @@
 	return nil
 }
 
-func (d *Detector) at(address netip.AddrPort) *peer {
+func (d *Detector) peerAt(address netip.AddrPort) *peer {
 	index, known := slices.BinarySearchFunc(d.peers, address, func(p *peer, a netip.AddrPort) int {
 		return p.Address.Compare(a)
 	})
 	if !known {
-		p := &peer{Member: Member{Address: address}, introductions: introductions}
+		p := &peer{Member: Member{Address: address}, introductionsLeft: introductionCount}
 		d.peers = slices.Insert(d.peers, index, p)
 	}
 	return d.peers[index]
 }
 
-// Heard records a heartbeat. A new identifier at a known address is a process
-// that was started again and has lost what its predecessor knew. It is not fresh
-// when a newer one has overtaken it, and then changes nothing; broke tells that
-// the peer has stopped to vouch for its records since the last one.
-func (d *Detector) Heard(now time.Duration, member Member, report Report) (fresh, broke bool) {
+// Receive records a heartbeat. It returns accepted false for one that a newer one has overtaken, or
+// of this node itself, which change nothing. A new identifier at a known address is a restarted
+// process without its predecessor's records. invalidated is set if the peer has invalidated its
+// records since its last heartbeat.
+func (d *Detector) Heard(now time.Duration, member Member, report Report) (accepted, invalidated bool) {
 	if member.Address == d.self.Address {
 		return false, false
 	}
-	p := d.at(member.Address)
+	p := d.peerAt(member.Address)
 	if p.ID == member.ID && report.Sequence <= p.Sequence {
 		return false, false
 	}
-	broke = p.ID == member.ID && report.Breaks != p.Breaks
+	invalidated = p.ID == member.ID && report.Breaks != p.Breaks
 	if p.ID != member.ID {
-		p.introductions = introductions
-		p.breaksThen, p.goneOn = d.forgotten[member.ID]
+		p.introductionsLeft = introductionCount
+		p.invalidationsThen, p.decidedWithout = d.forgotten[member.ID]
 		delete(d.forgotten, member.ID)
 	}
-	if report.Breaks != p.breaksThen {
-		p.goneOn = false
+	if report.Breaks != p.invalidationsThen {
+		p.decidedWithout = false
 	}
 	p.Member = member
 	p.Report = report
-	p.heard = now
-	return true, broke
+	p.lastReceived = now
+	return true, invalidated
 }
 
-// Listed replaces what the machine list says. The list lags: it only adds
-// addresses to send heartbeats to and members that count towards the quorum.
+// SetMachineList replaces the addresses of the machine list. The list lags: it only adds addresses
+// to send heartbeats to and members that count towards the quorum.
 func (d *Detector) Listed(addresses []netip.AddrPort) {
 	for _, p := range d.peers {
 		p.listed = false
 	}
 	for _, address := range addresses {
 		if address != d.self.Address {
-			d.at(address).listed = true
+			d.peerAt(address).listed = true
 		}
 	}
 }
 
-// Join puts this node into its own view, and Withdraw takes it out.
+// Join adds this node to its own view.
 func (d *Detector) Join() { d.absent = false }
 
-// Withdraw takes this node out of its own view.
+// Withdraw removes this node from its own view.
 func (d *Detector) Withdraw() { d.absent = true }
 
-// Joined tells whether this node is in its own view.
+// Joined reports whether this node is in its own view.
 func (d *Detector) Joined() bool { return !d.absent }
 
-// Resume treats every peer that was alive at the moment of the last tick as
-// heard now, for a node that stood still since then.
+// Resume treats every peer that was alive at lastTick as received at now, for a node that was
+// paused in between.
 func (d *Detector) Resume(lastTick, now time.Duration) {
 	for _, p := range d.peers {
 		if p.alive(lastTick) {
-			p.heard = now
+			p.lastReceived = now
 		}
 	}
 }
 
-// Forget drops peers that are neither listed nor heard from.
+// Forget drops unlisted peers that have never sent a heartbeat or none for ForgetAfter.
 func (d *Detector) Forget(now time.Duration) {
 	d.peers = slices.DeleteFunc(d.peers, func(p *peer) bool {
-		drop := !p.listed && (p.ID == 0 || now-p.heard > ForgetAfter)
-		if drop && p.goneOn {
-			d.forgotten[p.ID] = p.breaksThen
+		drop := !p.listed && (p.ID == 0 || now-p.lastReceived > ForgetAfter)
+		if drop && p.decidedWithout {
+			d.forgotten[p.ID] = p.invalidationsThen
 		}
 		return drop
 	})
 }
 
-// GoOn notes that this node decides from now on without the peers that have been
-// out of the view for ViewSettle; each must be told, should it come back, that records may exist that it
-// lacks. It is called while this node hears a majority.
+// MarkDecidedWithout records that this node decides from now on without the peers that have been
+// out of the view for ViewSettle. If one returns, it must be told that it may lack records. The
+// caller must have a quorum.
 func (d *Detector) GoOn(now time.Duration) {
 	for _, p := range d.peers {
-		if p.ID == 0 || p.goneOn || p.Leaving || now-p.heard <= DeadAfter+ViewSettle {
+		if p.ID == 0 || p.decidedWithout || p.Leaving || now-p.lastReceived <= DeadAfter+ViewSettle {
 			continue
 		}
-		p.goneOn = true
-		p.breaksThen = p.Breaks
+		p.decidedWithout = true
+		p.invalidationsThen = p.Breaks
 	}
 }
 
@@ -190,7 +189,7 @@
 	return members
 }
 
-// Quorum tells whether this node hears a majority of the members it knows,
+// HasQuorum reports whether this node receives heartbeats from a majority of the members it knows,
 // itself included. Peers that have left for good do not count.
 func (d *Detector) Quorum(now time.Duration) bool {
 	known, heard := 1, 1
@@ -206,7 +205,7 @@
 	return 2*heard > known
 }
 
-// AllSettled tells whether every live member of the view is settled.
+// AllSettled reports whether every other live member of the view is settled.
 func (d *Detector) AllSettled(now time.Duration) bool {
 	for _, p := range d.peers {
 		if p.alive(now) && !p.Absent && !p.Settled {
@@ -216,26 +215,27 @@
 	return true
 }
 
-// Overdue tells whether the peer's last heartbeat is late, before it counts as dead.
+// IsOverdue reports whether the peer is unknown or its last heartbeat is late, before it counts as
+// dead.
 func (d *Detector) Overdue(id ID, now time.Duration) bool {
-	p := d.find(id)
-	return p == nil || now-p.heard > ViewSettle
+	p := d.peerByID(id)
+	return p == nil || now-p.lastReceived > ViewSettle
 }
 
 const (
-	// introductions is how many heartbeats to a new peer say who this node is.
-	introductions = 3
-	// introduceEvery is every how many rounds all peers are told again.
-	introduceEvery = 10
+	// introductionCount is the number of heartbeats that introduce this node to a new peer.
+	introductionCount = 3
+	// introductionRounds is the number of rounds between introductions to all peers.
+	introductionRounds = 10
 )
 
 // Target is a peer that heartbeats are sent to.
 type Target struct {
 	Address netip.AddrPort
-	// GoneOn is set when the peer must be told that this node decided without it.
+	// DecidedWithout is set if the peer must be told that this node decided without it.
 	GoneOn bool
-	// Introduce is set when the heartbeat must say who this node is; the rest of
-	// the time the identifier is enough.
+	// Introduce is set if the heartbeat must introduce this node; otherwise its identifier is
+	// enough.
 	Introduce bool
 }
 
@@ -243,16 +243,16 @@
 func (d *Detector) Targets(round uint64) []Target {
 	targets := make([]Target, 0, len(d.peers))
 	for _, p := range d.peers {
-		introduce := p.introductions > 0 || p.ID == 0 || round%introduceEvery == 0
-		p.introductions = max(0, p.introductions-1)
-		targets = append(targets, Target{p.Address, p.goneOn, introduce})
+		introduce := p.introductionsLeft > 0 || p.ID == 0 || round%introductionRounds == 0
+		p.introductionsLeft = max(0, p.introductionsLeft-1)
+		targets = append(targets, Target{p.Address, p.decidedWithout, introduce})
 	}
 	return targets
 }
 
 // Known returns the peer that has introduced itself with the identifier.
 func (d *Detector) Known(id ID) (Member, bool) {
-	if p := d.find(id); p != nil && id != 0 {
+	if p := d.peerByID(id); p != nil && id != 0 {
 		return p.Member, true
 	}
 	return Member{}, false
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,9 +13,9 @@
 	return Member{ID: IDOf(address, 1), Zone: zone, Address: address}
 }
 
-// TestOneChangeKeepsAHolder guards the ground that all else stands on: after one
-// join, the loss of one node, or of one zone, one of the old pair is in the new.
-func TestOneChangeKeepsAHolder(t *testing.T) {
+// TestOneChangeKeepsOneOfPair guards the basis of replication: after one join, or the loss of one
+// node or one zone, one of the old pair is in the new one.
+func TestOneChangeKeepsOneOfPair(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(3, 16).Draw(t, "count")
@@ -23,19 +23,19 @@
 		for i := range count {
 			members = append(members, member(i, zones[i%len(zones)]))
 		}
-		gone := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
-		struck := members[rapid.IntRange(0, count-1).Draw(t, "struck")]
+		lost := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
+		failed := members[rapid.IntRange(0, count-1).Draw(t, "struck")]
 		var rest []Member
 		for _, m := range members {
-			if m.ID != struck.ID && (gone == "node" || m.Zone != struck.Zone) {
+			if m.ID != failed.ID && (lost == "node" || m.Zone != failed.Zone) {
 				rest = append(rest, m)
 			}
 		}
-		all, some := NewView(members, true), NewView(rest, true)
+		viewBefore, viewAfter := NewView(members, true), NewView(rest, true)
 		for partition := range PartitionCount {
-			large, small := all.PairAt(partition), some.PairAt(partition)
-			if !small.Has(large.Owner) && !small.Has(large.Successor) {
-				t.Fatalf("partition %d: %v and %v share none", partition, large, small)
+			before, after := viewBefore.PairAt(partition), viewAfter.PairAt(partition)
+			if !after.Has(before.Owner) && !after.Has(before.Successor) {
+				t.Fatalf("partition %d: %v and %v have no member in common", partition, before, after)
 			}
 		}
 	})
@@ -59,35 +59,35 @@
 	d.Join()
 	d.Listed([]netip.AddrPort{other.Address, third.Address})
 	if d.Quorum(0) {
-		t.Error("one of three is a majority")
+		t.Error("one of three is a quorum")
 	}
 	d.Heard(time.Second, other, Report{Sequence: 5})
 	if !d.Quorum(time.Second) || len(d.Live(time.Second)) != 2 {
-		t.Error("two of three are no majority")
+		t.Error("two of three are no quorum")
 	}
 	if fresh, _ := d.Heard(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
-		t.Error("a heartbeat that was overtaken counts")
+		t.Error("an overtaken heartbeat was accepted")
 	}
 	if len(d.Live(time.Second+DeadAfter+1)) != 1 {
 		t.Error("a silent peer is alive")
 	}
-	// A peer that only listens may join and decide; it must count.
+	// A peer that only listens may join and decide, and so counts towards the quorum.
 	d.Heard(3*time.Second, other, Report{Sequence: 6, Absent: true})
 	if len(d.Live(3*time.Second)) != 1 || !d.Quorum(3*time.Second) {
-		t.Error("a listening peer is in the view, or does not count")
+		t.Error("a listening peer is in the view, or does not count towards the quorum")
 	}
 	d.GoOn(3*time.Second + DeadAfter + ViewSettle + 1)
 	for _, target := range d.Targets(1) {
 		if target.Address == other.Address && !target.GoneOn {
-			t.Error("a peer that decisions went on without is not told")
+			t.Error("DecidedWithout is not set for a peer that is out of the view")
 		}
 	}
 	if _, broke := d.Heard(6*time.Second, other, Report{Sequence: 7, Breaks: 1}); !broke {
-		t.Error("a break went unnoticed")
+		t.Error("an invalidation was not reported")
 	}
 	for _, target := range d.Targets(1) {
 		if target.GoneOn {
-			t.Error("a peer that knows is told again")
+			t.Error("DecidedWithout is still set after the peer invalidated its records")
 		}
 	}
 }
@@ -99,19 +99,19 @@
 	c := NewContinuity(self.ID, 0)
 	c.Change(time.Second, alone)
 	if c.Covers(0, 2*time.Second, lifetime) || !c.Covers(0, time.Minute, lifetime) {
-		t.Error("a node covers a lifetime after it became one of the pair, not before")
+		t.Error("the history must be complete one lifetime after the node joined the pair, not before")
 	}
 	c.Change(time.Minute, none)
 	c.Change(time.Minute, alone)
 	if c.Covers(0, time.Minute+time.Second, lifetime) {
-		t.Error("a gap did not break continuity")
+		t.Error("the history is complete after a gap")
 	}
 	c.Grant(0, alone)
 	if !c.Covers(0, time.Minute+time.Second, lifetime) {
-		t.Error("a grant did not help")
+		t.Error("the history is incomplete after MarkComplete")
 	}
 	c.Break(2*time.Minute, alone)
 	if c.Covers(0, 2*time.Minute, lifetime) {
-		t.Error("a break did not undo a grant")
+		t.Error("the history is complete after Invalidate")
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,5 +1,5 @@
-// Package membership keeps what a balancer knows of its peers: who is alive,
-// who owns which flows, and since when. It is pure: time is an argument.
+// Package membership tracks a balancer's peers: which are alive, which own which flows, and since
+// when. It reads no clock: time is an argument.
 package membership
 
 import (
@@ -13,12 +13,11 @@
 	"gaugeyard/internal/placement"
 )
 
-// ID identifies a balancer; 0 is none.
+// ID identifies one run of a balancer; 0 is none.
 type ID = uint32
 
-// IDOf returns the identifier of one run of a balancer. The incarnation differs
-// between runs, so that a process that was started again is not taken for one
-// that still knows its flows.
+// IDOf returns the identifier of one run of a balancer. The incarnation differs between runs, so
+// that a restarted process is not taken for one that still has its flows.
 func IDOf(address netip.AddrPort, incarnation uint64) ID {
 	return ID(placement.Mix(xxh3.HashString(address.String()), incarnation)) | 1
 }
@@ -27,8 +26,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// PartitionCount is the number of parts into which flow hashes are split; each
-// part has one owner and one successor.
+// PartitionCount is the number of partitions of flow hashes. Each has one owner and one successor.
 const PartitionCount = 1024
 
 // PartitionOf returns the partition of a flow hash.
@@ -43,18 +41,17 @@
 	Address netip.AddrPort
 }
 
-// Pair is the owner and the successor of a partition. Successor is 0 when the
-// owner is alone.
+// Pair is the owner and the successor of a partition. Successor is 0 if the owner is alone.
 type Pair struct {
 	Owner, Successor ID
 }
 
-// Has tells whether the balancer is one of the pair.
+// Has reports whether the balancer is one of the pair.
 func (p Pair) Has(id ID) bool {
 	return id != 0 && (p.Owner == id || p.Successor == id)
 }
 
-// Partner returns the other one of the pair, or 0 when the balancer is not in it.
+// Partner returns the other one of the pair, or 0 if the balancer is not in it.
 func (p Pair) Partner(id ID) ID {
 	switch id {
 	case p.Owner:
@@ -65,18 +62,18 @@
 	return 0
 }
 
-// View is one set of live balancers and the pairs that follow from it. It is
-// read-only; two nodes with equal members compute equal pairs.
+// View is a set of live balancers and the pairs computed from it. It is read-only. Two nodes with
+// equal members compute equal pairs.
 type View struct {
 	Members []Member
 	pairs   [PartitionCount]Pair
 	byID    map[ID]Member
 }
 
-// NewView computes the pairs of the members. The owner of a partition is its
-// highest member in rendezvous order; the successor is the next one in another
-// zone, or the next one where all are in one zone. So a loss of one node or of
-// one zone, or one join, leaves at least one of a pair in the next pair.
+// NewView computes the pairs of the members. The owner of a partition is the first member in
+// rendezvous order; the successor is the next one in another zone, or the next one if all are in
+// one zone. So after the loss of one node or one zone, or one join, at least one of a pair is in
+// the next pair.
 func NewView(members []Member, zoneAware bool) *View {
 	view := &View{Members: slices.Clone(members), byID: make(map[ID]Member, len(members))}
 	slices.SortFunc(view.Members, compareMembers)
@@ -138,30 +135,30 @@
 	return member, known
 }
 
-// Has tells whether the balancer is a live member.
+// Has reports whether the balancer is a live member.
 func (v *View) Has(id ID) bool {
 	_, known := v.byID[id]
 	return known
 }
 
-// Continuity tracks, for each partition, since when this node has without a
-// gap been one of the pair. A node that has been so for a request's whole
-// lifetime holds every record of requests that may still be repeated.
+// Continuity tracks, for each partition, since when this node has been one of the pair without a
+// gap. A node that has been so for a request's whole lifetime has a complete history: all records
+// of requests that may still be repeated.
 type Continuity struct {
 	self  ID
 	since [PartitionCount]time.Duration
-	// changed is when the partition's pair last became another one.
+	// changed is when the partition's pair last changed.
 	changed [PartitionCount]time.Duration
 	pairs   [PartitionCount]Pair
-	// bootstrapUntil ends the time in which this node may assume that no
-	// balancer ran before, so that it misses no record.
+	// bootstrapUntil ends the period in which this node may assume that no balancer ran before, so
+	// that it lacks no record.
 	bootstrapUntil time.Duration
 }
 
 const (
-	// never is a time that no lifetime reaches back to.
+	// never marks a node that is not one of the pair.
 	never = time.Duration(1<<63 - 1)
-	// always is a time before every lifetime.
+	// always marks a node with a complete history.
 	always = -time.Duration(1 << 60)
 )
 
@@ -193,13 +190,13 @@
 	}
 }
 
-// Settled tells whether the partition's pair has been the same for ViewSettle,
-// so that a change that is only half seen leads to no decision.
+// IsSettled reports whether the partition's pair has been the same for ViewSettle, or the bootstrap
+// period lasts. A change that is only partly detected leads to no decision.
 func (c *Continuity) Settled(partition int, now time.Duration) bool {
 	return now < c.bootstrapUntil || now-c.changed[partition] >= ViewSettle
 }
 
-// Break forgets all continuity, for a node that was paused or cut off.
+// Invalidate discards the history of all partitions, for a node that was paused or cut off.
 func (c *Continuity) Break(now time.Duration, view *View) {
 	for partition := range c.since {
 		c.since[partition] = never
@@ -207,14 +204,16 @@
 	c.Change(now, view)
 }
 
-// Grant records that a continuous node has copied everything of the partition here.
+// MarkComplete records that this node has copied all records of the partition from a node with a
+// complete history.
 func (c *Continuity) Grant(partition int, view *View) {
 	if view.PairAt(partition).Has(c.self) {
 		c.since[partition] = always
 	}
 }
 
-// Covers tells whether this node has been one of the pair for the whole lifetime.
+// HasCompleteHistory reports whether this node has been one of the pair for the whole lifetime, or
+// has a complete copy.
 func (c *Continuity) Covers(partition int, now, lifetime time.Duration) bool {
 	since := c.since[partition]
 	return since == always || since != never && now-since >= lifetime
--- a/internal/peers/capacity.go
+++ b/internal/peers/capacity.go
@@ -2,60 +2,58 @@
 
 import "cmp"
 
-// Capacity is the class of a balancer's machine for tasks of the fleet: asking the store, telling
-// others, answering those that start. A higher one is abler. It is told by the balancer itself; the
-// zero value is also that of a machine of which too little is known.
+// Capacity is the class of a balancer's machine for work on behalf of others: reading the store,
+// serving followers and answering balancers that start. Each balancer reports its own. The zero
+// value also stands for a machine of which too little is known.
 type Capacity uint8
 
-// The classes.
 const (
-	// Least is for machines that have enough to do with their own packets.
-	Least Capacity = iota
-	// Middling is for machines with processor time to spare behind a narrow link, or one that is
-	// not known.
-	Middling
-	// Able is for machines with both.
+	// CapacityLow is for machines with little processor time beyond their own packets.
+	CapacityLow Capacity = iota
+	// CapacityMedium is for machines with processor time to spare and a narrow or unknown link.
+	CapacityMedium
+	// CapacityHigh is for machines with both processor time and bandwidth to spare.
 	Able
 )
 
 const (
-	// sparingCores is the share of a core from which a machine has time to spare. Telling 48
-	// followers, as many as one serves, of a change takes 3.3 ms of a whole core (0.07 ms each): 33 ms
-	// here, for which callers' packets may wait where their aims begin at 100 ms, and 73 ms at a share of
-	// 0.045, for which they may not.
-	sparingCores = 0.1
-	// ableCores is the share from which it takes 11 ms, which no caller notices.
-	ableCores = 0.3
-	// ableLinkMbps is the bandwidth from which 200 kB, everything about 1,500 routes, are told within
-	// 32 ms, in Mbit/s; over 10 Mbit/s they keep callers' packets waiting for 160 ms.
-	ableLinkMbps = 50
+	// minMediumCores is the minimum share of a core for CapacityMedium. With less, sending a change
+	// to a full set of followers keeps callers' packets waiting for longer than their latency
+	// targets allow.
+	minMediumCores = 0.1
+	// minHighCores is the minimum share of a core for CapacityHigh, from which this wait is
+	// negligible.
+	minHighCores = 0.3
+	// minHighLinkMbps is the minimum bandwidth for CapacityHigh, in Mbit/s. Over a narrower link,
+	// sending a full listing keeps callers' packets waiting.
+	minHighLinkMbps = 50
 )
 
-// CapacityOf returns the class of a machine with a share of cores and a link, in Mbit/s. 0 is
-// unknown: unknown cores make a machine Least, an unknown link counts as a narrow one.
+// CapacityOf returns the class of a machine with a share of cores and a link in Mbit/s. 0 and NaN
+// are unknown: unknown cores make a machine CapacityLow, and an unknown link counts as narrow.
 func CapacityOf(cores, linkMbps float64) Capacity {
 	switch {
-	case !(cores >= sparingCores):
-		return Least
-	case cores >= ableCores && linkMbps >= ableLinkMbps:
+	case !(cores >= minMediumCores):
+		return CapacityLow
+	case cores >= minHighCores && linkMbps >= minHighLinkMbps:
 		return Able
 	}
-	return Middling
+	return CapacityMedium
 }
 
-// Rank orders balancers; a lower one is followed by a higher one.
+// Rank orders balancers. A balancer follows only balancers of lower rank.
 type Rank struct {
 	capacity Capacity
 	hash     Hash
 }
 
-// RankOf returns the rank of a balancer by what is said of it.
+// RankOf returns the rank of the introduced balancer.
 func RankOf(balancer Introduction) Rank {
 	return Rank{balancer.Capacity, HashOf(balancer.Control)}
 }
 
-// Compare returns a negative number for a rank lower than the other, and a positive one for a
-// higher one: the able come first.
+// Compare returns a negative number if r is lower than other, a positive one if it is higher. A
+// higher capacity makes a lower rank; the address hash breaks ties.
 func (r Rank) Compare(other Rank) int {
 	return cmp.Or(cmp.Compare(other.capacity, r.capacity), cmp.Compare(r.hash, other.hash))
 }
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -9,92 +9,95 @@
 	"gaugeyard/internal/steering"
 )
 
-// Hello is what balancers tell each other, in a datagram.
+// Hello is the datagram in which a balancer reports its state to others. It and the types in it are
+// encoded as arrays: the order of fields is part of the protocol.
 type Hello struct {
 	// Control is the sender's address for other balancers.
 	Control netip.AddrPort
 	Zone    string
-	// Started tells runs of a process apart: its start, in nanoseconds of the
-	// sender's clock.
+	// Started is the start of the sender's process in nanoseconds of its clock. It identifies a
+	// run.
 	Started int64
 	// Leaving is set during a planned stop.
 	Leaving bool
-	// Failing is set while the store does not answer the sender.
+	// StoreUnavailable is set while the store does not answer the sender.
 	Failing bool
-	// Revision is up to where the sender's beliefs are complete.
+	// Revision is the revision up to which the sender's view is complete, 0 if it has none.
 	Revision uint64
-	// Outline is set where the sender has settings and back ends to tell to those that start ahead of everything,
-	// since it does not know all yet, or all takes long.
+	// HasSummary is set if the sender can serve settings and back ends to balancers that start,
+	// since its own view is incomplete or would take long to send.
 	Outline bool
-	// StoreAge is how long ago the store confirmed them, directly or along the chain.
+	// StoreAge is the time since the store confirmed the sender's view, directly or through
+	// upstream balancers.
 	StoreAge time.Duration
-	// Others are more balancers.
+	// Introductions name other balancers.
 	Others []Introduction
-	// Reply asks for a hello in return: the sender does not hear from the receiver
-	// by itself.
+	// ReplyRequested asks for a hello in return, for a receiver that does not send any by itself.
 	Reply bool
 	// Loads are of the back ends that the sender uses most, in a full hello.
 	Loads []Load
-	// Failures are of the back ends that failed requests through the sender lately, in a full hello or
-	// an urgent one.
+	// Failures are of the back ends that recently failed requests through the sender, in a full or
+	// urgent hello.
 	Failures []Failure
-	// Baselines are what the sender knows of answers, in a full hello.
+	// Baselines are the sender's baselines of answers, in a full hello.
 	Baselines []steering.Baseline
-	// Doubted are back ends that the sender found silent.
+	// Suspects are back ends that do not respond to the sender.
 	Doubted []settings.BackendID
-	// Stalls are back ends that leave callers without a sign of life, here or at others.
+	// UnresponsiveReports are about back ends that leave callers without a response, at the sender
+	// or elsewhere.
 	Stalls []steering.Stall
-	// Full is set when the hello has loads and names others. Those that have not tell
-	// what changes quickly in few bytes.
+	// Full is set if the hello has loads and introductions. Others carry in few bytes what changes
+	// quickly.
 	Full bool
-	// Capacity is the sender's, as it knows itself.
+	// Capacity is the sender's own capacity.
 	Capacity Capacity
-	// Inquiries ask where flows rest, and Locations answer those of the receiver.
+	// Inquiries ask which back ends flows are pinned to. Locations answer inquiries of the
+	// receiver.
 	Inquiries []steering.Inquiry
 	Locations []steering.Location
 }
 
-// Short returns the hello without what only full ones have.
+// Short returns a copy of the hello without the fields that only full hellos have.
 func (h *Hello) Short() *Hello {
 	short := *h
 	short.Loads, short.Failures, short.Baselines, short.Others, short.Full = nil, nil, nil, nil, false
 	return &short
 }
 
-// Load is how much work a balancer gave to a back end lately.
+// Load is the recent work that a balancer sent to a back end.
 type Load struct {
-	// Tag names the back end in fewer bytes than its identifier.
+	// Tag identifies the back end in fewer bytes than its identifier.
 	Tag directory.Tag
-	// Units counts requests begun lately, decaying, in LoadUnit.
+	// Requests is the decaying count of requests begun recently, in LoadUnit.
 	Units uint32
-	// Steady counts the same over a longer time, in LoadUnit.
+	// Steady is the same count with a longer decay, in LoadUnit.
 	Steady uint32
-	// Answers counts answers that came lately, in LoadUnit, and Millis is the sum of the time
-	// that they took, in milliseconds.
+	// Answers is the decaying count of answers received recently, in LoadUnit. AnswerMillis is the
+	// sum of their latencies in milliseconds.
 	Answers, Millis uint32
 }
 
-// Failure is how many requests a back end failed lately.
+// Failure is the number of requests that a back end failed recently.
 type Failure struct {
 	Tag directory.Tag
-	// Units counts them, decaying, in LoadUnit.
+	// Count is the decaying count of failed requests, in LoadUnit.
 	Units uint32
 }
 
-// FailuresOf returns the failures of a hello.
+// FailuresOf converts failures for a hello.
 func FailuresOf(failures []steering.BackendLoad) []Failure {
-	var told []Failure
+	var encoded []Failure
 	for _, failure := range failures {
-		told = append(told, Failure{Tag: directory.TagOf(failure.Backend), Units: uint32(failure.Failures / LoadUnit)})
+		encoded = append(encoded, Failure{Tag: directory.TagOf(failure.Backend), Units: uint32(failure.Failures / LoadUnit)})
 	}
-	return told
+	return encoded
 }
 
-// LoadsOf returns the loads of a hello.
+// LoadsOf converts loads for a hello.
 func LoadsOf(loads []steering.BackendLoad) []Load {
-	var told []Load
+	var encoded []Load
 	for _, load := range loads {
-		told = append(told, Load{
+		encoded = append(encoded, Load{
 			Tag:     directory.TagOf(load.Backend),
 			Units:   uint32(load.Requests / LoadUnit),
 			Steady:  uint32(load.Steady / LoadUnit),
@@ -102,11 +105,11 @@
 			Millis:  uint32(load.Time * 1000),
 		})
 	}
-	return told
+	return encoded
 }
 
-// load is what a balancer told, as the decisions take it.
-func (l *Load) load() steering.Load {
+// toSteering converts a load of a hello for package steering.
+func (l *Load) toSteering() steering.Load {
 	return steering.Load{Requests: float64(l.Units) * LoadUnit, Steady: float64(l.Steady) * LoadUnit, Answers: float64(l.Answers) * LoadUnit, Time: float64(l.Millis) / 1000}
 }
 
@@ -114,10 +117,10 @@
 type Introduction struct {
 	Control netip.AddrPort
 	Zone    string
-	// Knows is set for one that knows settings, as far as the sender has heard.
+	// HasView is set if, as far as the sender knows, the balancer has a complete view.
 	Knows bool
-	// Outline is set for one that has an outline.
+	// HasSummary is set if the balancer can serve a summary.
 	Outline bool
-	// Capacity is what that one told the sender of itself.
+	// Capacity is the capacity that the balancer reported to the sender.
 	Capacity Capacity
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,22 +1,21 @@
-// Package peers keeps what one balancer knows of others: who is alive, how fresh
-// each one's beliefs are, and from whom this one should hear of changes. It is pure:
-// no clock, no socket.
+// Package peers tracks the other balancers: which are alive, how stale their views are, and which
+// one to receive changes from. It does no I/O and reads no clock.
 //
-// Balancers follow each other so that the store is asked by few. A balancer follows
-// a live peer with a lower rank, if there is one, in its zone or, where the zone is
-// small or has none, in any; ranks go by the capacity that each tells of itself, the able ones
-// first, then by a hash of the address. Ranks fall strictly along the chain, so that there are no
-// circles, and a balancer with no lower neighbour asks the store itself. Each keeps only the
-// neighbours nearest to itself by hash, so that tables stay small in large zones, at most about
-// one balancer in maxZonePeers asks the store, and few able ones are not followed by a whole zone.
+// Balancers follow each other, so that few read the store. A balancer follows a live peer of lower
+// rank, in its zone or, where the zone is small or has none, in any zone. Without such a peer it
+// reads the store itself. Ranks go by the capacity that each balancer reports, high capacity first,
+// then by a hash of the address. They strictly decrease along a chain of followers, so that there
+// are no cycles. A table holds only the peers nearest by hash, which bounds it in large zones,
+// limits the readers of the store to about one balancer in maxZonePeers, and spreads followers over
+// the balancers of high capacity.
 //
 // # Usage
 //
 //	t := peers.New(peers.Introduction{Control: self, Zone: "a"})
 //	t.Introduce(now, peers.Introduction{Control: seed})
 //	for _, target := range t.Round(now, loads) { ... }   // send a hello to each
-//	isNew := t.Heard(now, hello)                          // for each hello that came
-//	peer, found := t.Upstream(now, maxAge)                // whom to follow, or the store
+//	isNew := t.Receive(now, hello)                        // for each hello received
+//	peer, found := t.Upstream(now, maxStaleness)          // the peer to follow; none: read the store
 package peers
 
 import (
@@ -33,26 +32,26 @@
 const (
 	// HelloInterval is the time between two rounds of hellos.
 	HelloInterval = 500 * time.Millisecond
-	// aliveTime is the silence after which a peer no longer counts as alive. What it
-	// knows is too old to follow much earlier.
-	aliveTime = 3 * time.Second
-	// forgetTime is the silence after which a peer is forgotten.
-	forgetTime = 30 * time.Second
-	// maxZonePeers and maxOtherPeers bound the table.
+	// aliveTimeout is the silence after which a peer counts as dead. Its view is too stale to
+	// follow well before.
+	aliveTimeout = 3 * time.Second
+	// forgetTimeout is the silence after which a peer is dropped.
+	forgetTimeout = 30 * time.Second
+	// maxZonePeers and maxOtherPeers bound the table for the own zone and for all others.
 	maxZonePeers  = 24
 	maxOtherPeers = 8
-	// smallZone is the number of zone peers below which peers of other zones are
-	// followed too, so that a small fleet asks the store once.
+	// smallZone is the number of live zone peers below which peers of other zones are followed too,
+	// so that a small fleet has one reader of the store.
 	smallZone = 8
-	// refusedTime is how long a peer that sent this balancer away is not followed.
-	refusedTime = 5 * time.Second
-	// fewPeers is the number of live peers below which seeds are asked.
-	fewPeers = 4
-	// sampleSize is how many other peers a hello names.
+	// refusalPeriod is how long a peer that refused this balancer is not followed.
+	refusalPeriod = 5 * time.Second
+	// minPeersWithoutSeeds is the number of live peers below which seeds are contacted.
+	minPeersWithoutSeeds = 4
+	// sampleSize is the maximum number of introductions in a hello.
 	sampleSize = 4
 )
 
-// Hash of a balancer's address says who is near to whom.
+// Hash is the hash of a balancer's address. The distance of two hashes is their exclusive or.
 type Hash uint64
 
 // HashOf returns the hash of the balancer at an address.
@@ -60,27 +59,29 @@
 	return Hash(xxh3.HashString(address.String()))
 }
 
-// Peer is one other balancer.
+// Peer is the known state of another balancer, with the last hello received from it.
 type Peer struct {
 	Hello
-	hash  Hash
-	heard time.Duration
-	// greeted counts the hellos that went there.
-	greeted uint64
-	// loads are from the last full hello, which came at loadsAt.
+	hash Hash
+	// lastReceived is when a hello or an answer last arrived from the peer, or when it was
+	// introduced if none has.
+	lastReceived time.Duration
+	// hellosSent counts the hellos sent to the peer.
+	hellosSent uint64
+	// loads are from the last full hello, received at loadsAt.
 	loads   []Load
 	loadsAt time.Duration
-	// failures are from the last hello that had any or was full, which came at failuresAt.
+	// failures are from the last hello that was full or had any, received at failuresAt.
 	failures   []Failure
 	failuresAt time.Duration
-	// refusedUntil is until when the peer, which served as many as it could, is not
+	// refusedUntil is the time until which the peer, which accepts no further followers, is not
 	// followed.
 	refusedUntil time.Duration
-	// everHeard is unset while the peer is known from others only.
-	everHeard bool
+	// receivedHello is unset while the peer is known only from introductions.
+	receivedHello bool
 }
 
-// Table is what one balancer knows of others. It is not safe for concurrent use.
+// Table holds the peers known to one balancer. It is not safe for concurrent use.
 type Table struct {
 	self  Introduction
 	hash  Hash
@@ -88,41 +89,41 @@
 	round int
 }
 
-// New returns a table of the balancer itself that knows no other.
+// New returns an empty table for the balancer described by self.
 func New(self Introduction) *Table {
 	return &Table{self: self, hash: HashOf(self.Control), peers: map[netip.AddrPort]*Peer{}}
 }
 
-// Introduce adds a balancer that was not heard yet. Of one that is known, but was not heard, it
-// takes over the capacity; what a balancer says of itself stands.
+// Introduce adds a balancer from which no hello was received. If it is already known, but only from
+// introductions, its capacity is raised to the introduced one.
 func (t *Table) Introduce(now time.Duration, other Introduction) {
 	if other.Control == t.self.Control || !other.Control.IsValid() {
 		return
 	}
 	if known := t.peers[other.Control]; known != nil {
-		if !known.everHeard {
+		if !known.receivedHello {
 			known.Capacity = max(known.Capacity, other.Capacity)
 		}
 		return
 	}
 	t.peers[other.Control] = &Peer{
-		Hello: Hello{Control: other.Control, Zone: other.Zone, Capacity: other.Capacity},
-		hash:  HashOf(other.Control),
-		heard: now,
+		Hello:        Hello{Control: other.Control, Zone: other.Zone, Capacity: other.Capacity},
+		hash:         HashOf(other.Control),
+		lastReceived: now,
 	}
 }
 
-// Heard takes over a hello. It tells whether the sender is new here or was started
-// anew, and is kept: a sender for whom the table has no place is forgotten at once
-// and must not be greeted for being new, each time anew.
+// Receive records a hello. It reports whether the sender is new or restarted, and is in the table.
+// A sender beyond the table's limits is never new, so that two balancers do not reply to each other
+// without end.
 func (t *Table) Heard(now time.Duration, hello *Hello) (isNew bool) {
 	if hello.Control == t.self.Control || !hello.Control.IsValid() {
 		return false
 	}
 	t.Introduce(now, Introduction{Control: hello.Control, Zone: hello.Zone})
 	known := t.peers[hello.Control]
-	isNew = !known.everHeard || hello.Started != known.Started
-	known.Hello, known.heard, known.everHeard = *hello, now, true
+	isNew = !known.receivedHello || hello.Started != known.Started
+	known.Hello, known.lastReceived, known.receivedHello = *hello, now, true
 	if hello.Full {
 		known.loads, known.loadsAt = hello.Loads, now
 	}
@@ -136,20 +137,21 @@
 	return isNew && t.peers[hello.Control] != nil
 }
 
-// Forget drops peers that have been silent for long.
+// Forget drops peers that have been silent for forgetTimeout.
 func (t *Table) Forget(now time.Duration) {
 	for address, peer := range t.peers {
-		if now-peer.heard > forgetTime {
+		if now-peer.lastReceived > forgetTimeout {
 			delete(t.peers, address)
 		}
 	}
 }
 
-// Alive returns the peers that were heard lately, in order of rank.
+// Alive returns the peers from which a hello or an answer was received within aliveTimeout, in
+// order of rank.
 func (t *Table) Alive(now time.Duration) []*Peer {
 	var alive []*Peer
 	for _, peer := range t.peers {
-		if peer.everHeard && now-peer.heard <= aliveTime {
+		if peer.receivedHello && now-peer.lastReceived <= aliveTimeout {
 			alive = append(alive, peer)
 		}
 	}
@@ -157,12 +159,12 @@
 	return alive
 }
 
-// NeedsIntroductions tells whether too few others are alive to do without seeds.
+// NeedsSeeds reports whether too few peers are alive to do without seeds.
 func (t *Table) NeedsIntroductions(now time.Duration) bool {
-	return len(t.Alive(now)) < fewPeers
+	return len(t.Alive(now)) < minPeersWithoutSeeds
 }
 
-// Sample returns some live peers to introduce to others, in turn.
+// Sample returns some live peers to introduce to others, in rotation.
 func (t *Table) Sample(now time.Duration) []Introduction {
 	alive := t.Alive(now)
 	var sample []Introduction
@@ -173,87 +175,88 @@
 	return sample
 }
 
-// ForAsker returns live peers to name to the sender of a hello: those of its zone first, and
-// among these the nearest to it by hash, since it is looking for its neighbours. To one that
-// knows nothing yet, peers that do are named first, and the able ones of these before others.
-func (t *Table) ForAsker(now time.Duration, asker *Hello) []Introduction {
-	hash, knows := HashOf(asker.Control), asker.Revision > 0
+// IntroductionsFor returns live peers to introduce to the sender of a hello: peers of its zone
+// first, and of these the nearest to it by hash. If the sender has no view, peers that have one
+// come first, in order of capacity, and then peers that have a summary.
+func (t *Table) ForAsker(now time.Duration, requester *Hello) []Introduction {
+	hash, hasView := HashOf(requester.Control), requester.Revision > 0
 	alive := t.Alive(now)
 	slices.SortFunc(alive, func(a, b *Peer) int {
-		if aKnows, bKnows := a.Revision > 0, b.Revision > 0; !knows && aKnows != bKnows {
+		if aHasView, bHasView := a.Revision > 0, b.Revision > 0; !hasView && aHasView != bHasView {
 			return cmp.Compare(b.Revision, a.Revision)
 		}
-		if !knows && a.Revision == 0 && a.Outline != b.Outline {
+		if !hasView && a.Revision == 0 && a.Outline != b.Outline {
 			if a.Outline {
 				return -1
 			}
 			return 1
 		}
-		if !knows && a.Revision > 0 && a.Capacity != b.Capacity {
+		if !hasView && a.Revision > 0 && a.Capacity != b.Capacity {
 			return cmp.Compare(b.Capacity, a.Capacity)
 		}
-		if aNear, bNear := a.Zone == asker.Zone, b.Zone == asker.Zone; aNear != bNear {
-			if aNear {
+		if aInZone, bInZone := a.Zone == requester.Zone, b.Zone == requester.Zone; aInZone != bInZone {
+			if aInZone {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Compare(a.hash^hash, b.hash^hash)
 	})
-	var named []Introduction
+	var introductions []Introduction
 	for _, peer := range alive {
-		if peer.Control != asker.Control && len(named) < sampleSize {
-			named = append(named, Introduction{Control: peer.Control, Zone: peer.Zone, Knows: peer.Revision > 0, Outline: peer.Outline, Capacity: peer.Capacity})
+		if peer.Control != requester.Control && len(introductions) < sampleSize {
+			introductions = append(introductions, Introduction{Control: peer.Control, Zone: peer.Zone, Knows: peer.Revision > 0, Outline: peer.Outline, Capacity: peer.Capacity})
 		}
 	}
-	return named
+	return introductions
 }
 
-// Age is how long ago the store confirmed the peer's beliefs, as far as is known now.
+// Staleness returns the time since the store confirmed the peer's view.
 func (p *Peer) Age(now time.Duration) time.Duration {
-	return p.StoreAge + now - p.heard
+	return p.StoreAge + now - p.lastReceived
 }
 
-// Answered notes that a peer answered a call: how old its beliefs are and up to
-// where they are complete.
-func (t *Table) Answered(now time.Duration, control netip.AddrPort, age time.Duration, revision uint64) {
-	if peer := t.peers[control]; peer != nil && peer.everHeard {
-		peer.heard, peer.StoreAge, peer.Revision = now, age, revision
+// RecordAnswer records that a peer answered a call, with the staleness of its view and the revision
+// up to which it is complete.
+func (t *Table) Answered(now time.Duration, control netip.AddrPort, staleness time.Duration, revision uint64) {
+	if peer := t.peers[control]; peer != nil && peer.receivedHello {
+		peer.lastReceived, peer.StoreAge, peer.Revision = now, staleness, revision
 	}
 }
 
-// Refused notes that a peer serves as many others as it can.
+// RecordRefusal records that a peer accepts no further followers.
 func (t *Table) Refused(now time.Duration, control netip.AddrPort) {
 	if peer := t.peers[control]; peer != nil {
-		peer.refusedUntil = now + refusedTime
+		peer.refusedUntil = now + refusalPeriod
 	}
 }
 
-// Upstream returns the peer to follow: the lowest rank below the own, of the zone
-// or, where the zone is small or has none, of any; alive, not leaving, with beliefs confirmed
-// within maxAge. There is none where this balancer should ask the store itself.
-func (t *Table) Upstream(now, maxAge time.Duration) (*Peer, bool) {
+// Upstream returns the peer to follow: the lowest rank below this balancer's own, in its zone or,
+// if the zone is small or has none, in any. The peer is alive, not leaving, has not refused
+// recently, and its view is no staler than maxStaleness. It returns false if this balancer should
+// read the store itself.
+func (t *Table) Upstream(now, maxStaleness time.Duration) (*Peer, bool) {
 	alive := t.Alive(now)
-	anyZone := t.zonePeers(alive) < smallZone
-	var elsewhere *Peer
+	anyZone := t.countZonePeers(alive) < smallZone
+	var otherZone *Peer
 	for _, peer := range alive {
 		if peer.rank().Compare(t.rank()) >= 0 {
 			break
 		}
-		if peer.Leaving || now < peer.refusedUntil || peer.Age(now) > maxAge {
+		if peer.Leaving || now < peer.refusedUntil || peer.Age(now) > maxStaleness {
 			continue
 		}
 		if anyZone || peer.Zone == t.self.Zone {
 			return peer, true
 		}
-		if elsewhere == nil {
-			elsewhere = peer
+		if otherZone == nil {
+			otherZone = peer
 		}
 	}
-	return elsewhere, elsewhere != nil
+	return otherZone, otherZone != nil
 }
 
-// Neighbours returns the balancers of the own zone by hash, as far as they are known.
+// Neighbours returns the known balancers of the own zone by hash.
 func (t *Table) Neighbours(now time.Duration) steering.Neighbours {
 	neighbours := steering.Neighbours{Own: uint64(t.hash)}
 	known := 0
@@ -261,8 +264,8 @@
 		switch {
 		case peer.Zone != t.self.Zone:
 			continue
-		case !peer.everHeard:
-		case now-peer.heard <= aliveTime && !peer.Leaving:
+		case !peer.receivedHello:
+		case now-peer.lastReceived <= aliveTimeout && !peer.Leaving:
 			neighbours.Live = append(neighbours.Live, uint64(peer.hash))
 		default:
 			neighbours.Silent++
@@ -274,31 +277,32 @@
 	return neighbours
 }
 
-// Place returns where this balancer stands by rank among the live ones of its zone that
-// it knows, itself included, how many there are, and how many in all zones.
-func (t *Table) Place(now time.Duration) (index, count, fleet int) {
+// Position returns this balancer's index by rank among the known live balancers of its zone, itself
+// included, their count, and the count in all zones.
+func (t *Table) Place(now time.Duration) (index, zoneCount, fleetCount int) {
 	alive := t.Alive(now)
-	count = 1
+	zoneCount = 1
 	for _, peer := range alive {
 		if peer.Zone != t.self.Zone {
 			continue
 		}
-		count++
+		zoneCount++
 		if peer.rank().Compare(t.rank()) < 0 {
 			index++
 		}
 	}
-	return index, count, len(alive) + 1
+	return index, zoneCount, len(alive) + 1
 }
 
-// OwnPlace returns where this balancer stands, for placing flows.
+// Membership returns what the placement of flows depends on: this balancer's position, the
+// estimated sizes of its zone and the fleet, and its neighbours.
 func (t *Table) OwnPlace(now time.Duration) steering.Place {
-	index, count, fleet := t.Place(now)
+	index, zoneCount, fleetCount := t.Place(now)
 	zoneSize, fleetSize := t.Sizes(now)
-	return steering.Place{Index: index, Count: count, Fleet: fleet, ZoneSize: zoneSize, FleetSize: fleetSize, Zone: t.Neighbours(now)}
+	return steering.Place{Index: index, Count: zoneCount, Fleet: fleetCount, ZoneSize: zoneSize, FleetSize: fleetSize, Zone: t.Neighbours(now)}
 }
 
-func (t *Table) zonePeers(peers []*Peer) int {
+func (t *Table) countZonePeers(peers []*Peer) int {
 	count := 0
 	for _, peer := range peers {
 		if peer.Zone == t.self.Zone {
@@ -308,24 +312,24 @@
 	return count
 }
 
-// HasLower tells whether a live peer has a lower rank.
+// HasLowerRank reports whether a live peer has a lower rank.
 func (t *Table) HasLower(now time.Duration) bool {
 	alive := t.Alive(now)
 	return len(alive) > 0 && alive[0].rank().Compare(t.rank()) < 0
 }
 
-// HasAbler tells whether a balancer on an abler machine is known that is alive, or that another one has named
-// just now.
+// HasHigherCapacity reports whether a balancer of higher capacity is known that is alive or was
+// recently introduced.
 func (t *Table) HasAbler(now time.Duration) bool {
 	for _, peer := range t.peers {
-		if peer.Capacity > t.self.Capacity && !peer.Leaving && now-peer.heard <= aliveTime {
+		if peer.Capacity > t.self.Capacity && !peer.Leaving && now-peer.lastReceived <= aliveTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Failing returns how many live peers say that the store does not answer them.
+// CountStoreUnavailable returns the number of live peers that get no answer from the store.
 func (t *Table) Failing(now time.Duration) int {
 	count := 0
 	for _, peer := range t.Alive(now) {
@@ -336,14 +340,14 @@
 	return count
 }
 
-// Freshest returns the live peer with the newest revision above the given one, of
-// those that did not send this balancer away lately.
+// Newest returns the live peer with the highest revision above the given one, leaving out peers
+// that refused this balancer recently.
 func (t *Table) Freshest(now time.Duration, above uint64) (*Peer, bool) {
-	var freshest *Peer
+	var newest *Peer
 	for _, peer := range t.Alive(now) {
-		if peer.Revision > above && now >= peer.refusedUntil && (freshest == nil || peer.Revision > freshest.Revision) {
-			freshest = peer
+		if peer.Revision > above && now >= peer.refusedUntil && (newest == nil || peer.Revision > newest.Revision) {
+			newest = peer
 		}
 	}
-	return freshest, freshest != nil
+	return newest, newest != nil
 }
--- a/internal/peers/round.go
+++ b/internal/peers/round.go
@@ -13,87 +13,86 @@
 )
 
 const (
-	// HurryInterval is the time between rounds while a balancer knows nothing yet, and
-	// hurryTargets how many others a round then asks.
+	// UrgentInterval is the time between rounds while a balancer has no view or no live peer, and
+	// urgentTargets is the number of targets in such a round.
 	HurryInterval = 50 * time.Millisecond
-	hurryTargets  = 6
-	// aloneTime is for how long after its start a balancer that has heard of no other one hurries
-	// though it knows all: after a loss of power the seeds may start later, and whom they can name
-	// to those that know nothing, they must have heard of.
-	aloneTime = 10 * time.Second
-	// everyRound is the number of zone peers up to which each gets a hello in every
-	// round; more get one in every second.
-	everyRound = 12
-	// othersPerRound is how many peers of other zones get a hello in each round.
-	othersPerRound = 2
-	// lonelyRounds is in which part of the rounds a balancer that knows few others of its zone asks
-	// those of other zones to name some: every 2 s. Without it 26 of 300 balancers in six zones knew
-	// fewer than 8 of the 49 others of their zone after 10 s, some nobody
-	// (TestEveryBalancerFindsItsZone), since they knew enough elsewhere to leave the seeds alone.
-	lonelyRounds = 4
+	urgentTargets = 6
+	// seedSearchTime is how long after its start a balancer without live peers stays in urgent
+	// rounds although it has a view. After a loss of power seeds may start later, and can only
+	// introduce balancers that sent them a hello.
+	seedSearchTime = 10 * time.Second
+	// maxPeersEveryRound is the maximum number of zone peers that all get a hello in every round.
+	// Of more, each gets one in every second round.
+	maxPeersEveryRound = 12
+	// otherPeersPerRound is the number of peers of other zones that get a hello in each round.
+	otherPeersPerRound = 2
+	// roundsPerZoneSearch is the number of rounds between requests for introductions to peers of
+	// other zones, while few live peers of the own zone are known. Without them a balancer that
+	// knows enough peers elsewhere to contact no seeds may never find its own zone.
+	roundsPerZoneSearch = 4
 	// replyAfter is the silence after which a peer is asked for a hello.
 	replyAfter = HelloInterval * 5
-	// fullBudget bounds what full hellos cost a balancer, in bytes a second; short ones
-	// cost up to 1,000 more at full tables. A hello has about helloBytes and
-	// loadBytes for each load.
-	fullBudget = 3000
-	helloBytes = 150
-	loadBytes  = 12
-	// MaxLoads is how many back ends a hello gives the load of.
+	// fullHelloBudget bounds the full hellos that a balancer sends, in bytes per second; short ones
+	// add up to 1,000 at full tables. A full hello has about helloBytes, and loadBytes for each
+	// load.
+	fullHelloBudget = 3000
+	helloBytes      = 150
+	loadBytes       = 12
+	// MaxLoads is the maximum number of loads in a hello.
 	MaxLoads = 32
-	// MaxDoubted is how many doubted back ends a hello names.
+	// MaxSuspects is the maximum number of suspects in a hello.
 	MaxDoubted = 16
-	// MaxStalls is how many silent back ends a hello names: a quarter of a service's may fall silent
-	// at once. They have about 20 bytes each, and a hello stays within one datagram with all it may name.
+	// MaxUnresponsiveReports is the maximum number of unresponsive back ends in a hello, since a
+	// quarter of a service's may fail at once. They take about 20 bytes each, and a hello at all
+	// limits fits one datagram.
 	MaxStalls = 24
-	// MaxFailures is how many back ends that fail requests a hello names.
+	// MaxFailures is the maximum number of failing back ends in a hello.
 	MaxFailures = 16
-	// MaxBaselines is of how many addresses a hello tells what answers look like.
+	// MaxBaselines is the maximum number of addresses with a baseline in a hello.
 	MaxBaselines = 4
-	// LoadUnit is what one unit of a Load stands for, in requests.
+	// LoadUnit is the unit of the counts in a Load or Failure, in requests.
 	LoadUnit = 1.0 / 16
-	// loadLife is how long what a peer says of its load counts.
-	loadLife = 8 * time.Second
+	// loadLifetime is how long the loads of a hello are used.
+	loadLifetime = 8 * time.Second
 )
 
-// Target is one balancer that a round of hellos goes to.
+// Target is one recipient of a round of hellos.
 type Target struct {
 	Control netip.AddrPort
-	// Reply asks for a hello in return: the peer's own table may have no place for
-	// this balancer.
+	// ReplyRequested asks for a hello in return: the peer's table may not hold this balancer.
 	Reply bool
-	// Full is set where a full hello is due.
+	// Full is set if a full hello is due.
 	Full bool
 }
 
-// Round returns where the hellos of this round go: to the peers of the zone, in turn
-// where they are many, and to some elsewhere in turn. loads is how many loads a full hello
-// would carry; those are as frequent as the budget allows.
+// Round returns the recipients of the next round of hellos: the peers of the zone, alternating if
+// there are many, and some of other zones in rotation. loads is the number of loads in a full
+// hello. Full hellos are as frequent as fullHelloBudget allows.
 func (t *Table) Round(now time.Duration, loads int) []Target {
 	t.round++
-	zone, others := t.byZone()
+	zonePeers, otherPeers := t.splitByZone()
 	var targets []Target
-	for i, control := range zone {
-		if len(zone) <= everyRound || (i+t.round)%2 == 0 {
-			targets = append(targets, Target{Control: control, Reply: t.wantsReply(now, control)})
+	for i, control := range zonePeers {
+		if len(zonePeers) <= maxPeersEveryRound || (i+t.round)%2 == 0 {
+			targets = append(targets, Target{Control: control, Reply: t.needsReply(now, control)})
 		}
 	}
-	lonely := t.round%lonelyRounds == 0 && t.zonePeers(t.Alive(now)) < smallZone
-	for i := range min(othersPerRound, len(others)) {
-		control := others[(t.round*othersPerRound+i)%len(others)]
-		targets = append(targets, Target{Control: control, Reply: lonely || t.wantsReply(now, control)})
+	searchesZone := t.round%roundsPerZoneSearch == 0 && t.countZonePeers(t.Alive(now)) < smallZone
+	for i := range min(otherPeersPerRound, len(otherPeers)) {
+		control := otherPeers[(t.round*otherPeersPerRound+i)%len(otherPeers)]
+		targets = append(targets, Target{Control: control, Reply: searchesZone || t.needsReply(now, control)})
 	}
-	every := uint64(fullEvery(len(targets), loads))
+	interval := uint64(fullHelloInterval(len(targets), loads))
 	for i := range targets {
 		peer := t.peers[targets[i].Control]
-		peer.greeted++
-		// Hashes spread the full ones over the rounds.
-		targets[i].Full = (peer.greeted+uint64(peer.hash))%every == 0
+		peer.hellosSent++
+		// The hash spreads full hellos over the rounds.
+		targets[i].Full = (peer.hellosSent+uint64(peer.hash))%interval == 0
 	}
 	return targets
 }
 
-// Everyone returns all live peers: what cannot wait goes to each of them at once.
+// AllLive returns all live peers, the recipients of urgent reports.
 func (t *Table) Everyone(now time.Duration) []Target {
 	alive := t.Alive(now)
 	targets := make([]Target, 0, len(alive))
@@ -103,58 +102,58 @@
 	return targets
 }
 
-// fullEvery returns of how many hellos one is full.
-func fullEvery(targets, loads int) int {
+// fullHelloInterval returns n such that one in n hellos is full.
+func fullHelloInterval(targets, loads int) int {
 	bytes := float64(targets) / HelloInterval.Seconds() * float64(helloBytes+loadBytes*loads)
-	return max(1, int(math.Ceil(bytes/fullBudget)))
+	return max(1, int(math.Ceil(bytes/fullHelloBudget)))
 }
 
-// byZone returns the peers of the own zone and of others, each in order. One whose zone
-// is not known yet counts as of the own.
-func (t *Table) byZone() (zone, others []netip.AddrPort) {
+// splitByZone returns the peers of the own zone and of other zones, each in order of address. A
+// peer of unknown zone counts as one of the own.
+func (t *Table) splitByZone() (zonePeers, otherPeers []netip.AddrPort) {
 	for address, peer := range t.peers {
 		if peer.Zone == t.self.Zone || peer.Zone == "" {
-			zone = append(zone, address)
+			zonePeers = append(zonePeers, address)
 		} else {
-			others = append(others, address)
+			otherPeers = append(otherPeers, address)
 		}
 	}
-	slices.SortFunc(zone, netip.AddrPort.Compare)
-	slices.SortFunc(others, netip.AddrPort.Compare)
-	return zone, others
+	slices.SortFunc(zonePeers, netip.AddrPort.Compare)
+	slices.SortFunc(otherPeers, netip.AddrPort.Compare)
+	return zonePeers, otherPeers
 }
 
-func (t *Table) wantsReply(now time.Duration, control netip.AddrPort) bool {
+func (t *Table) needsReply(now time.Duration, control netip.AddrPort) bool {
 	peer := t.peers[control]
-	return peer == nil || !peer.everHeard || now-peer.heard > replyAfter
+	return peer == nil || !peer.receivedHello || now-peer.lastReceived > replyAfter
 }
 
-// Hurries tells whether the next round is one of those that follow each other quickly. now counts
-// from the balancer's start; knows is set once it knows the desired state.
-func (t *Table) Hurries(now time.Duration, knows bool) bool {
-	return !knows || now < aloneTime && len(t.Alive(now)) == 0
+// NeedsUrgentRound reports whether the next round is urgent. now is the time since the balancer's
+// start; hasView is set once it has a view.
+func (t *Table) Hurries(now time.Duration, hasView bool) bool {
+	return !hasView || now < seedSearchTime && len(t.Alive(now)) == 0
 }
 
-// HurryRound returns whom a balancer that knows nothing or nobody asks in this round: some of the
-// others, in turn, from the able ones on.
+// UrgentRound returns the recipients of an urgent round: some of the known balancers in rotation,
+// high capacity first.
 func (t *Table) HurryRound() []Target {
 	all := slices.SortedFunc(maps.Keys(t.peers), func(a, b netip.AddrPort) int {
 		return cmp.Or(cmp.Compare(t.peers[b].Capacity, t.peers[a].Capacity), a.Compare(b))
 	})
 	var targets []Target
-	for i := range min(hurryTargets, len(all)) {
-		targets = append(targets, Target{Control: all[(t.round*hurryTargets+i)%len(all)], Reply: true})
+	for i := range min(urgentTargets, len(all)) {
+		targets = append(targets, Target{Control: all[(t.round*urgentTargets+i)%len(all)], Reply: true})
 	}
 	t.round++
 	return targets
 }
 
-// Loads sums what peers said lately of their work at each back end, always in the same order,
-// which the last digits of a sum depend on.
+// Loads sums the recent loads and failures that peers reported for each back end. The order of
+// summation is fixed, since the last digits of a sum depend on it.
 func (t *Table) Loads(now time.Duration) map[directory.Tag]steering.Load {
 	loads := map[directory.Tag]steering.Load{}
 	for _, control := range slices.SortedFunc(maps.Keys(t.peers), netip.AddrPort.Compare) {
-		if peer := t.peers[control]; peer.everHeard {
+		if peer := t.peers[control]; peer.receivedHello {
 			peer.addLoads(now, loads)
 			peer.addFailures(now, loads)
 		}
@@ -162,26 +161,26 @@
 	return loads
 }
 
-// addLoads adds what is left of the loads that the peer told last.
+// addLoads adds the decayed loads of the peer's last full hello.
 func (p *Peer) addLoads(now time.Duration, loads map[directory.Tag]steering.Load) {
-	if len(p.loads) == 0 || now-p.loadsAt > loadLife {
+	if len(p.loads) == 0 || now-p.loadsAt > loadLifetime {
 		return
 	}
-	fading := steering.FadingOver(now - p.loadsAt)
+	decay := steering.FadingOver(now - p.loadsAt)
 	for _, load := range p.loads {
-		loads[load.Tag] = loads[load.Tag].Plus(load.load().Faded(fading))
+		loads[load.Tag] = loads[load.Tag].Plus(load.toSteering().Faded(decay))
 	}
 }
 
-// addFailures adds what is left of the failures that the peer told last. They come in urgent hellos
-// too, also from peers that never send their loads.
+// addFailures adds the decayed failures that the peer reported last. They also arrive in urgent
+// hellos, and so from peers that send no loads.
 func (p *Peer) addFailures(now time.Duration, loads map[directory.Tag]steering.Load) {
 	if len(p.failures) == 0 {
 		return
 	}
-	fading := steering.FadingOver(now - p.failuresAt)
+	decay := steering.FadingOver(now - p.failuresAt)
 	for _, failure := range p.failures {
 		failed := steering.Load{Failures: float64(failure.Units) * LoadUnit}
-		loads[failure.Tag] = loads[failure.Tag].Plus(failed.Faded(fading))
+		loads[failure.Tag] = loads[failure.Tag].Plus(failed.Faded(decay))
 	}
 }
--- a/internal/peers/trim.go
+++ b/internal/peers/trim.go
@@ -5,59 +5,62 @@
 	"slices"
 )
 
-// trim keeps the peers nearest by hash in the own zone, and some elsewhere: of these first such as are
-// as able as this balancer, so that the able ones of all zones find each other and one asks the store, and one
-// that is abler, where there is any: of 24 that are near by hash none may be, and a balancer that knows no able
-// one asks the store, and writes there, itself (6 of 986 did, with one able machine in 20).
+// trim drops the peers beyond the limits of the table. Of the own zone it keeps the nearest by
+// hash. Of other zones it prefers peers of at least this balancer's capacity, then the nearest, so
+// that balancers of high capacity in all zones find each other and one of them reads the store. It
+// always keeps the nearest peer of higher capacity, if there is any: a balancer that knows none may
+// read the store, and write there, itself.
 func (t *Table) trim() {
-	var zone, others []*Peer
+	var zonePeers, otherPeers []*Peer
 	for _, peer := range t.peers {
 		if peer.Zone == t.self.Zone {
-			zone = append(zone, peer)
+			zonePeers = append(zonePeers, peer)
 		} else {
-			others = append(others, peer)
+			otherPeers = append(otherPeers, peer)
 		}
 	}
-	t.dropLast(zone, maxZonePeers, t.nearer)
-	able := t.nearestAbler(others)
-	t.dropLast(others, maxOtherPeers, func(a, b *Peer) int {
-		switch able {
+	t.dropBeyond(zonePeers, maxZonePeers, t.compareDistance)
+	retained := t.nearestWithHigherCapacity(otherPeers)
+	t.dropBeyond(otherPeers, maxOtherPeers, func(a, b *Peer) int {
+		switch retained {
 		case a:
 			return -1
 		case b:
 			return 1
 		}
-		return cmp.Or(cmp.Compare(t.upTo(b.Capacity), t.upTo(a.Capacity)), t.nearer(a, b))
+		return cmp.Or(cmp.Compare(t.capCapacity(b.Capacity), t.capCapacity(a.Capacity)), t.compareDistance(a, b))
 	})
 }
 
-// nearestAbler returns the nearest of the peers that are abler than this balancer, nil for none.
-func (t *Table) nearestAbler(list []*Peer) *Peer {
+// nearestWithHigherCapacity returns the nearest of the peers whose capacity exceeds this
+// balancer's, nil if there is none.
+func (t *Table) nearestWithHigherCapacity(list []*Peer) *Peer {
 	var nearest *Peer
 	for _, peer := range list {
-		if peer.Capacity > t.self.Capacity && (nearest == nil || t.nearer(peer, nearest) < 0) {
+		if peer.Capacity > t.self.Capacity && (nearest == nil || t.compareDistance(peer, nearest) < 0) {
 			nearest = peer
 		}
 	}
 	return nearest
 }
 
-// nearer orders by nearness to this balancer.
-func (t *Table) nearer(a, b *Peer) int {
+// compareDistance orders peers by hash distance to this balancer.
+func (t *Table) compareDistance(a, b *Peer) int {
 	return cmp.Compare(a.hash^t.hash, b.hash^t.hash)
 }
 
-// upTo returns a capacity as far as it does not exceed this balancer's.
-func (t *Table) upTo(capacity Capacity) Capacity {
+// capCapacity returns capacity, limited to this balancer's own.
+func (t *Table) capCapacity(capacity Capacity) Capacity {
 	return min(capacity, t.self.Capacity)
 }
 
-func (t *Table) dropLast(list []*Peer, most int, order func(a, b *Peer) int) {
-	if len(list) <= most {
+// dropBeyond drops the peers of the list after the first limit ones in the order of compare.
+func (t *Table) dropBeyond(list []*Peer, limit int, compare func(a, b *Peer) int) {
+	if len(list) <= limit {
 		return
 	}
-	slices.SortFunc(list, order)
-	for _, peer := range list[most:] {
+	slices.SortFunc(list, compare)
+	for _, peer := range list[limit:] {
 		delete(t.peers, peer.Control)
 	}
 }
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -1,27 +1,26 @@
-// Package snapshot keeps which back ends there are in the platform's store, beside the entries that these
-// write themselves: when those lapse in an outage and all balancers lose what they knew as well, the
-// snapshot says who was there before.
+// Package snapshot stores a copy of the set of back ends in the platform's store, next to the
+// entries that the back ends write themselves. If those expire in an outage of the store and all
+// balancers lose their state as well, the snapshot lists the back ends that were there before.
 //
-// Terms: a part is one entry of the store, with the back ends whose identifiers hash to it; the writer is
-// the balancer that writes parts. Each part stands by itself: a reader that finds parts of different times
-// believes nothing wrong by it, since each back end has the store's revision of its own entry. A part has a
-// version of its format and a checksum.
+// A part is one entry of the store, with the back ends whose identifiers hash to it, a format
+// version and a checksum. The writer is the balancer that writes parts. A reader may combine parts
+// of different times, since each back end carries the store's revision of its own entry.
 //
-// The package is pure: no clock, no calls. It decides what is written and when, and what is believed; who
-// may believe it for how long is package directory's.
+// The package does no I/O and reads no clock. It decides what is written and when, and which parts
+// are valid. Package directory decides who may use the result and for how long.
 //
 // # Usage
 //
 //	var w snapshot.Writer
-//	w.Heard(parts)                                // what a listing found
-//	w.Changed()                                   // membership or draining changed
-//	if w.Due(state) {
-//		write, err := w.Next(count, records)      // make the call, nothing to do where it has no parts
-//		w.Done(now, write, snapshot.Outcome{...}) // whatever came of it
+//	w.Observe(parts)                             // what a listing found
+//	w.MarkChanged()                              // membership or draining changed
+//	if w.Due(conditions) {
+//		write, err := w.Next(count, records)      // send it to the store unless it has no parts
+//		w.Done(now, write, snapshot.Outcome{...}) // whatever the outcome
 //	}
 //
-//	read := snapshot.Read(parts)                  // after a listing
-//	missing := read.Missing(listed)               // whom to believe in for a moment
+//	read := snapshot.Read(parts)                 // after a listing
+//	missing := read.Missing(listed)              // back ends to use for a limited time
 package snapshot
 
 import (
@@ -41,20 +40,20 @@
 )
 
 const (
-	// format is the version of the format, the first byte of a part. Others are refused: the next write
-	// replaces them, seconds after the first balancer of this version leads.
+	// format is the version of the format, the first byte of a part. Parts of other versions are
+	// rejected; the next write replaces them.
 	format = 2
-	// checksumBytes is the length of the checksum at the end.
+	// checksumBytes is the length of the checksum at the end of a part.
 	checksumBytes = 8
-	// perPart is how many back ends a part has at most, on average: about 31 kB, far below what a store's
-	// entry may have, and little to write anew for one that changed.
-	perPart = 1024
-	// MaxParts is how many parts there are at most: enough for a million back ends.
+	// backendsPerPart is the maximum mean number of back ends in a part. It keeps a part, of about
+	// 31 kB, far below a store's limit for one entry, and a change cheap to write.
+	backendsPerPart = 1024
+	// MaxParts is the maximum number of parts, enough for a million back ends.
 	MaxParts = 1024
 )
 
-// errPart is the class of what is wrong with a part.
-var errPart = errs.Class("snapshot part")
+// errInvalidPart is the class of errors about a part's content.
+var errInvalidPart = errs.Class("snapshot part")
 
 // Stored is a part as the store holds it.
 type Stored struct {
@@ -63,106 +62,109 @@
 	Revision uint64
 }
 
-// content is what a part says. Names are told once.
+// content is the encoded form of a part, with each name once. Structures are encoded as arrays: the
+// order of fields is part of the format.
 type content struct {
 	Part, Parts   int
 	Groups, Zones []string
 	Backends      []backend
 }
 
-// backend is one that took new flows when the part was written.
+// backend is a back end that accepted new flows when the part was written.
 type backend struct {
 	ID          uint64
 	Revision    uint64
 	Address     netip.AddrPort
 	Group, Zone int
 	Slots       int
-	Born        directory.Birth
+	StartTime   directory.Birth
 }
 
-// partsFor returns in how many parts back ends are divided, a power of two.
-func partsFor(count int) int {
-	return min(MaxParts, 1<<bits.Len(uint(max(count-1, 0)/perPart)))
+// partCountFor returns the number of parts, a power of two, for a number of back ends.
+func partCountFor(count int) int {
+	return min(MaxParts, 1<<bits.Len(uint(max(count-1, 0)/backendsPerPart)))
 }
 
-// partOf returns the part of a back end.
+// partOf returns the part that a back end belongs to. parts is a power of two.
 func partOf(id settings.BackendID, parts int) int {
 	var bytes [8]byte
 	binary.BigEndian.PutUint64(bytes[:], uint64(id))
 	return int(xxh3.Hash(bytes[:]) & uint64(parts-1))
 }
 
-// encode returns a part with the back ends, which are in order of identifier: equal ones are encoded alike.
+// encode returns a part with the given back ends, which are in order of identifier, so that equal
+// sets have equal encodings.
 func encode(part, parts int, records []directory.Record) ([]byte, error) {
-	written := content{Part: part, Parts: parts, Backends: make([]backend, len(records))}
+	encoded := content{Part: part, Parts: parts, Backends: make([]backend, len(records))}
 	groups, zones := codec.Names{}, codec.Names{}
 	for i := range records {
 		b := &records[i].Backend
-		written.Backends[i] = backend{
-			ID: uint64(b.ID), Revision: records[i].Revision, Address: b.Address, Slots: b.Slots, Born: b.Born,
-			Group: groups.Index(&written.Groups, b.Group), Zone: zones.Index(&written.Zones, b.Zone),
+		encoded.Backends[i] = backend{
+			ID: uint64(b.ID), Revision: records[i].Revision, Address: b.Address, Slots: b.Slots, StartTime: b.Born,
+			Group: groups.Index(&encoded.Groups, b.Group), Zone: zones.Index(&encoded.Zones, b.Zone),
 		}
 	}
 	var buffer bytes.Buffer
 	buffer.WriteByte(format)
 	encoder := msgpack.NewEncoder(&buffer)
-	// Names of fields would be most of a part.
+	// Field names would take up most of a part.
 	encoder.UseArrayEncodedStructs(true)
-	if err := encoder.Encode(&written); err != nil {
-		return nil, errPart.Wrap(err)
+	if err := encoder.Encode(&encoded); err != nil {
+		return nil, errInvalidPart.Wrap(err)
 	}
-	return sealed(buffer.Bytes()), nil
+	return appendChecksum(buffer.Bytes()), nil
 }
 
-// sealed returns a body with its checksum.
-func sealed(body []byte) []byte {
+// appendChecksum returns a copy of the body followed by its checksum.
+func appendChecksum(body []byte) []byte {
 	return binary.BigEndian.AppendUint64(body[:len(body):len(body)], xxh3.Hash(body))
 }
 
-// decode reads a part and says what is wrong with one that is torn, of another format or not ours.
+// decode decodes and validates a part. It returns an error for one that is truncated, corrupted or
+// of another format.
 func decode(value []byte) (*content, error) {
 	if len(value) < 1+checksumBytes {
-		return nil, errPart.New("%d bytes are too few", len(value))
+		return nil, errInvalidPart.New("%d bytes are too short for a part", len(value))
 	}
 	if value[0] != format {
-		return nil, errPart.New("format %d is not %d", value[0], format)
+		return nil, errInvalidPart.New("unsupported format %d, want %d", value[0], format)
 	}
 	body := value[:len(value)-checksumBytes]
 	if binary.BigEndian.Uint64(value[len(body):]) != xxh3.Hash(body) {
-		return nil, errPart.New("the checksum is wrong")
+		return nil, errInvalidPart.New("checksum mismatch")
 	}
-	read := &content{}
-	if err := codec.Unmarshal(body[1:], read); err != nil {
-		return nil, errPart.Wrap(err)
+	decoded := &content{}
+	if err := codec.Unmarshal(body[1:], decoded); err != nil {
+		return nil, errInvalidPart.Wrap(err)
 	}
-	return read, errPart.Wrap(read.check())
+	return decoded, errInvalidPart.Wrap(decoded.check())
 }
 
-// check tells what contradicts itself.
+// check returns an error for values that are out of range or contradict each other.
 func (c *content) check() error {
 	if c.Parts < 1 || c.Parts > MaxParts || bits.OnesCount(uint(c.Parts)) != 1 || c.Part < 0 || c.Part >= c.Parts {
-		return fmt.Errorf("part %d of %d", c.Part, c.Parts)
+		return fmt.Errorf("part number %d is out of range for %d parts", c.Part, c.Parts)
 	}
 	for i := range c.Backends {
 		b := &c.Backends[i]
 		switch {
 		case b.Group < 0 || b.Group >= len(c.Groups) || b.Zone < 0 || b.Zone >= len(c.Zones):
-			return fmt.Errorf("back end %x has no name of a group or zone", b.ID)
+			return fmt.Errorf("back end %x has a group or zone index out of range", b.ID)
 		case !b.Address.IsValid() || b.Slots < 0:
-			return fmt.Errorf("back end %x has the address %v and %d slots", b.ID, b.Address, b.Slots)
+			return fmt.Errorf("back end %x has an invalid address or slot count: %v, %d", b.ID, b.Address, b.Slots)
 		case partOf(settings.BackendID(b.ID), c.Parts) != c.Part:
-			return fmt.Errorf("back end %x is in part %d", b.ID, c.Part)
+			return fmt.Errorf("back end %x does not belong to part %d", b.ID, c.Part)
 		}
 	}
 	return nil
 }
 
-// records returns the back ends of a checked part.
+// records returns the back ends of a part that check accepted.
 func (c *content) records() []directory.Record {
 	records := make([]directory.Record, len(c.Backends))
 	for i, b := range c.Backends {
 		records[i] = directory.Record{Revision: b.Revision, Backend: directory.Backend{
-			ID: settings.BackendID(b.ID), Group: c.Groups[b.Group], Zone: c.Zones[b.Zone], Address: b.Address, Slots: b.Slots, Born: b.Born,
+			ID: settings.BackendID(b.ID), Group: c.Groups[b.Group], Zone: c.Zones[b.Zone], Address: b.Address, Slots: b.Slots, Born: b.StartTime,
 		}}
 	}
 	return records
--- a/internal/virtual/clock.go
+++ b/internal/virtual/clock.go
@@ -1,6 +1,5 @@
-// Package virtual is the clock of the emulators: events that happen in order of
-// virtual time in one goroutine, and a seeded source of chance. Equal seeds give
-// equal runs.
+// Package virtual provides the clock of the emulators. Events run in order of virtual time in one
+// goroutine, and randomness comes from one seeded generator, so that equal seeds give equal runs.
 package virtual
 
 import (
@@ -12,23 +11,23 @@
 // seedStream is the second half of the generator's seed, fixed for all runs.
 const seedStream = 0x6761756765
 
-// Clock orders events by virtual time; events at one time happen in the order in
-// which they were made.
+// Clock runs events in order of virtual time. Events at the same time run in the order in which
+// they were scheduled.
 type Clock struct {
 	// Now is the virtual time since the start of the run.
 	Now time.Duration
-	// Random is the run's only source of chance.
+	// Random is the run's only source of randomness.
 	Random   *rand.Rand
 	queue    eventQueue
 	sequence uint64
 }
 
-// New returns a clock at 0 with chance from the seed.
+// New returns a clock at time 0 with a generator seeded by seed.
 func New(seed uint64) Clock {
 	return Clock{Random: rand.New(rand.NewPCG(seed, seedStream))}
 }
 
-// event is something that happens at a virtual time.
+// event is a function scheduled for a virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -63,24 +62,24 @@
 	return last
 }
 
-// After runs a function when delay has passed.
+// After schedules a function to run after delay; a negative delay counts as 0.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{c.Now + max(delay, 0), c.sequence, run})
 }
 
-// At runs a function at a time from the start of the run.
+// At schedules a function for a time since the start of the run; a time in the past counts as now.
 func (c *Clock) At(when time.Duration, run func()) {
 	c.After(when-c.Now, run)
 }
 
-// Every runs a function now and then at each interval.
+// Every runs a function at once, and then at each interval.
 func (c *Clock) Every(interval time.Duration, run func()) {
 	run()
 	c.After(interval, func() { c.Every(interval, run) })
 }
 
-// RunUntil lets events happen until the time is reached.
+// RunUntil runs all events up to and including end, and sets the time to end.
 func (c *Clock) RunUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(event)
@@ -90,12 +89,12 @@
 	c.Now = end
 }
 
-// Chance returns true with the probability.
+// Chance returns true with the given probability.
 func (c *Clock) Chance(probability float64) bool {
 	return probability > 0 && c.Random.Float64() < probability
 }
 
-// Between returns a random duration in [low, high).
+// Between returns a random duration in [low, high), or low if the range is empty.
 func (c *Clock) Between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
