--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -34,7 +34,7 @@
 		Reply:     true,
 		Loads:     []peers.Load{{Tag: 11, Units: 12, Steady: 13, Answers: 14, Millis: 15}, {Tag: 16, Units: 17, Steady: 18, Answers: 19, Millis: 20}},
 		Failures:  []peers.Failure{{Tag: 21, Units: 22}, {Tag: 23, Units: 24}},
-		Baselines: []steering.Baseline{{Service: address(4), Length: 31, Time: 32, Usual: 33}, {Service: address(5), Length: 34, Time: 35, Usual: 36}},
+		Baselines: []steering.Baseline{{Service: address(4), Length: 31, Time: 32, FailureRate: 33}, {Service: address(5), Length: 34, Time: 35, FailureRate: 36}},
 		Doubted:   []settings.BackendID{41, 42},
 		Stalls:    []steering.Stall{{Backend: 51, Callers: 52, Silence: 53, Lost: 54}, {Backend: 55, Callers: 56, Silence: 57, Lost: 58}},
 		Full:      true,
@@ -73,7 +73,7 @@
 		Revision: 9, Settings: wireSettings(), Records: wireRecords(1),
 		Evacuations: []directory.Evacuation{{Zone: "a", Active: true, Revision: 11}, {Zone: "b", Active: false, Revision: 12}},
 		Unusable:    []directory.Gone{{ID: 13, Revision: 14}},
-		Departed:    wireRecords(21), Told: true, Lapsed: []settings.BackendID{21, 15},
+		Removed:     wireRecords(21), Told: true, Expired: []settings.BackendID{21, 15},
 	}
 }
 
@@ -86,7 +86,7 @@
 			{Path: "fonts", Key: settings.KeyRepeatable, Before: "true", After: ""},
 		}},
 		Records: wireRecords(41), Gone: []directory.Gone{{ID: 35, Revision: 36}, {ID: 37, Revision: 38}}, Unusable: []directory.Gone{{ID: 39, Revision: 40}},
-		Evacuations: []directory.Evacuation{{Zone: "c", Active: true, Revision: 43}}, Told: true, Lapsed: []settings.BackendID{35},
+		Evacuations: []directory.Evacuation{{Zone: "c", Active: true, Revision: 43}}, Told: true, Expired: []settings.BackendID{35},
 	}
 }
 
