--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,31 +27,31 @@
 )
 
 // ConnectionLimit is a back end's limit of concurrent flows and the balancers that share it.
-type Connections struct {
+type ConnectionLimit struct {
 	// Limit is the back end's limit of concurrent flows, 0 for none.
 	Limit int
 	// ZoneSize and FleetSize are the numbers of balancers in this balancer's zone and in the fleet, itself
 	// included.
-	Zone, Fleet int
+	ZoneSize, FleetSize int
 	// Local is set if the back end is in this balancer's zone.
 	Local bool
 }
 
 // share returns this balancer's share of the limit, in flows.
-func (c Connections) share() float64 {
+func (c ConnectionLimit) share() float64 {
 	if c.Local {
-		return localFraction * float64(c.Limit) / float64(max(c.Zone, 1))
+		return localFraction * float64(c.Limit) / float64(max(c.ZoneSize, 1))
 	}
-	return (1 - localFraction) * float64(c.Limit) / float64(max(c.Fleet, c.Zone, 1))
+	return (1 - localFraction) * float64(c.Limit) / float64(max(c.FleetSize, c.ZoneSize, 1))
 }
 
 // SoftLimitReached reports whether a balancer with own flows at the back end should prefer another one.
-func (c Connections) Avoids(own int) bool {
+func (c ConnectionLimit) SoftLimitReached(own int) bool {
 	return c.Limit > 0 && float64(own) >= c.share()
 }
 
 // HardLimitReached reports whether a balancer with own flows at the back end must send no more flows there.
-func (c Connections) Refuses(own int) bool {
+func (c ConnectionLimit) HardLimitReached(own int) bool {
 	share := c.share()
 	return c.Limit > 0 && float64(own) >= hardLimitFactor*share+hardLimitDeviations*math.Sqrt(share)
 }
--- a/internal/balancer/propose.go
+++ b/internal/balancer/propose.go
@@ -31,13 +31,13 @@
 		return
 	}
 	relay := Relay{
-		Kind:       RelayPropose,
-		Hops:       x.hops,
-		HeadCovers: complete,
-		Error:      kind,
-		Backend:    c.backendAddress(f),
-		Refusals:   refusalsOf(f, x.now),
-		Packet:     x.packet,
+		Kind:                 RelayPropose,
+		Hops:                 x.hops,
+		OwnerHistoryComplete: complete,
+		Error:                kind,
+		Backend:              c.backendAddress(f),
+		Refusals:             refusalsOf(f, x.now),
+		Packet:               x.packet,
 	}
 	if replaced := c.registry.get(f.PreviousBackend); replaced != nil {
 		relay.Replaces = replaced.address
--- a/internal/balancer/refuse.go
+++ b/internal/balancer/refuse.go
@@ -58,7 +58,7 @@
 	for _, exchange := range f.Refusals() {
 		if exchange.Until > now {
 			remaining := uint32((exchange.Until - now) / time.Millisecond)
-			refusals = append(refusals, Refusal{MessageID: exchange.MessageID, Kind: exchange.Kind, LeftMilliseconds: remaining})
+			refusals = append(refusals, Refusal{MessageID: exchange.MessageID, Kind: exchange.Kind, RemainingMilliseconds: remaining})
 		}
 	}
 	return refusals
@@ -71,7 +71,7 @@
 			MessageID: refusal.MessageID,
 			State:     flow.Refused,
 			Kind:      refusal.Kind,
-			Until:     now + time.Duration(refusal.LeftMilliseconds)*time.Millisecond,
+			Until:     now + time.Duration(refusal.RemainingMilliseconds)*time.Millisecond,
 		})
 	}
 }
--- a/internal/balancer/successor.go
+++ b/internal/balancer/successor.go
@@ -122,13 +122,13 @@
 		return false
 	}
 	complete := c.hasCompleteHistory(x)
-	if !relay.HeadCovers && !x.service.Repeatable && !complete {
+	if !relay.OwnerHistoryComplete && !x.service.Repeatable && !complete {
 		c.recordAmbiguous(x, f)
 		c.relay(x.pair.Owner, Relay{Kind: RelayAmbiguous, Hops: x.hops, Packet: x.packet}, x.effects)
 		return false
 	}
 	switch {
-	case f == nil || relay.HeadCovers && !complete:
+	case f == nil || relay.OwnerHistoryComplete && !complete:
 		return true
 	case complete && !listsAllRefusals(relay.Refusals, f):
 		// No node decided without this one, so its refusals remain valid.
@@ -146,7 +146,7 @@
 // own record does not suffice.
 func (c *Core) mayAcceptRefusal(x *exchangeContext, f *flow.Flow, relay *Relay) bool {
 	exchange := f.FindExchange(x.packet.MessageID)
-	return f.Backend == 0 || relay.HeadCovers || exchange != nil && exchange.State == flow.Refused
+	return f.Backend == 0 || relay.OwnerHistoryComplete || exchange != nil && exchange.State == flow.Refused
 }
 
 // returnRecord sends a datagram back to the owner with this node's record of the
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -245,7 +245,7 @@
 	Hops uint8
 	// OwnerHistoryComplete is set if the proposing owner has a complete history of
 	// the partition and has seen every request of the flow.
-	HeadCovers bool
+	OwnerHistoryComplete bool
 	// Backend is the back end that the flow is pinned to, or the zero value.
 	Backend netip.AddrPort
 	// Replaces is the earlier pin that a proposal replaces, or the zero value.
@@ -262,7 +262,7 @@
 	MessageID uint16
 	Kind      errkind.Kind
 	// RemainingMilliseconds is how long the refusal must still be retained.
-	LeftMilliseconds uint32
+	RemainingMilliseconds uint32
 }
 
 // Heartbeat reports to peers that the sender is live, and its settings revision.
--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -102,7 +102,7 @@
 func (s *Steerer) refusal(parts []*part) errkind.Kind {
 	for _, p := range parts {
 		for _, member := range s.view.Pool(p.group.Discover).Open {
-			if s.connectionsOf(p.group, member).Refuses(s.observed(member).flows) {
+			if s.connectionsOf(p.group, member).HardLimitReached(s.observed(member).flows) {
 				return errkind.ConnectionsFull
 			}
 		}
@@ -144,7 +144,7 @@
 		switch state := s.observed(member); {
 		case s.withholds(p.now, p.limit, member, state):
 			return PartWarmingUp
-		case s.connectionsOf(p.group, member).Avoids(state.flows):
+		case s.connectionsOf(p.group, member).SoftLimitReached(state.flows):
 			reason = PartFull
 		}
 	}
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -93,7 +93,7 @@
 // flowLimit returns how many flows this balancer places at a back end before it avoids it.
 func (f *fleet) flowLimit(group *settings.Group, member *directory.Member) int {
 	own := 0
-	for !f.steerer.connectionsOf(group, member).Avoids(own) {
+	for !f.steerer.connectionsOf(group, member).SoftLimitReached(own) {
 		own++
 	}
 	return own
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -44,17 +44,17 @@
 // filterConnections excludes back ends that have this balancer's share of the flows that they may
 // hold, and filterFull those that certainly hold the maximum.
 func filterConnections(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
-	return s.connectionsOf(p.group, member).Avoids(state.flows)
+	return s.connectionsOf(p.group, member).SoftLimitReached(state.flows)
 }
 
 func filterFull(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
-	return s.connectionsOf(p.group, member).Refuses(state.flows)
+	return s.connectionsOf(p.group, member).HardLimitReached(state.flows)
 }
 
 // connectionsOf returns the flow limit of one of the group's back ends and the numbers of balancers
 // that share it.
-func (s *Steerer) connectionsOf(group *settings.Group, member *directory.Member) admission.Connections {
-	return admission.Connections{Limit: group.Connections, Zone: s.own.zoneSize(), Fleet: s.own.fleetSize(), Local: member.Zone == s.config.Zone}
+func (s *Steerer) connectionsOf(group *settings.Group, member *directory.Member) admission.ConnectionLimit {
+	return admission.ConnectionLimit{Limit: group.Connections, ZoneSize: s.own.zoneSize(), FleetSize: s.own.fleetSize(), Local: member.Zone == s.config.Zone}
 }
 
 // checkSuspect reports whether new flows avoid a back end as suspect. Its silence is counted from
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -69,8 +69,8 @@
 func TestPeerMessageKeepsItsDatagram(t *testing.T) {
 	header, _ := RequestHeader(testFlow)
 	data := datagram(t, header, message.Message{Code: codes.POST, Type: message.Confirmable, MessageID: 9})
-	sent := &balancer.Message{From: 5, Relay: &balancer.Relay{Kind: balancer.RelayPropose, Hops: 2, HeadCovers: true, Backend: testBackend, Data: data,
-		Refusals: []balancer.Refusal{{MessageID: 3, Kind: errkind.SlotsFull, LeftMilliseconds: 10}}}}
+	sent := &balancer.Message{From: 5, Relay: &balancer.Relay{Kind: balancer.RelayPropose, Hops: 2, OwnerHistoryComplete: true, Backend: testBackend, Data: data,
+		Refusals: []balancer.Refusal{{MessageID: 3, Kind: errkind.SlotsFull, RemainingMilliseconds: 10}}}}
 	encoded, err := EncodeMessage(sent)
 	if err != nil {
 		t.Fatal(err)
