--- a/internal/edge/decision_log.go
+++ b/internal/edge/decision_log.go
@@ -16,7 +16,7 @@
 }
 
 // logDecision logs each decision on a flow. Packets of established flows that follow their tag are only counted.
-func (n *Node) logDecision(packet *steering.Packet, decision *steering.Verdict) {
+func (n *Node) logDecision(packet *steering.Packet, decision *steering.Decision) {
 	switch {
 	case decision.Action != steering.Forward:
 		n.logRefusal(packet, decision)
@@ -38,7 +38,7 @@
 	}
 }
 
-func (n *Node) logPlacement(packet *steering.Packet, decision *steering.Verdict) {
+func (n *Node) logPlacement(packet *steering.Packet, decision *steering.Decision) {
 	n.logFlow(&n.placementLines, "flow placed", "caller", packet.Flow.Caller, "service", packet.Flow.Service, "attempt", packet.Attempt,
 		"backend", backendName(decision.Backend.ID), "address", decision.Backend.Address, "spilled", decision.Spilled,
 		"part", string(decision.Part.Path), "part_reason", decision.PartReason.String(),
@@ -48,10 +48,10 @@
 // logObservations logs changes in the observed state of back ends.
 func (n *Node) logObservations(now time.Duration, events []steering.BackendEvent) {
 	for _, event := range events {
-		if event.Observation == steering.OutOfRotation {
+		if event.Observation == steering.Ejected {
 			n.metrics.outOfRotation.Inc()
 		}
-		if event.Observation == steering.OutOfRotation || event.Observation == steering.BackInRotation {
+		if event.Observation == steering.Ejected || event.Observation == steering.Restored {
 			n.log.Info(string(event.Observation), "backend", backendName(event.Backend), "failures", round(event.Failures), "revision", n.viewRevision.Load())
 			continue
 		}
@@ -65,7 +65,7 @@
 	return math.Round(load*10) / 10
 }
 
-func (n *Node) logRefusal(packet *steering.Packet, decision *steering.Verdict) {
+func (n *Node) logRefusal(packet *steering.Packet, decision *steering.Decision) {
 	message := "packet dropped"
 	if decision.Action == steering.Refuse {
 		message = "flow refused"
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -78,8 +78,8 @@
 	now := n.now()
 	hello, targets := n.hello(now), n.peers.Everyone(now)
 	n.steeringMutex.Lock()
-	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
+	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
+	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	n.steeringMutex.Unlock()
 	n.stateMutex.Unlock()
@@ -140,11 +140,11 @@
 func (n *Node) completeHello(now time.Duration, hello *peers.Hello) {
 	n.steeringMutex.Lock()
 	defer n.steeringMutex.Unlock()
-	n.steerer.SetOthersLoad(n.peers.Loads(now))
-	n.steerer.SetPlace(n.peers.OwnPlace(now))
+	n.steerer.SetPeerLoads(n.peers.Loads(now))
+	n.steerer.SetMembership(n.peers.OwnPlace(now))
 	hello.Others, hello.Full = n.peers.Sample(now), true
-	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
+	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
+	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	hello.Baselines = n.steerer.Baselines(peers.MaxBaselines)
 	hello.Loads = peers.LoadsOf(n.steerer.RecentLoad(peers.MaxLoads))
@@ -222,10 +222,10 @@
 		n.stopCall()
 	}
 	n.steeringMutex.Lock()
-	n.steerer.SetOthersDoubts(now, hello.Doubted)
-	n.steerer.HearBaselines(hello.Baselines)
+	n.steerer.ReceiveSuspects(now, hello.Doubted)
+	n.steerer.ReceiveBaselines(hello.Baselines)
 	if loads != nil {
-		n.steerer.SetOthersLoad(loads)
+		n.steerer.SetPeerLoads(loads)
 	}
 	n.steeringMutex.Unlock()
 	n.receiveUnresponsive(now, hello)
--- a/internal/edge/hello_test.go
+++ b/internal/edge/hello_test.go
@@ -30,7 +30,7 @@
 		hello.Doubted = append(hello.Doubted, settings.BackendID(math.MaxUint64))
 	}
 	for range peers.MaxStalls {
-		hello.Stalls = append(hello.Stalls, steering.Stall{Backend: math.MaxUint64, Callers: 8, Silence: long, Lost: 2 * time.Second})
+		hello.Stalls = append(hello.Stalls, steering.UnresponsiveReport{Backend: math.MaxUint64, Callers: 8, Silence: long, Down: 2 * time.Second})
 	}
 	for range peers.MaxBaselines {
 		hello.Baselines = append(hello.Baselines, steering.Baseline{})
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -173,10 +173,10 @@
 
 func steeringConfig(config *Config) steering.Config {
 	return steering.Config{
-		Zone:       config.Zone,
-		FlowLife:   config.Bounds.FlowLife,
-		LapseGrace: config.Bounds.Drain / 2,
-		MaxFlows:   maxFlows,
+		Zone:         config.Zone,
+		FlowLife:     config.Bounds.FlowLife,
+		RemovalGrace: config.Bounds.Drain / 2,
+		MaxFlows:     maxFlows,
 
 		WarmUpOvershoot: config.Bounds.WarmUpOvershoot,
 		WarmUpSlack:     config.Bounds.WarmUpSlack,
--- a/internal/edge/observations.go
+++ b/internal/edge/observations.go
@@ -20,7 +20,7 @@
 
 // takeObservations takes the pending observations from the steerer. The steering mutex must be held.
 func (n *Node) takeObservations() observations {
-	return observations{n.steerer.TakeEvents(), n.steerer.TakeResets(), n.steerer.TakeAlarm(), n.steerer.TakeInquiries()}
+	return observations{n.steerer.TakeEvents(), n.steerer.TakeResets(), n.steerer.TakeUrgentReport(), n.steerer.TakeInquiries()}
 }
 
 // handleObservations logs observations, resets flows at back ends that are down, and requests reports and
@@ -54,7 +54,7 @@
 		n.logFlow(&n.exceptionLines, "flow sought", "caller", inquiry.Flow.Caller, "service", inquiry.Flow.Service)
 	}
 	n.queueInquiries(inquiries)
-	time.AfterFunc(steering.InquiryRepeat, func() { n.queueInquiries(inquiries) })
+	time.AfterFunc(steering.InquiryResendDelay, func() { n.queueInquiries(inquiries) })
 }
 
 // queueInquiries queues inquiries for the goroutine that sends hellos. They are dropped if its queue is full.
@@ -71,7 +71,7 @@
 		return
 	}
 	n.steeringMutex.Lock()
-	n.steerer.HearLocations(now, hello.Locations)
+	n.steerer.ReceiveLocations(now, hello.Locations)
 	locations := n.steerer.Locate(now, hello.Inquiries)
 	n.steeringMutex.Unlock()
 	for _, location := range hello.Locations {
@@ -99,7 +99,7 @@
 		return
 	}
 	n.steeringMutex.Lock()
-	n.steerer.HearStalls(now, hello.Control, hello.Stalls)
+	n.steerer.ReceiveUnresponsive(now, hello.Control, hello.Stalls)
 	observed := n.takeObservations()
 	n.steeringMutex.Unlock()
 	n.handleObservations(now, &observed, make([]byte, maxDatagram))
--- a/internal/edge/startup_queue.go
+++ b/internal/edge/startup_queue.go
@@ -54,7 +54,7 @@
 }
 
 // queueable reports whether a dropped packet may be queued until more state is known.
-func queueable(decision *steering.Verdict) bool {
+func queueable(decision *steering.Decision) bool {
 	return decision.Action == steering.Drop && (decision.Reason == errkind.NotReady || decision.Reason == errkind.UnknownTag)
 }
 
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -36,7 +36,7 @@
 		Failures:  []peers.Failure{{Tag: 21, Units: 22}, {Tag: 23, Units: 24}},
 		Baselines: []steering.Baseline{{Service: address(4), Length: 31, Time: 32, FailureRate: 33}, {Service: address(5), Length: 34, Time: 35, FailureRate: 36}},
 		Doubted:   []settings.BackendID{41, 42},
-		Stalls:    []steering.Stall{{Backend: 51, Callers: 52, Silence: 53, Lost: 54}, {Backend: 55, Callers: 56, Silence: 57, Lost: 58}},
+		Stalls:    []steering.UnresponsiveReport{{Backend: 51, Callers: 52, Silence: 53, Down: 54}, {Backend: 55, Callers: 56, Silence: 57, Down: 58}},
 		Full:      true,
 		Capacity:  5,
 		Inquiries: []steering.Inquiry{{Flow: key(6), Acknowledged: 61, Backend: 62}, {Flow: key(8), Acknowledged: 63, Backend: 64}},
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -128,7 +128,7 @@
 	n.directory.SetInterval(heartbeat)
 	n.directory.SetLapse(directory.LapseWithin(contactBound, drainBound))
 	n.steerer = steering.New(steering.Config{
-		Zone: n.zone, FlowLife: flowLife, LapseGrace: drainBound / 2,
+		Zone: n.zone, FlowLife: flowLife, RemovalGrace: drainBound / 2,
 		WarmUpOvershoot: warmUpOvershoot, WarmUpSlack: warmUpSlack,
 		Mechanisms: steering.Mechanisms{
 			NoCopyMemory:  w.options.Without.CopyMemory,
@@ -294,7 +294,7 @@
 	}
 }
 
-func verdictServer(verdict *steering.Verdict) string {
+func verdictServer(verdict *steering.Decision) string {
 	if verdict.Backend == nil {
 		return "nobody"
 	}
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -90,8 +90,8 @@
 			n.peers.Introduce(now, peers.Introduction{Control: n.world.nodes[i].control})
 		}
 	}
-	n.steerer.SetOthersLoad(n.peers.Loads(now))
-	n.steerer.SetPlace(n.peers.OwnPlace(now))
+	n.steerer.SetPeerLoads(n.peers.Loads(now))
+	n.steerer.SetMembership(n.peers.OwnPlace(now))
 	for _, target := range n.peers.Round(now, len(n.steerer.RecentLoad(peers.MaxLoads))) {
 		n.helloTo(target)
 	}
@@ -114,8 +114,8 @@
 	now := n.now()
 	hello := n.hello()
 	hello.Others, hello.Reply, hello.Full = n.peers.Sample(now), target.Reply, true
-	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
+	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
+	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	hello.Baselines = n.steerer.Baselines(peers.MaxBaselines)
 	hello.Loads = peers.LoadsOf(n.steerer.RecentLoad(peers.MaxLoads))
@@ -142,12 +142,12 @@
 			n.world.send(n.zone, "", func() { c.reset(nil) })
 		}
 	}
-	if n.steerer.TakeAlarm() {
+	if n.steerer.TakeUrgentReport() {
 		n.sendAlarm()
 	}
 	if inquiries := n.steerer.TakeInquiries(); inquiries != nil {
 		n.inquire(inquiries)
-		n.whileRunning(steering.InquiryRepeat, func() { n.inquire(inquiries) })
+		n.whileRunning(steering.InquiryResendDelay, func() { n.inquire(inquiries) })
 	}
 }
 
@@ -166,7 +166,7 @@
 
 // heardInquiries answers what another balancer asks of flows, and takes over what it answers.
 func (n *node) heardInquiries(hello *peers.Hello) {
-	n.steerer.HearLocations(n.now(), hello.Locations)
+	n.steerer.ReceiveLocations(n.now(), hello.Locations)
 	for _, location := range hello.Locations {
 		n.traceFlow(location.Flow, "balancer %s hears from %s that it rests at %s", n.control, hello.Control, idText(location.Backend))
 	}
@@ -188,8 +188,8 @@
 func (n *node) sendAlarm() {
 	now := n.now()
 	hello := n.hello()
-	hello.Doubted = n.steerer.Doubted(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.Stalls(now, peers.MaxStalls)
+	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
+	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	for _, target := range n.peers.Everyone(now) {
 		n.sendHello(target.Control, hello)
@@ -206,9 +206,9 @@
 	if n.peers == nil {
 		return
 	}
-	n.steerer.SetOthersDoubts(n.now(), hello.Doubted)
-	n.steerer.HearBaselines(hello.Baselines)
-	n.steerer.HearStalls(n.now(), hello.Control, hello.Stalls)
+	n.steerer.ReceiveSuspects(n.now(), hello.Doubted)
+	n.steerer.ReceiveBaselines(hello.Baselines)
+	n.steerer.ReceiveUnresponsive(n.now(), hello.Control, hello.Stalls)
 	n.heardInquiries(hello)
 	n.actOnObservations()
 	if n.lag.Note(n.now(), n.directory.Revision(), hello.Revision) && n.giveUp != nil {
@@ -220,7 +220,7 @@
 	}
 	isNew := n.peers.Heard(n.now(), hello)
 	if len(hello.Failures) > 0 {
-		n.steerer.SetOthersLoad(n.peers.Loads(n.now()))
+		n.steerer.SetPeerLoads(n.peers.Loads(n.now()))
 	}
 	if isNew || hello.Reply {
 		reply := n.hello()
--- a/internal/peers/capacity_test.go
+++ b/internal/peers/capacity_test.go
@@ -244,7 +244,7 @@
 	_, uniform := mixedFleet(100, 1)
 	for control, table := range mixed {
 		got, want := table.Neighbours(0), uniform[control].Neighbours(0)
-		if got.Own != want.Own || !slices.Equal(got.Live, want.Live) || got.Bounded != want.Bounded {
+		if got.Own != want.Own || !slices.Equal(got.Live, want.Live) || got.Truncated != want.Truncated {
 			t.Fatalf("neighbours of %v differ by capacity", control)
 		}
 	}
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -45,7 +45,7 @@
 	Doubted []settings.BackendID
 	// UnresponsiveReports are about back ends that leave callers without a response, at the sender
 	// or elsewhere.
-	Stalls []steering.Stall
+	Stalls []steering.UnresponsiveReport
 	// Full is set if the hello has loads and introductions. Others carry in few bytes what changes
 	// quickly.
 	Full bool
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -272,7 +272,7 @@
 		}
 		known++
 	}
-	neighbours.Bounded = known >= maxZonePeers
+	neighbours.Truncated = known >= maxZonePeers
 	slices.Sort(neighbours.Live)
 	return neighbours
 }
@@ -296,10 +296,10 @@
 
 // Membership returns what the placement of flows depends on: this balancer's position, the
 // estimated sizes of its zone and the fleet, and its neighbours.
-func (t *Table) OwnPlace(now time.Duration) steering.Place {
+func (t *Table) OwnPlace(now time.Duration) steering.Membership {
 	index, zoneCount, fleetCount := t.Place(now)
 	zoneSize, fleetSize := t.Sizes(now)
-	return steering.Place{Index: index, Count: zoneCount, Fleet: fleetCount, ZoneSize: zoneSize, FleetSize: fleetSize, Zone: t.Neighbours(now)}
+	return steering.Membership{Index: index, Count: zoneCount, Fleet: fleetCount, ZoneSize: zoneSize, FleetSize: fleetSize, Neighbours: t.Neighbours(now)}
 }
 
 func (t *Table) countZonePeers(peers []*Peer) int {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -422,7 +422,7 @@
 	}
 	table.Introduce(0, Introduction{Control: address(9), Zone: "a"})
 	neighbours := table.Neighbours(time.Second)
-	if neighbours.Own != uint64(HashOf(address(0))) || len(neighbours.Live) != 2 || neighbours.Silent != 1 || neighbours.Bounded {
+	if neighbours.Own != uint64(HashOf(address(0))) || len(neighbours.Live) != 2 || neighbours.Silent != 1 || neighbours.Truncated {
 		t.Errorf("%+v", neighbours)
 	}
 	if neighbours = table.Neighbours(2 * aliveTimeout); len(neighbours.Live) != 0 || neighbours.Silent != 3 {
@@ -431,7 +431,7 @@
 	for i := range 2 * maxZonePeers {
 		table.Heard(0, &Hello{Control: address(20 + i), Zone: "a", Started: 1})
 	}
-	if neighbours = table.Neighbours(0); !neighbours.Bounded {
+	if neighbours = table.Neighbours(0); !neighbours.Truncated {
 		t.Errorf("zone larger than the table: %+v", neighbours)
 	}
 }
--- a/internal/peers/round.go
+++ b/internal/peers/round.go
@@ -166,9 +166,9 @@
 	if len(p.loads) == 0 || now-p.loadsAt > loadLifetime {
 		return
 	}
-	decay := steering.FadingOver(now - p.loadsAt)
+	decay := steering.DecayOver(now - p.loadsAt)
 	for _, load := range p.loads {
-		loads[load.Tag] = loads[load.Tag].Plus(load.toSteering().Faded(decay))
+		loads[load.Tag] = loads[load.Tag].Plus(load.toSteering().Decayed(decay))
 	}
 }
 
@@ -178,9 +178,9 @@
 	if len(p.failures) == 0 {
 		return
 	}
-	decay := steering.FadingOver(now - p.failuresAt)
+	decay := steering.DecayOver(now - p.failuresAt)
 	for _, failure := range p.failures {
 		failed := steering.Load{Failures: float64(failure.Units) * LoadUnit}
-		loads[failure.Tag] = loads[failure.Tag].Plus(failed.Faded(decay))
+		loads[failure.Tag] = loads[failure.Tag].Plus(failed.Decayed(decay))
 	}
 }
--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -12,24 +12,24 @@
 	// minUnansweredFlows is the minimum number of unanswered flows in a row that make a back end
 	// silent, and silentFalsePositiveRate the accepted probability that packet loss alone explains
 	// them: copies of opening packets leave a silent back end, and a healthy one answers as well.
-	silentFlows    = 2
-	silentByChance = 1e-3
+	minUnansweredFlows      = 2
+	silentFalsePositiveRate = 1e-3
 	// initialSilentPeriod is how long a silent back end gets no new flows. It doubles with each
 	// renewal, up to maxAvoidPeriod.
-	suspectTime    = 2 * time.Second
-	maxAvoidPeriod = 8 * time.Second
+	initialSilentPeriod = 2 * time.Second
+	maxAvoidPeriod      = 8 * time.Second
 	// openingAnswerTimeout is how long a back end may take to answer an opening packet before it
 	// becomes suspect.
-	answerTime = 60 * time.Millisecond
+	openingAnswerTimeout = 60 * time.Millisecond
 	// initialSuspectPeriod is how long new flows avoid a suspect back end, unless it responds. It
 	// doubles with each renewal, up to maxAvoidPeriod.
-	doubtTime = 500 * time.Millisecond
+	initialSuspectPeriod = 500 * time.Millisecond
 	// recentResponseWindow is how long a response outweighs reports that the back end is suspect.
 	recentResponseWindow = 250 * time.Millisecond
 	// recentDecay is the factor by which counts of recent events shrink per second.
 	recentDecay = 0.7
 	// requestFailureCost is the load, in requests, of an unanswered request.
-	faultCost = 12
+	requestFailureCost = 12
 	// The request failure state begins at requestFailuresHigh unanswered requests, decayed, and
 	// ends below requestFailuresLow.
 	requestFailuresHigh = 1.5
@@ -41,8 +41,8 @@
 	id settings.BackendID
 	// born identifies the start of the back end that the state belongs to. Reports received before
 	// ignoreReportsUntil may refer to an earlier start.
-	born      directory.Birth
-	deafUntil time.Duration
+	born               directory.Birth
+	ignoreReportsUntil time.Duration
 	// events are not yet taken by the driver.
 	events *[]BackendEvent
 	// flows counts those that the caller has not closed, and opening those that have not opened
@@ -56,20 +56,20 @@
 	recent float64
 	others Load
 	// steady counts requests over the last steadySpan seconds, decaying.
-	steady, spanned float64
+	steady, steadySpan float64
 	// recentPlaced is the part of recent that began with a flow placed here.
 	recentPlaced float64
 	// placed counts flows placed here within about placedWindow, decayed as of placedAt.
 	placed   float64
 	placedAt time.Duration
 	// requestFailures counts recent requests that the back end left unanswered, decaying.
-	faults float64
+	requestFailures float64
 	// failures counts recent answers that look like failures, decaying. failureEvidence is the
 	// evidence from answers through this balancer that the back end fails.
 	failures, failureEvidence float64
 	// failingRequests is set while there are many request failures. ejected is set while failures
 	// through all balancers keep the back end out of rotation.
-	faulty, out bool
+	failingRequests, ejected bool
 	// answers are the recent answers through this balancer, except those during warm-up, from which
 	// pool learns.
 	answers answers
@@ -78,9 +78,9 @@
 	// clearly higher.
 	slowness float64
 	// probing is set while a flow probes whether a slow back end has recovered.
-	trial bool
+	probing bool
 	// lastResponse is when the back end last responded, 0 if never.
-	progress time.Duration
+	lastResponse time.Duration
 	// unansweredFlows counts flows left unanswered since lastResponse.
 	unansweredFlows int
 	// unansweredSince is when the first opening packet without a response was sent, 0 for none.
@@ -88,22 +88,22 @@
 	// warmUpNext is the earliest time for another new flow from this balancer during warm-up.
 	warmUpNext time.Duration
 	// suspectUntil is the end of the current suspect period, and suspectPeriod its length.
-	doubtUntil, doubt time.Duration
+	suspectUntil, suspectPeriod time.Duration
 	// reportedSuspectUntil is the end of a suspect period that another balancer reported.
-	heardDoubtUntil time.Duration
+	reportedSuspectUntil time.Duration
 	// unansweredCallers are the callers that retransmitted data without a response since
 	// lastResponse, the last of them at lastUnansweredAt. reports are those of other balancers. The
 	// back end is down until downUntil.
 	unansweredCallers []netip.Addr
 	lastUnansweredAt  time.Duration
 	reports           []receivedReport
-	lostUntil         time.Duration
+	downUntil         time.Duration
 	// ended is set once another back end has started at the address. Until idleResetUntil, the idle
 	// flows have already been reset for the current down period.
 	ended          bool
 	idleResetUntil time.Duration
 	// silentUntil is the end of the current silent period, and silentPeriod its length.
-	suspectUntil, silentPeriod time.Duration
+	silentUntil, silentPeriod time.Duration
 }
 
 // stateOf returns the state of a back end, and creates it if there is none.
@@ -117,51 +117,51 @@
 
 // observedState returns the state of a back end for reading only. Unobserved back ends share a
 // blank state per pool, which saves memory in large fleets.
-func (s *Steerer) observed(member *directory.Member) *backendState {
+func (s *Steerer) observedState(member *directory.Member) *backendState {
 	if state := s.backends[member.ID]; state != nil {
 		return state
 	}
 	pool := s.poolOf(member.Group)
-	if pool.blank == nil {
-		pool.blank = &backendState{pool: pool, slowness: 1, events: &s.events}
+	if pool.unobserved == nil {
+		pool.unobserved = &backendState{pool: pool, slowness: 1, events: &s.events}
 	}
-	return pool.blank
+	return pool.unobserved
 }
 
 func (s *Steerer) newState(member *directory.Member) *backendState {
-	state := &backendState{id: member.ID, born: member.Born, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, spanned: s.firstSpan(member)}
+	state := &backendState{id: member.ID, born: member.Born, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
 	s.backends[member.ID] = state
 	if member.Gone {
-		s.departed[member.ID] = state
+		s.removed[member.ID] = state
 	}
 	return state
 }
 
 // recordEvent adds an observation for the log.
-func (b *backendState) note(observation Observation, silence, until time.Duration) {
+func (b *backendState) recordEvent(observation Observation, silence, until time.Duration) {
 	*b.events = append(*b.events, BackendEvent{Observation: observation, Backend: b.id, Silence: silence, Until: until})
 }
 
-func (b *backendState) join(rec *record) {
+func (b *backendState) addRecord(rec *record) {
 	if !rec.closed {
 		b.flows++
 	}
 	if rec.opening {
 		b.opening++
 	}
-	if rec.waiting {
+	if rec.requestPending {
 		b.active++
 	}
 }
 
-func (b *backendState) leave(rec *record) {
+func (b *backendState) removeRecord(rec *record) {
 	if !rec.closed {
 		b.flows--
 	}
 	if rec.opening {
 		b.opening--
 	}
-	if rec.waiting {
+	if rec.requestPending {
 		b.active--
 	}
 }
@@ -170,34 +170,34 @@
 // towards the warm-up slowdown of the pool.
 func (b *backendState) recordAnswer(now, latency time.Duration, cold bool) {
 	b.active--
-	b.pool.rest.noteAnswer(now)
+	b.pool.cooldown.noteAnswer(now)
 	if cold {
-		b.pool.noteCold(latency)
+		b.pool.noteWarmUpLatency(latency)
 		return
 	}
-	if b.trial && b.pool.usual > 0 {
-		b.setSlowness(latency.Seconds() / b.pool.usual)
+	if b.probing && b.pool.typicalLatency > 0 {
+		b.setSlowness(latency.Seconds() / b.pool.typicalLatency)
 	}
-	b.trial = false
+	b.probing = false
 	b.answers.add(now, latency)
 }
 
 // recordResponse records that the back end responded, and clears its suspect, silent and down
 // states.
-func (b *backendState) noteProgress(now time.Duration) {
-	if b.doubt > 0 || b.silentPeriod > 0 || b.lostUntil > 0 {
-		b.note(Responding, now-b.progress, 0)
+func (b *backendState) recordResponse(now time.Duration) {
+	if b.suspectPeriod > 0 || b.silentPeriod > 0 || b.downUntil > 0 {
+		b.recordEvent(Responding, now-b.lastResponse, 0)
 	}
-	b.progress = now
+	b.lastResponse = now
 	b.unansweredFlows = 0
-	b.pool.noteRepeated(len(b.unansweredCallers))
-	b.unansweredCallers, b.lostUntil, b.idleResetUntil = b.unansweredCallers[:0], 0, 0
-	b.suspectUntil, b.silentPeriod = 0, 0
-	b.unansweredSince, b.doubtUntil, b.doubt, b.heardDoubtUntil = 0, 0, 0, 0
+	b.pool.noteRetransmits(len(b.unansweredCallers))
+	b.unansweredCallers, b.downUntil, b.idleResetUntil = b.unansweredCallers[:0], 0, 0
+	b.silentUntil, b.silentPeriod = 0, 0
+	b.unansweredSince, b.suspectUntil, b.suspectPeriod, b.reportedSuspectUntil = 0, 0, 0, 0
 }
 
 // recordOpening records that an opening packet was sent.
-func (b *backendState) asked(now time.Duration) {
+func (b *backendState) recordOpening(now time.Duration) {
 	if b.unansweredSince == 0 {
 		b.unansweredSince = now
 	}
@@ -206,47 +206,47 @@
 // checkSuspect reports whether new flows avoid the back end because it has not answered an opening
 // packet in time, and starts a suspect period where it is due. Copies still go there, since a lost
 // packet looks the same. After the period a single flow may try the back end.
-func (b *backendState) doubted(now time.Duration) bool {
-	if now < b.doubtUntil || now < b.heardDoubtUntil {
+func (b *backendState) checkSuspect(now time.Duration) bool {
+	if now < b.suspectUntil || now < b.reportedSuspectUntil {
 		return true
 	}
 	if b.unansweredSince == 0 {
 		return false
 	}
-	if now-b.unansweredSince < answerTime {
-		return b.doubt > 0
+	if now-b.unansweredSince < openingAnswerTimeout {
+		return b.suspectPeriod > 0
 	}
 	silence := now - b.unansweredSince
 	b.unansweredSince = 0
-	b.doubt = min(max(doubtTime, 2*b.doubt), maxAvoidPeriod)
-	b.doubtUntil = now + b.doubt
-	b.note(Doubted, silence, b.doubtUntil)
+	b.suspectPeriod = min(max(initialSuspectPeriod, 2*b.suspectPeriod), maxAvoidPeriod)
+	b.suspectUntil = now + b.suspectPeriod
+	b.recordEvent(Suspect, silence, b.suspectUntil)
 	return true
 }
 
 // receiveSuspect records a report that the back end is suspect, unless it has responded here
 // recently.
-func (b *backendState) hearDoubt(now time.Duration) {
-	if b.deaf(now) {
+func (b *backendState) receiveSuspect(now time.Duration) {
+	if b.ignoresReports(now) {
 		return
 	}
-	if b.progress == 0 || now-b.progress > recentResponseWindow {
-		b.heardDoubtUntil = now + doubtTime
+	if b.lastResponse == 0 || now-b.lastResponse > recentResponseWindow {
+		b.reportedSuspectUntil = now + initialSuspectPeriod
 	}
 }
 
 // recordUnansweredFlow counts a flow whose packet, sent at sentAt, was not answered.
-func (b *backendState) noteSilence(now, sentAt time.Duration) {
-	if b.progress >= sentAt {
+func (b *backendState) recordUnansweredFlow(now, sentAt time.Duration) {
+	if b.lastResponse >= sentAt {
 		return
 	}
 	b.unansweredFlows++
-	required := b.pool.silentFlows()
+	required := b.pool.minSilentFlows()
 	switch {
-	case now < b.heardDoubtUntil && !b.pool.lossy():
+	case now < b.reportedSuspectUntil && !b.pool.lossy():
 		// The other balancer's report counts as one more unanswered flow.
 		b.unansweredFlows++
-	case b.pool.young(now):
+	case b.pool.justStarted(now):
 		// One more while this balancer has too few samples to estimate the packet loss.
 		required++
 	}
@@ -254,31 +254,31 @@
 		return
 	}
 	b.unansweredFlows = 0
-	b.silentPeriod = min(max(suspectTime, 2*b.silentPeriod), maxAvoidPeriod)
-	b.suspectUntil = now + b.silentPeriod
-	b.note(Silent, now-sentAt, b.suspectUntil)
+	b.silentPeriod = min(max(initialSilentPeriod, 2*b.silentPeriod), maxAvoidPeriod)
+	b.silentUntil = now + b.silentPeriod
+	b.recordEvent(Silent, now-sentAt, b.silentUntil)
 }
 
 // isSilent reports whether the back end gets neither new flows nor copies of opening packets,
 // because it is silent or down.
-func (b *backendState) suspected(now time.Duration) bool {
-	return now < b.suspectUntil || now < b.lostUntil
+func (b *backendState) isSilent(now time.Duration) bool {
+	return now < b.silentUntil || now < b.downUntil
 }
 
 // recordRequestFailure counts a request sent at sentAt that was left unanswered.
 func (b *backendState) recordRequestFailure(now, sentAt time.Duration) {
-	b.faults++
-	b.pool.noteVain(now, sentAt)
-	if b.faults >= requestFailuresHigh && !b.faulty {
-		b.faulty = true
-		b.note(Faulty, now-sentAt, 0)
+	b.requestFailures++
+	b.pool.noteUnanswered(now, sentAt)
+	if b.requestFailures >= requestFailuresHigh && !b.failingRequests {
+		b.failingRequests = true
+		b.recordEvent(RequestFailures, now-sentAt, 0)
 	}
 }
 
 // work returns the recent load from this balancer, in requests. An unanswered request counts as
 // requestFailureCost, since another back end would have answered it.
 func (b *backendState) work() float64 {
-	return b.recent + faultCost*b.faults
+	return b.recent + requestFailureCost*b.requestFailures
 }
 
 // minObservation is the decayed value below which an observation is dropped.
@@ -286,16 +286,16 @@
 
 // idle reports whether the state holds no more than a new one.
 func (b *backendState) idle(now time.Duration) bool {
-	if b.flows > 0 || b.opening > 0 || b.active > 0 || now-max(b.progress, b.placedAt) < idleTimeout {
+	if b.flows > 0 || b.opening > 0 || b.active > 0 || now-max(b.lastResponse, b.placedAt) < idleTimeout {
 		return false
 	}
-	if b.faulty || b.out || b.ended || b.trial || b.slowness > 1 || b.unansweredSince != 0 || len(b.unansweredCallers) > 0 {
+	if b.failingRequests || b.ejected || b.ended || b.probing || b.slowness > 1 || b.unansweredSince != 0 || len(b.unansweredCallers) > 0 {
 		return false
 	}
-	if now < max(b.deafUntil, b.doubtUntil, b.heardDoubtUntil, b.suspectUntil, b.lostUntil, b.idleResetUntil, b.warmUpNext) {
+	if now < max(b.ignoreReportsUntil, b.suspectUntil, b.reportedSuspectUntil, b.silentUntil, b.downUntil, b.idleResetUntil, b.warmUpNext) {
 		return false
 	}
-	own := b.recent + b.steady + b.recentPlaced + b.faults + b.failures + b.failureEvidence + b.answers.count
+	own := b.recent + b.steady + b.recentPlaced + b.requestFailures + b.failures + b.failureEvidence + b.answers.count
 	others := b.others.Requests + b.others.Steady + b.others.Failures + b.others.Answers
 	return own < minObservation && others < minObservation
 }
@@ -304,13 +304,13 @@
 func (b *backendState) decay(now time.Duration) {
 	b.recent *= recentDecay
 	b.steady *= steadyDecay
-	b.spanned = b.spanned*steadyDecay + 1
+	b.steadySpan = b.steadySpan*steadyDecay + 1
 	b.recentPlaced *= recentDecay
-	b.faults *= recentDecay
+	b.requestFailures *= recentDecay
 	b.failures *= recentDecay
 	b.failureEvidence *= longDecay
-	if b.faults < requestFailuresLow {
-		b.faulty = false
+	if b.requestFailures < requestFailuresLow {
+		b.failingRequests = false
 	}
 	b.answers.decay(now)
 }
--- a/internal/steering/baseline.go
+++ b/internal/steering/baseline.go
@@ -111,7 +111,7 @@
 
 // ReceiveBaselines adopts baselines that another balancer reported where this one has too few
 // answers of its own.
-func (s *Steerer) HearBaselines(baselines []Baseline) {
+func (s *Steerer) ReceiveBaselines(baselines []Baseline) {
 	for _, reported := range baselines {
 		if reported.Length == 0 || reported.Time <= 0 || !reported.Service.IsValid() {
 			continue
--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -20,21 +20,21 @@
 	state  *backendState
 	local  bool
 	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
-	score float64
+	hashScore float64
 	// load is the work relative to slots, and expectedLoad includes flows placed in the last
 	// moments.
-	load, soon float64
+	load, expectedLoad float64
 	// balanceLoad is compared where requests hardly wait: load, or in a large zone the longer-term
 	// rate per slot.
-	even float64
+	balanceLoad float64
 	// failures counts recent failed requests, through all balancers.
 	failures float64
 	// slowdown is the response time relative to the typical one, at least 1.
-	pace float64
+	slowdown float64
 	// expectedTime is in multiples of the typical response time.
-	time float64
+	expectedTime float64
 	// probe is set where the flow would test whether a slow back end has recovered.
-	trial bool
+	probe bool
 }
 
 // choice is the result of choose. member is nil where no back end may take the flow.
@@ -68,7 +68,7 @@
 	var avoid *backendState
 	var previousPart *part
 	if previous != nil {
-		avoid, previousPart = previous.backend, previous.turn
+		avoid, previousPart = previous.backend, previous.part
 	}
 	parts := s.rotationOf(service, hash).next(previousPart)
 	reason, scheduledReason := PartScheduled, PartScheduled
@@ -80,7 +80,7 @@
 			continue
 		}
 		for _, p := range parts {
-			s.placing = placing{now: now, hash: hash, group: p.group, pool: s.view.Pool(p.group.Discover), limit: s.warmUpOf(p.group), avoid: avoid}
+			s.placement = placementState{now: now, hash: hash, group: p.group, pool: s.view.Pool(p.group.Discover), limit: s.warmUpOf(p.group), avoid: avoid}
 			usable, unusableReason := s.evaluate(p, pass)
 			if usable {
 				if p == parts[0] {
@@ -102,7 +102,7 @@
 func (s *Steerer) refusal(parts []*part) errkind.Kind {
 	for _, p := range parts {
 		for _, member := range s.view.Pool(p.group.Discover).Open {
-			if s.connectionsOf(p.group, member).HardLimitReached(s.observed(member).flows) {
+			if s.connectionsOf(p.group, member).HardLimitReached(s.observedState(member).flows) {
 				return errkind.ConnectionsFull
 			}
 		}
@@ -122,12 +122,12 @@
 	// Being busy is no failure: with few back ends a request in each slot is normal.
 	allEjected := true
 	for i := range s.candidates {
-		allEjected = allEjected && s.candidates[i].state.out
+		allEjected = allEjected && s.candidates[i].state.ejected
 	}
 	switch {
 	case allEjected:
 		return false, PartEjected
-	case s.poolOf(p.group.Discover).rest.blocks(s.placing.now):
+	case s.poolOf(p.group.Discover).cooldown.blocks(s.placement.now):
 		return false, PartUnresponsive
 	}
 	return true, PartScheduled
@@ -135,14 +135,14 @@
 
 // unavailableReason returns why a part has no candidate.
 func (s *Steerer) unavailableReason() PartReason {
-	p := &s.placing
+	p := &s.placement
 	if len(p.pool.Open) == 0 {
 		return PartEmpty
 	}
 	reason := PartUnresponsive
 	for _, member := range p.pool.Open {
-		switch state := s.observed(member); {
-		case s.withholds(p.now, p.limit, member, state):
+		switch state := s.observedState(member); {
+		case s.warmUpBlocks(p.now, p.limit, member, state):
 			return PartWarmingUp
 		case s.connectionsOf(p.group, member).SoftLimitReached(state.flows):
 			reason = PartFull
@@ -155,9 +155,9 @@
 // broken by the flow's hash, so that balancers without load reports agree and do not overload one
 // back end.
 func (s *Steerer) pick(p *part, service *settings.Service) choice {
-	typicalLatency := s.placing.typicalLatency
+	typicalLatency := s.placement.typicalLatency
 	pool := s.poolOf(p.group.Discover)
-	pool.usual = typicalLatency
+	pool.typicalLatency = typicalLatency
 	rotation := pool.rotation
 	pool.rotation++
 	local := s.best(typicalLatency, true, rotation)
@@ -166,7 +166,7 @@
 	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
 	}
-	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.trial}
+	return choice{member: best.member, part: p, spilled: spilled, load: best.load, probe: best.probe}
 }
 
 // shouldSpill reports whether another zone is better: the own one exceeds the load factor, or a
@@ -195,7 +195,7 @@
 // best returns the best candidate inside or outside the own zone, or nil. In a large zone it
 // compares the current subset only, unless the best of that is busy or ejected.
 func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
-	if s.own.Count < manyBalancers {
+	if s.membership.Count < minBalancersForSubsets {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	total := 0
@@ -204,8 +204,8 @@
 			total++
 		}
 	}
-	best := bestIn(s.candidates, typicalLatency, local, s.own.subset(total, rotation))
-	if best != nil && (best.busy() || best.state.out) {
+	best := bestIn(s.candidates, typicalLatency, local, s.membership.subset(total, rotation))
+	if best != nil && (best.busy() || best.state.ejected) {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
 	return best
@@ -224,7 +224,7 @@
 		if !within.contains(position - 1) {
 			continue
 		}
-		if best == nil || c.before(best, typicalLatency) {
+		if best == nil || c.preferredTo(best, typicalLatency) {
 			best = c
 		}
 	}
--- a/internal/steering/config.go
+++ b/internal/steering/config.go
@@ -10,7 +10,7 @@
 	FlowLife time.Duration
 	// RemovalGrace is how long back ends may still take new flows after their entries were
 	// removed, where a group has no other: entries are also removed by mistake.
-	LapseGrace time.Duration
+	RemovalGrace time.Duration
 	// MaxFlows limits the flows that are recorded; 0 is no limit. Packets of others are forwarded
 	// by their tags alone.
 	MaxFlows int
--- a/internal/steering/connections_test.go
+++ b/internal/steering/connections_test.go
@@ -12,7 +12,7 @@
 // Where none has room, flows are refused at once until one ends.
 func TestBackEndsNearTheirLimitAreAvoided(t *testing.T) {
 	f := newFleet(t)
-	f.steerer.SetPlace(Place{Count: 10, Fleet: 20})
+	f.steerer.SetMembership(Membership{Count: 10, Fleet: 20})
 	for _, s := range f.steerer.view.Settings.Services {
 		for i := range s.Groups {
 			s.Groups[i].Connections = 40
@@ -31,7 +31,7 @@
 	if counts := f.countParts(100, 5); counts["upload turn"]+counts["upload full"] != 5 {
 		t.Errorf("a split service: %v", counts)
 	}
-	caller, decision := 200, Verdict{}
+	caller, decision := 200, Decision{}
 	for ; caller < 400; caller++ {
 		if decision = f.open(caller, feedAddress, 0); decision.Action != Forward {
 			break
@@ -54,7 +54,7 @@
 	var all []*fleet
 	for range balancers {
 		f := newFleet(t)
-		f.steerer.SetPlace(Place{Count: balancers, Fleet: balancers})
+		f.steerer.SetMembership(Membership{Count: balancers, Fleet: balancers})
 		f.steerer.view.Settings.ServiceAt(feedAddress).Groups[0].Connections = limit
 		all = append(all, f)
 	}
@@ -77,7 +77,7 @@
 func TestLimitIsDividedByEstimatedZoneSize(t *testing.T) {
 	const limit, zone = 2000, 198
 	f := newFleet(t)
-	f.steerer.SetPlace(Place{Count: 25, Fleet: 33, ZoneSize: zone, FleetSize: 5 * zone})
+	f.steerer.SetMembership(Membership{Count: 25, Fleet: 33, ZoneSize: zone, FleetSize: 5 * zone})
 	group := &settings.Group{Connections: limit}
 	local, remote := f.directory.View().Member(1), f.directory.View().Member(5)
 	held := 0
--- a/internal/steering/down.go
+++ b/internal/steering/down.go
@@ -39,13 +39,13 @@
 }
 
 // recordUnansweredCaller records that a caller has retransmitted data without a response.
-func (s *Steerer) noteStall(now time.Duration, rec *record) {
+func (s *Steerer) recordUnansweredCaller(now time.Duration, rec *record) {
 	b := rec.backend
 	if s.config.Mechanisms.NoResets {
 		return
 	}
-	if b.progress >= rec.askedAt {
-		b.pool.noteRepeated(1)
+	if b.lastResponse >= rec.sentAt {
+		b.pool.noteRetransmits(1)
 		return
 	}
 	b.lastUnansweredAt = now
@@ -65,11 +65,11 @@
 
 // checkDown reports whether the back end is down, and marks it down once enough callers here and at
 // other balancers have retransmitted data and no balancer has seen a response.
-func (s *Steerer) lost(now time.Duration, b *backendState) bool {
-	if b.ended || now < b.lostUntil {
+func (s *Steerer) checkDown(now time.Duration, b *backendState) bool {
+	if b.ended || now < b.downUntil {
 		return true
 	}
-	if len(b.unansweredCallers) == 0 && len(b.reports) == 0 || now-b.progress < minDownSilence {
+	if len(b.unansweredCallers) == 0 && len(b.reports) == 0 || now-b.lastResponse < minDownSilence {
 		return false
 	}
 	b.reports = slices.DeleteFunc(b.reports, func(r receivedReport) bool { return now-r.receivedAt > reportLifetime })
@@ -87,8 +87,8 @@
 	if callers < b.pool.minDownCallers() || s.likelyIsolated(now) {
 		return false
 	}
-	b.lostUntil = now + downPeriod
-	b.note(Down, now-b.progress, b.lostUntil)
+	b.downUntil = now + downPeriod
+	b.recordEvent(Down, now-b.lastResponse, b.downUntil)
 	s.requestUrgentReport(now)
 	return true
 }
@@ -96,7 +96,7 @@
 // minDownCallers returns how many callers must have retransmitted data without a response before a
 // back end of the pool is down, given the retransmission rate.
 func (p *poolState) minDownCallers() int {
-	return max(minDownCallers, byChance(downFalsePositiveRate, max(p.repeated.share(), p.repeatedLong.highest())))
+	return max(minDownCallers, minRunLength(downFalsePositiveRate, max(p.retransmits.share(), p.retransmitsLong.upperBound())))
 }
 
 // likelyIsolated reports whether at least as many back ends are unresponsive as responsive to this
@@ -108,7 +108,7 @@
 		switch {
 		case b.recentlyUnanswered(now):
 			unresponsive++
-		case now-b.progress < responsiveWindow:
+		case now-b.lastResponse < responsiveWindow:
 			responsive++
 		}
 	}
@@ -137,6 +137,6 @@
 // rejectsRequest reports whether a request on an established flow is refused, so that its caller
 // retries elsewhere: its back end has ended, or it is down and the request may be repeated. Whether
 // the request was executed is unknown.
-func (s *Steerer) givesUp(now time.Duration, b *backendState, packet *Packet) bool {
-	return packet.Kind == Established && packet.Payload > 0 && s.lost(now, b) && (b.ended || s.repeatable(packet.Flow))
+func (s *Steerer) rejectsRequest(now time.Duration, b *backendState, packet *Packet) bool {
+	return packet.Kind == Established && packet.Payload > 0 && s.checkDown(now, b) && (b.ended || s.repeatable(packet.Flow))
 }
--- a/internal/steering/down_test.go
+++ b/internal/steering/down_test.go
@@ -33,7 +33,7 @@
 	for caller := 20; caller < 60; caller++ {
 		f.opened(caller, feedAddress)
 	}
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.answerOthers()
 	return f
 }
@@ -48,12 +48,12 @@
 }
 
 // requestUnanswered sends a request of each caller, and retransmits it after 200 ms.
-func (f *fleet) requestUnanswered(callers ...int) Verdict {
-	var decision Verdict
+func (f *fleet) requestUnanswered(callers ...int) Decision {
+	var decision Decision
 	for _, caller := range callers {
 		decision = f.established(caller, feedAddress, 1, 1, 100)
 	}
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.answerOthers()
 	for _, caller := range callers {
 		decision = f.established(caller, feedAddress, 1, 1, 100)
@@ -67,7 +67,7 @@
 	if decision := f.requestUnanswered(0, 1, 2); decision.Action != Forward || f.steerer.TakeResets() != nil {
 		t.Fatalf("three callers mark the back end down: %+v", decision)
 	}
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.requestUnanswered(3)
 	resets := f.steerer.TakeResets()
 	if len(resets) != 4 {
@@ -96,7 +96,7 @@
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2)
 	f.established(10, feedAddress, 1, 50, 0)
-	f.pass(400 * time.Millisecond)
+	f.advance(400 * time.Millisecond)
 	f.requestUnanswered(3)
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
@@ -116,19 +116,19 @@
 func TestCallersOfAllBalancersAreSummed(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0)
-	if !f.steerer.TakeAlarm() {
+	if !f.steerer.TakeUrgentReport() {
 		t.Error("no urgent report of an unresponsive back end")
 	}
-	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Backend != 1 || reports[0].Callers != 1 || reports[0].Silence < time.Second {
+	if reports := f.steerer.UnresponsiveReports(f.now, 8); len(reports) != 1 || reports[0].Backend != 1 || reports[0].Callers != 1 || reports[0].Silence < time.Second {
 		t.Errorf("reports: %+v", reports)
 	}
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 2, Silence: time.Second}})
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 2, Silence: time.Second}})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: 1, Callers: 2, Silence: time.Second}})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: 1, Callers: 2, Silence: time.Second}})
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Fatalf("a repeated report counts twice: %+v", resets)
 	}
 	third := netip.AddrPortFrom(otherBalancer.Addr().Next(), otherBalancer.Port())
-	f.steerer.HearStalls(f.now, third, []Stall{{Backend: 1, Callers: 1, Silence: time.Second}})
+	f.steerer.ReceiveUnresponsive(f.now, third, []UnresponsiveReport{{Backend: 1, Callers: 1, Silence: time.Second}})
 	if resets := f.steerer.TakeResets(); len(resets) != 1 {
 		t.Errorf("four callers at three balancers: resets %+v", resets)
 	}
@@ -141,7 +141,7 @@
 		id := directory.Tag(2 + caller%5)
 		f.established(3000+caller, feedAddress, id, 1, 100)
 		if caller%5 == 0 {
-			f.pass(200 * time.Millisecond)
+			f.advance(200 * time.Millisecond)
 			f.established(3000+caller, feedAddress, id, 1, 100)
 		}
 		f.established(3000+caller, feedAddress, id, 2, 0)
@@ -150,8 +150,8 @@
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Fatalf("six callers mark the back end down: %+v", resets)
 	}
-	others := []Stall{{Backend: 1, Callers: 6, Silence: time.Second}}
-	f.steerer.HearStalls(f.now, otherBalancer, others)
+	others := []UnresponsiveReport{{Backend: 1, Callers: 6, Silence: time.Second}}
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, others)
 	if resets := f.steerer.TakeResets(); len(resets) != 6 {
 		t.Errorf("%d flows are reset, want 6", len(resets))
 	}
@@ -162,25 +162,25 @@
 func TestAReportedResponsePreventsResets(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Callers: 0, Silence: 10 * time.Millisecond}})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: 1, Callers: 0, Silence: 10 * time.Millisecond}})
 	f.requestUnanswered(3)
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
 	}
 	// This balancer contradicts a report on a back end that it knows to respond.
-	f.pass(300 * time.Millisecond)
+	f.advance(300 * time.Millisecond)
 	f.answerOthers()
-	f.steerer.TakeAlarm()
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 2, Callers: 5, Silence: time.Second}})
-	if f.steerer.TakeResets() != nil || !f.steerer.TakeAlarm() {
+	f.steerer.TakeUrgentReport()
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: 2, Callers: 5, Silence: time.Second}})
+	if f.steerer.TakeResets() != nil || !f.steerer.TakeUrgentReport() {
 		t.Error("no urgent report that the back end responds")
 	}
 	found := false
-	for _, report := range f.steerer.Stalls(f.now, 8) {
+	for _, report := range f.steerer.UnresponsiveReports(f.now, 8) {
 		found = found || report.Backend == 2 && report.Callers == 0 && report.Silence < 100*time.Millisecond
 	}
 	if !found {
-		t.Errorf("reports: %+v", f.steerer.Stalls(f.now, 8))
+		t.Errorf("reports: %+v", f.steerer.UnresponsiveReports(f.now, 8))
 	}
 }
 
@@ -189,7 +189,7 @@
 	f := newSilentFleet(t)
 	for range 6 {
 		f.requestUnanswered(0)
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 	if resets := f.steerer.TakeResets(); resets != nil {
 		t.Errorf("flows are reset: %+v", resets)
@@ -199,7 +199,7 @@
 // All back ends are silent to the balancer, so it is probably isolated itself.
 func TestAnIsolatedBalancerResetsNothing(t *testing.T) {
 	f := newSilentFleet(t)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	for round := range 2 {
 		for id := directory.Tag(1); id <= 6; id++ {
 			for caller := range 6 {
@@ -207,7 +207,7 @@
 			}
 		}
 		if round == 0 {
-			f.pass(200 * time.Millisecond)
+			f.advance(200 * time.Millisecond)
 		}
 	}
 	if resets := f.steerer.TakeResets(); resets != nil {
@@ -219,15 +219,15 @@
 // sixth retransmit. The reported ones do not count towards isolation.
 func TestReportedDownBackEndsAreNoSignOfIsolation(t *testing.T) {
 	f := newSilentFleet(t)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	for id := settings.BackendID(3); id <= 5; id++ {
-		f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: id, Callers: 2, Silence: time.Second, Lost: downPeriod}})
+		f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: id, Callers: 2, Silence: time.Second, Down: downPeriod}})
 	}
 	for _, payload := range []int{100, 100} {
 		for caller := range 4 {
 			f.established(caller, feedAddress, 1, 1, payload)
 		}
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		for _, id := range []directory.Tag{2, 6} {
 			caller := 1000*int(id) + int(f.now/time.Millisecond)
 			f.established(caller, feedAddress, id, 1, 100)
@@ -259,12 +259,12 @@
 		f := newSilentFleet(t)
 		if test.requestedHere {
 			f.established(3, feedAddress, 1, 1, 100)
-			f.pass(time.Second)
+			f.advance(time.Second)
 		}
 		state := f.state(1)
-		before := state.progress
+		before := state.lastResponse
 		f.steerer.Steer(f.now, &Packet{Flow: key(3, feedAddress), Kind: test.kind, Tag: 1, Sequence: 5000, Acknowledged: 9000, Payload: test.data})
-		if responded := state.progress > before; responded != test.living {
+		if responded := state.lastResponse > before; responded != test.living {
 			t.Errorf("%s: counted as a response: %v", name, responded)
 		}
 		if test.data > 0 && state.active != 1 || test.data == 0 && state.active != 0 {
@@ -280,16 +280,16 @@
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
-	f.pass(downPeriod + time.Second)
+	f.advance(downPeriod + time.Second)
 	f.answerOthers()
 	if decision := f.established(12, feedAddress, 1, 1, 100); decision.Action != Forward {
 		t.Errorf("request after downPeriod: %+v", decision)
 	}
-	for _, report := range f.steerer.Stalls(f.now, 8) {
+	for _, report := range f.steerer.UnresponsiveReports(f.now, 8) {
 		t.Errorf("still reported: %+v", report)
 	}
 	// It is still silent: a single retransmitting caller is enough.
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	f.answerOthers()
 	f.established(12, feedAddress, 1, 1, 100)
 	if resets := f.steerer.TakeResets(); len(resets) != 1 {
@@ -323,7 +323,7 @@
 	}
 	for range 20 {
 		var reported []settings.BackendID
-		for _, report := range f.steerer.Stalls(f.now, 4) {
+		for _, report := range f.steerer.UnresponsiveReports(f.now, 4) {
 			reported = append(reported, report.Backend)
 		}
 		if want := []settings.BackendID{2, 5, 1, 4}; !slices.Equal(reported, want) {
@@ -344,7 +344,7 @@
 		{127, 12, 8},
 		{2000, 20, 4},
 	} {
-		pool := &poolState{repeatedLong: repetitions{asked: test.asked, vain: test.vain}}
+		pool := &poolState{retransmitsLong: retransmitStats{requests: test.asked, retransmitted: test.vain}}
 		if got := pool.minDownCallers(); got != test.want {
 			t.Errorf("%.0f of %.0f retransmitted: minDownCallers is %d, want %d", test.vain, test.asked, got, test.want)
 		}
@@ -362,7 +362,7 @@
 		}
 	}
 	f.requestUnanswered(0, 1, 2, 3)
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.requestUnanswered(0, 1, 2, 3)
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("the back end is not down")
@@ -378,13 +378,13 @@
 func TestAReportedSuspectCountsAsAnUnansweredFlow(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
-		f.pass(time.Second)
+		f.advance(time.Second)
 		first := f.open(1, feedAddress, 0)
 		if lossy {
-			f.steerer.poolOf("feed").repeatedLong = repetitions{asked: 100, vain: 8}
+			f.steerer.poolOf("feed").retransmitsLong = retransmitStats{requests: 100, retransmitted: 8}
 		}
-		f.pass(200 * time.Millisecond)
-		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{first.Backend.ID})
+		f.advance(200 * time.Millisecond)
+		f.steerer.ReceiveSuspects(f.now, []settings.BackendID{first.Backend.ID})
 		copied := f.open(1, feedAddress, 1)
 		if moved := copied.Backend.ID != first.Backend.ID; moved == lossy {
 			t.Errorf("lossy %v: copy moves %v", lossy, moved)
@@ -396,14 +396,14 @@
 func TestASuspectIsReportedAtOnce(t *testing.T) {
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.open(1, feedAddress, 0)
 		if lossy {
-			f.steerer.poolOf("feed").repeatedLong = repetitions{asked: 100, vain: 8}
+			f.steerer.poolOf("feed").retransmitsLong = retransmitStats{requests: 100, retransmitted: 8}
 		}
-		f.pass(2 * answerTime)
+		f.advance(2 * openingAnswerTimeout)
 		f.open(2, feedAddress, 0)
-		if urgent := f.steerer.TakeAlarm(); urgent == lossy {
+		if urgent := f.steerer.TakeUrgentReport(); urgent == lossy {
 			t.Errorf("lossy %v: urgent report %v", lossy, urgent)
 		}
 	}
@@ -412,33 +412,33 @@
 // The reported down state lasts no longer than the sender says, and ends when any balancer sees a
 // response.
 func TestAReportedDownStateIsAdopted(t *testing.T) {
-	down := Stall{Backend: 1, Callers: 2, Silence: 2 * time.Second, Lost: time.Second}
+	down := UnresponsiveReport{Backend: 1, Callers: 2, Silence: 2 * time.Second, Down: time.Second}
 	f := newSilentFleet(t)
 	f.established(0, feedAddress, 1, 1, 100)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{down})
 	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Reason != errkind.BackendLost {
 		t.Errorf("request at a back end that is reported down: %+v", decision)
 	}
-	f.pass(1100 * time.Millisecond)
+	f.advance(1100 * time.Millisecond)
 	f.answerOthers()
 	if decision := f.established(2, feedAddress, 1, 1, 100); decision.Action != Forward {
 		t.Errorf("request after the reported down time: %+v", decision)
 	}
 
 	f = newSilentFleet(t)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{{Backend: 1, Silence: 5 * time.Millisecond}})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{down})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{{Backend: 1, Silence: 5 * time.Millisecond}})
 	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Action != Forward {
 		t.Errorf("request after another balancer reported a response: %+v", decision)
 	}
 
 	f = newSilentFleet(t)
 	f.established(0, feedAddress, 1, 2, 0)
-	f.steerer.HearStalls(f.now, otherBalancer, []Stall{down})
+	f.steerer.ReceiveUnresponsive(f.now, otherBalancer, []UnresponsiveReport{down})
 	if decision := f.established(1, feedAddress, 1, 1, 100); decision.Action != Forward {
 		t.Errorf("request after a response at this balancer: %+v", decision)
 	}
-	if !f.steerer.TakeAlarm() {
+	if !f.steerer.TakeUrgentReport() {
 		t.Error("no urgent report of the response")
 	}
 }
@@ -450,8 +450,8 @@
 	if f.steerer.TakeResets() == nil {
 		t.Fatal("no flow is reset")
 	}
-	f.vanish(1)
-	f.pass(downPeriod + time.Second)
+	f.remove(1)
+	f.advance(downPeriod + time.Second)
 	f.answerOthers()
 	if decision := f.established(12, feedAddress, 1, 1, 100); decision.Reason != errkind.BackendLost {
 		t.Errorf("request at a back end that is down and removed: %+v", decision)
@@ -463,15 +463,15 @@
 func TestReportsDoNotRenewTheDownState(t *testing.T) {
 	f := newSilentFleet(t)
 	f.requestUnanswered(0, 1, 2, 3)
-	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Callers != 4 || reports[0].Lost != downPeriod {
+	if reports := f.steerer.UnresponsiveReports(f.now, 8); len(reports) != 1 || reports[0].Callers != 4 || reports[0].Down != downPeriod {
 		t.Errorf("reports at once: %+v", reports)
 	}
-	f.pass(time.Second)
-	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 1 || reports[0].Callers != 0 || reports[0].Lost != downPeriod-time.Second {
+	f.advance(time.Second)
+	if reports := f.steerer.UnresponsiveReports(f.now, 8); len(reports) != 1 || reports[0].Callers != 0 || reports[0].Down != downPeriod-time.Second {
 		t.Errorf("reports a second later: %+v", reports)
 	}
-	f.pass(downPeriod)
-	if reports := f.steerer.Stalls(f.now, 8); len(reports) != 0 {
+	f.advance(downPeriod)
+	if reports := f.steerer.UnresponsiveReports(f.now, 8); len(reports) != 0 {
 		t.Errorf("reports after downPeriod: %+v", reports)
 	}
 }
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -11,12 +11,12 @@
 // resetFlowsAt resets flows at down back ends: those with a pending request where it may be
 // repeated, and, once per down period, idle ones where requests must not be repeated, since the
 // caller of the next one might not retry it.
-func (s *Steerer) endFlows(now time.Duration, down ...*backendState) {
+func (s *Steerer) resetFlowsAt(now time.Duration, down ...*backendState) {
 	withIdle := down[:0:0]
 	for _, b := range down {
 		s.resetPending(b)
 		if b.flows > 0 && now >= b.idleResetUntil && s.isDownConfirmed(now, b) {
-			b.idleResetUntil = max(b.lostUntil, now+downPeriod)
+			b.idleResetUntil = max(b.downUntil, now+downPeriod)
 			withIdle = append(withIdle, b)
 		}
 	}
@@ -24,8 +24,8 @@
 		return
 	}
 	// One pass over the flows for all back ends.
-	s.resetAll(func(rec *record) bool {
-		return slices.Contains(withIdle, rec.backend) && !rec.waiting && now-rec.lastSeen < idleTimeout && !s.repeatable(rec.key)
+	s.resetMatching(func(rec *record) bool {
+		return slices.Contains(withIdle, rec.backend) && !rec.requestPending && now-rec.lastSeen < idleTimeout && !s.repeatable(rec.key)
 	})
 }
 
@@ -48,7 +48,7 @@
 // resetPending resets flows with a pending request that may be repeated.
 func (s *Steerer) resetPending(b *backendState) {
 	for _, rec := range s.awaited.records {
-		if rec.backend == b && rec.waiting && !rec.closed && s.repeatable(rec.key) {
+		if rec.backend == b && rec.requestPending && !rec.closed && s.repeatable(rec.key) {
 			s.reset(rec)
 		}
 	}
@@ -56,13 +56,13 @@
 
 // resetReplaced looks in a new view for back ends that have ended because another one started at
 // the address. All flows there are reset, whether or not requests may be repeated.
-func (s *Steerer) noteEnded() {
+func (s *Steerer) resetReplaced() {
 	var removed []settings.BackendID
-	for id, b := range s.departed {
+	for id, b := range s.removed {
 		switch {
 		case !s.view.Knows(id):
 			if b.flows == 0 {
-				delete(s.departed, id)
+				delete(s.removed, id)
 				delete(s.backends, id)
 			}
 		case !b.ended && b.flows > 0:
@@ -77,15 +77,15 @@
 	for _, id := range replaced {
 		b := s.backends[id]
 		b.ended = true
-		b.note(Ended, s.pulse-b.progress, 0)
+		b.recordEvent(Ended, s.pulse-b.lastResponse, 0)
 	}
 	if len(replaced) > 0 {
-		s.resetAll(func(rec *record) bool { return rec.backend.ended })
+		s.resetMatching(func(rec *record) bool { return rec.backend.ended })
 	}
 }
 
 // resetMatching resets the open flows for which matches returns true, in order of flow.
-func (s *Steerer) resetAll(matches func(rec *record) bool) {
+func (s *Steerer) resetMatching(matches func(rec *record) bool) {
 	var matching []*record
 	for _, rec := range s.flows {
 		if !rec.opening && !rec.closed && matches(rec) {
@@ -107,5 +107,5 @@
 
 func (s *Steerer) reset(rec *record) {
 	s.resets = append(s.resets, Reset{rec.key, rec.acknowledged, rec.backend.id})
-	s.forget(rec)
+	s.removeRecord(rec)
 }
--- a/internal/steering/ended_test.go
+++ b/internal/steering/ended_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("%d flows are reset while the entry of the old back end exists", len(resets))
 		}
 		open := f.state(1).flows
-		f.vanish(1)
+		f.remove(1)
 		resets := f.steerer.TakeResets()
 		if open < 25 || len(resets) != open {
 			t.Errorf("%d flows are reset, want all %d", len(resets), open)
@@ -53,7 +53,7 @@
 	for caller := 30; caller < 35; caller++ {
 		f.established(caller, splitAddress, 1, 1, 0)
 	}
-	f.pass(idleTimeout)
+	f.advance(idleTimeout)
 	f.established(31, splitAddress, 1, 1, 100)
 	for _, caller := range []int{32, 33} {
 		f.established(caller, splitAddress, 1, 1, 0)
@@ -67,7 +67,7 @@
 	if ended[feedAddress] != 4 || ended[splitAddress] != 2 {
 		t.Errorf("resets by service: %v, want 4 and 2", ended)
 	}
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.established(34, splitAddress, 1, 1, 0)
 	f.requestUnanswered(5)
 	if resets := f.steerer.TakeResets(); len(resets) != 0 {
@@ -84,10 +84,10 @@
 		for caller := 30; caller < 35; caller++ {
 			f.established(caller, splitAddress, 1, 1, 0)
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.answerOthers()
 		for _, from := range reporters {
-			f.steerer.HearStalls(f.now, from, []Stall{{Backend: 1, Callers: 2, Silence: time.Second, Lost: downPeriod}})
+			f.steerer.ReceiveUnresponsive(f.now, from, []UnresponsiveReport{{Backend: 1, Callers: 2, Silence: time.Second, Down: downPeriod}})
 		}
 		if resets := f.steerer.TakeResets(); len(resets) > 0 != (len(reporters) > 1) {
 			t.Errorf("%d balancers report the back end down, %d flows are reset", len(reporters), len(resets))
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -8,19 +8,19 @@
 )
 
 // steerEstablished forwards a packet of a flow that a back end has answered.
-func (s *Steerer) steerEstablished(now time.Duration, packet *Packet) Verdict {
+func (s *Steerer) steerEstablished(now time.Duration, packet *Packet) Decision {
 	rec := s.flows[packet.Flow]
 	if rec == nil {
 		return s.adopt(now, packet)
 	}
-	decision := Verdict{Action: Forward}
+	decision := Decision{Action: Forward}
 	if rec.member.Tag != packet.Tag {
-		if s.opensElsewhere(now, rec, packet) {
-			if s.seek(now, packet) {
-				return Verdict{Action: Wait}
+		if s.mayBeOpenElsewhere(now, rec, packet) {
+			if s.startSearch(now, packet) {
+				return Decision{Action: Wait}
 			}
-			member := s.mayFollow(packet.Flow, s.named(packet, rec.openSequence))
-			if member == nil || !rec.isFirst(packet) {
+			member := s.searchResult(packet.Flow, s.namedBackend(packet, rec.openSequence))
+			if member == nil || !rec.isFirstPacket(packet) {
 				return drop(errkind.Undecided)
 			}
 			s.pinTo(rec, member)
@@ -30,28 +30,28 @@
 	}
 	// Only now is the back end certain: a copy of the opening packet may have been placed here at
 	// one that is down, while another one has answered.
-	if s.givesUp(now, rec.backend, packet) {
-		s.forget(rec)
+	if s.rejectsRequest(now, rec.backend, packet) {
+		s.removeRecord(rec)
 		return refuse(errkind.BackendLost)
 	}
 	decision.Backend, decision.Tag = rec.member, rec.member.Tag
 	s.observe(now, rec, packet)
 	if packet.Kind == Abort {
-		s.forget(rec)
+		s.removeRecord(rec)
 	}
 	return decision
 }
 
 // adopt records a flow from another balancer by its tag. The tag of an opening packet is valid for
 // the caller's first packet, and only if no other balancer knows better.
-func (s *Steerer) adopt(now time.Duration, packet *Packet) Verdict {
+func (s *Steerer) adopt(now time.Duration, packet *Packet) Decision {
 	member := s.taggedBackend(packet, packet.Tag)
 	if member == nil {
-		if s.seek(now, packet) {
-			return Verdict{Action: Wait}
+		if s.startSearch(now, packet) {
+			return Decision{Action: Wait}
 		}
 		named := s.taggedBackend(packet, openingTag(packet.Tag, openingSequence(packet)))
-		member = s.mayFollow(packet.Flow, named)
+		member = s.searchResult(packet.Flow, named)
 		if member == nil && named != nil {
 			return drop(errkind.Undecided)
 		}
@@ -60,42 +60,42 @@
 		return drop(errkind.UnknownTag)
 	}
 	if packet.Kind == Abort {
-		return Verdict{Action: Forward, Backend: member, Tag: member.Tag}
+		return Decision{Action: Forward, Backend: member, Tag: member.Tag}
 	}
 	state := s.stateOf(member)
-	if s.givesUp(now, state, packet) {
+	if s.rejectsRequest(now, state, packet) {
 		return refuse(errkind.BackendLost)
 	}
 	rec := &record{
-		key:      packet.Flow,
-		member:   member,
-		backend:  state,
-		begun:    true,
-		started:  now,
-		lastSeen: now,
+		key:       packet.Flow,
+		member:    member,
+		backend:   state,
+		requested: true,
+		started:   now,
+		lastSeen:  now,
 		// Data that the caller received earlier does not show that the back end responds now.
 		acknowledged: packet.Acknowledged,
 		sequence:     packet.Sequence,
 	}
-	if s.remember(rec) {
+	if s.addRecord(rec) {
 		s.observe(now, rec, packet)
 	}
-	return Verdict{Action: Forward, Backend: member, Tag: member.Tag}
+	return Decision{Action: Forward, Backend: member, Tag: member.Tag}
 }
 
 // observe updates the state of a flow's back end from a packet.
 func (s *Steerer) observe(now time.Duration, rec *record, packet *Packet) {
 	rec.received(now, packet)
-	if rec.answerTime > 0 && rec.endsAnswer(packet) {
-		s.noteAnswer(now, rec)
+	if rec.responseLatency > 0 && rec.completesAnswer(packet) {
+		s.classifyAnswer(now, rec)
 	}
 	if rec.sent(now, packet) {
-		s.noteStall(now, rec)
-		if s.lost(now, rec.backend) {
-			s.endFlows(now, rec.backend)
+		s.recordUnansweredCaller(now, rec)
+		if s.checkDown(now, rec.backend) {
+			s.resetFlowsAt(now, rec.backend)
 		}
 	}
-	if rec.waiting {
+	if rec.requestPending {
 		s.awaited.add(rec)
 	}
 }
@@ -105,9 +105,9 @@
 // of the opening packet; the flow stays pinned to the first, which alone has its data.
 func (s *Steerer) reconcile(rec *record, packet *Packet) (repinned bool) {
 	if !rec.opening && !s.config.Mechanisms.NoPins {
-		return !rec.opensBy(packet, rec.member.Tag)
+		return !rec.hasOpeningTag(packet, rec.member.Tag)
 	}
-	member := s.named(packet, rec.openSequence)
+	member := s.namedBackend(packet, rec.openSequence)
 	if member != nil {
 		s.pinTo(rec, member)
 	}
@@ -119,14 +119,14 @@
 	if member == rec.member {
 		return
 	}
-	rec.backend.leave(rec)
+	rec.backend.removeRecord(rec)
 	rec.member, rec.backend = member, s.stateOf(member)
-	rec.backend.join(rec)
+	rec.backend.addRecord(rec)
 }
 
 // namedBackend returns the back end that the packet's tag names, as the tag of an opening packet
 // with the sequence or of a later packet, or nil.
-func (s *Steerer) named(packet *Packet, openSequence uint32) *directory.Member {
+func (s *Steerer) namedBackend(packet *Packet, openSequence uint32) *directory.Member {
 	if member := s.taggedBackend(packet, packet.Tag); member != nil {
 		return member
 	}
--- a/internal/steering/expect.go
+++ b/internal/steering/expect.go
@@ -19,13 +19,13 @@
 // estimateTimes estimates the time of a request at each candidate, in typical latencies: the
 // processing time and the wait for a free slot. typical is the typical latency in seconds, 0 while
 // unknown.
-func (s *Steerer) expectTimes(typical float64) {
+func (s *Steerer) estimateTimes(typical float64) {
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		utilization := c.soon / recentWindow * typical * c.pace
-		c.time = c.pace
+		utilization := c.expectedLoad / recentWindow * typical * c.slowdown
+		c.expectedTime = c.slowdown
 		if utilization > idleUtilization {
-			c.time *= 1 + waiting(utilization, max(c.member.Slots, 1))
+			c.expectedTime *= 1 + queueWait(utilization, max(c.member.Slots, 1))
 		}
 	}
 }
@@ -33,24 +33,24 @@
 // preferredTo reports whether a new flow should go to this back end rather than to the other one:
 // the one with less load if the wait is negligible at both, else the one with the shorter time.
 // While the typical latency is unknown, loads are multiplied by the slowdown.
-func (c *candidate) before(other *candidate, typical float64) bool {
+func (c *candidate) preferredTo(other *candidate, typical float64) bool {
 	switch {
 	case typical == 0:
-		return c.less(other, c.load*c.pace, other.load*other.pace)
-	case c.time <= 1+negligibleWait && other.time <= 1+negligibleWait:
-		return c.less(other, c.even, other.even)
+		return c.less(other, c.load*c.slowdown, other.load*other.slowdown)
+	case c.expectedTime <= 1+negligibleWait && other.expectedTime <= 1+negligibleWait:
+		return c.less(other, c.balanceLoad, other.balanceLoad)
 	}
-	return c.less(other, c.time, other.time)
+	return c.less(other, c.expectedTime, other.expectedTime)
 }
 
 // less compares two values; on a tie the higher score by the flow's hash wins.
 func (c *candidate) less(other *candidate, value, otherValue float64) bool {
-	return value < otherValue || value == otherValue && c.score > other.score
+	return value < otherValue || value == otherValue && c.hashScore > other.hashScore
 }
 
 // queueWait returns the mean wait for a free slot, in units of one request's time, at the given
 // utilization of the slots: Sakasegawa's approximation for a queue with several servers.
-func waiting(utilization float64, slots int) float64 {
+func queueWait(utilization float64, slots int) float64 {
 	n := float64(slots)
 	power := math.Sqrt(2*(n+1)) - 1
 	capped := min(utilization, maxUtilization)
--- a/internal/steering/expired.go
+++ b/internal/steering/expired.go
@@ -12,8 +12,8 @@
 // Suspect, silent and down ones are still excluded.
 
 // addExpired adds the expired back ends of the pool that pass the filters to the candidates.
-func (s *Steerer) addLapsed(filters []filter) {
-	p := &s.placing
+func (s *Steerer) addExpired(filters []filter) {
+	p := &s.placement
 	if p.now >= p.pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
 		return
 	}
@@ -26,7 +26,7 @@
 
 // acceptsExpired reports whether copies of an opening packet may still go to an expired back end of
 // the pool.
-func (s *Steerer) keepsLapsed(now time.Duration, pool *directory.Pool, id settings.BackendID) bool {
+func (s *Steerer) acceptsExpired(now time.Duration, pool *directory.Pool, id settings.BackendID) bool {
 	if now >= pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
 		return false
 	}
--- a/internal/steering/expired_test.go
+++ b/internal/steering/expired_test.go
@@ -12,10 +12,10 @@
 // servers 2, 3 and 4 disappeared.
 func (f *fleet) expireEntries() {
 	f.directory.SetLapse(directory.LapseWithin(4*time.Second, 3*time.Second))
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	f.directory.NoteConfirmed(f.now, 0, 5*time.Second)
 	for id := settings.BackendID(2); id <= 4; id++ {
-		f.vanish(id)
+		f.remove(id)
 	}
 }
 
@@ -37,7 +37,7 @@
 			t.Errorf("back end %d gets %d of 40 flows, want 8 to 12", id, counts[id])
 		}
 	}
-	f.pass(1800 * time.Millisecond)
+	f.advance(1800 * time.Millisecond)
 	if counts = f.countPlacements(100, 40); counts[2]+counts[3]+counts[4] > 0 {
 		t.Errorf("after the expiry period: flows by back end %v, want none at 2 to 4", counts)
 	}
@@ -68,7 +68,7 @@
 			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
 	}
-	f.pass(2 * answerTime)
+	f.advance(2 * openingAnswerTimeout)
 	if counts := f.countPlacements(100, 40); counts[silent] > 0 {
 		t.Errorf("the suspect back end gets %d flows, want 0", counts[silent])
 	}
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -18,23 +18,23 @@
 
 // filterWarmingUp excludes back ends that warm up and get their flows from other balancers at
 // present.
-func filterCold(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
-	return s.withholds(p.now, p.limit, member, state)
+func filterWarmingUp(s *Steerer, p *placementState, member *directory.Member, state *backendState) bool {
+	return s.warmUpBlocks(p.now, p.limit, member, state)
 }
 
 // filterPrevious excludes the back end that a copy of an opening packet has just left.
-func filterLeft(s *Steerer, p *placing, _ *directory.Member, state *backendState) bool {
+func filterPrevious(s *Steerer, p *placementState, _ *directory.Member, state *backendState) bool {
 	return state == p.avoid && !s.config.Mechanisms.NoSuspicion
 }
 
 // filterSilent excludes back ends that are suspect, silent or down.
-func filterSilent(s *Steerer, p *placing, _ *directory.Member, state *backendState) bool {
-	return !s.config.Mechanisms.NoSuspicion && (state.suspected(p.now) || s.checkSuspect(p.now, state))
+func filterSilent(s *Steerer, p *placementState, _ *directory.Member, state *backendState) bool {
+	return !s.config.Mechanisms.NoSuspicion && (state.isSilent(p.now) || s.checkSuspect(p.now, state))
 }
 
 // filterExpired excludes back ends whose entries were removed too long ago, or expired in an outage
 // of the store and did not return in time.
-func filterLapsed(s *Steerer, p *placing, member *directory.Member, _ *backendState) bool {
+func filterExpired(s *Steerer, p *placementState, member *directory.Member, _ *backendState) bool {
 	if member.LapsedUntil > 0 && p.now >= member.LapsedUntil {
 		return true
 	}
@@ -43,32 +43,32 @@
 
 // filterConnections excludes back ends that have this balancer's share of the flows that they may
 // hold, and filterFull those that certainly hold the maximum.
-func filterConnections(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
+func filterConnections(s *Steerer, p *placementState, member *directory.Member, state *backendState) bool {
 	return s.connectionsOf(p.group, member).SoftLimitReached(state.flows)
 }
 
-func filterFull(s *Steerer, p *placing, member *directory.Member, state *backendState) bool {
+func filterFull(s *Steerer, p *placementState, member *directory.Member, state *backendState) bool {
 	return s.connectionsOf(p.group, member).HardLimitReached(state.flows)
 }
 
 // connectionsOf returns the flow limit of one of the group's back ends and the numbers of balancers
 // that share it.
 func (s *Steerer) connectionsOf(group *settings.Group, member *directory.Member) admission.ConnectionLimit {
-	return admission.ConnectionLimit{Limit: group.Connections, ZoneSize: s.own.zoneSize(), FleetSize: s.own.fleetSize(), Local: member.Zone == s.config.Zone}
+	return admission.ConnectionLimit{Limit: group.Connections, ZoneSize: s.membership.zoneSize(), FleetSize: s.membership.fleetSize(), Local: member.Zone == s.config.Zone}
 }
 
 // checkSuspect reports whether new flows avoid a back end as suspect. Its silence is counted from
 // the time at which this process could have received an answer.
 func (s *Steerer) checkSuspect(now time.Duration, state *backendState) bool {
 	if s.lagging(now) {
-		s.lagged = max(s.lagged, now-lagTime)
+		s.lastLate = max(s.lastLate, now-lagTime)
 	}
 	if state.unansweredSince != 0 {
-		state.unansweredSince = max(state.unansweredSince, s.lagged+lagTime)
+		state.unansweredSince = max(state.unansweredSince, s.lastLate+lagTime)
 	}
-	before := state.doubtUntil
-	suspect := state.doubted(now)
-	if state.doubtUntil > before && !state.pool.lossy() {
+	before := state.suspectUntil
+	suspect := state.checkSuspect(now)
+	if state.suspectUntil > before && !state.pool.lossy() {
 		// Otherwise each balancer of the zone would send the back end a flow of its own before it
 		// receives the next regular report.
 		s.requestUrgentReport(now)
@@ -80,14 +80,14 @@
 // entries of a group disappear at once, the store has most likely lost them in an outage.
 func (s *Steerer) lapseGrace(pool *directory.Pool) time.Duration {
 	if len(pool.Left) < 2 {
-		return s.config.LapseGrace
+		return s.config.RemovalGrace
 	}
 	first, last := pool.Left[0].GoneAt, pool.Left[0].GoneAt
 	for _, member := range pool.Left {
 		first, last = min(first, member.GoneAt), max(last, member.GoneAt)
 	}
 	if last-first > massRemovalWindow {
-		return s.config.LapseGrace
+		return s.config.RemovalGrace
 	}
-	return time.Duration(float64(s.config.LapseGrace) * massRemovalFactor)
+	return time.Duration(float64(s.config.RemovalGrace) * massRemovalFactor)
 }
--- a/internal/steering/held.go
+++ b/internal/steering/held.go
@@ -12,7 +12,7 @@
 const maxAttempt = 2
 
 // clampAttempt limits the number of a copy to maxAttempt.
-func lastAttempt(attempt uint32) uint8 { return uint8(min(attempt, maxAttempt)) }
+func clampAttempt(attempt uint32) uint8 { return uint8(min(attempt, maxAttempt)) }
 
 // hasBeenCopied reports whether the caller of a held opening packet has sent a later copy by now.
 // The copy may have opened the flow through another balancer, and the answer of a second back end
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -143,8 +143,8 @@
 		for id, load := range sum {
 			others[directory.TagOf(id)] = subtract(load, own[i][id])
 		}
-		s.SetOthersLoad(others)
-		s.SetPlace(Place{Index: i, Count: len(zone)})
+		s.SetPeerLoads(others)
+		s.SetMembership(Membership{Index: i, Count: len(zone)})
 	}
 }
 
@@ -159,7 +159,7 @@
 	const flows = 320
 	zone, address := zoneOf(t, zoneBalancers, zoneServers)
 	for i, s := range zone {
-		s.SetPlace(Place{Index: i, Count: len(zone)})
+		s.SetMembership(Membership{Index: i, Count: len(zone)})
 	}
 	random := rand.New(rand.NewPCG(3, 4))
 	taken := map[settings.BackendID]int{}
--- a/internal/steering/locate.go
+++ b/internal/steering/locate.go
@@ -33,7 +33,7 @@
 	// follows its tag: an inquiry or its answer may be lost once.
 	maxSearches = 2
 	// InquiryResendDelay is the delay after which a driver resends inquiries once.
-	InquiryRepeat = 5 * time.Millisecond
+	InquiryResendDelay = 5 * time.Millisecond
 	// locateWindow is the maximum distance, in bytes, between the acknowledged positions that two
 	// balancers know of one flow. Initial sequence numbers are random: that of another back end
 	// lies within the window by chance in 1 of 2,000 cases.
@@ -77,7 +77,7 @@
 
 // mayBeOpenElsewhere reports whether the flow may be open at another back end than the packet's tag
 // or its record says.
-func (s *Steerer) opensElsewhere(now time.Duration, rec *record, packet *Packet) bool {
+func (s *Steerer) mayBeOpenElsewhere(now time.Duration, rec *record, packet *Packet) bool {
 	if !rec.opening || packet.Kind == Abort || s.config.Mechanisms.NoPins {
 		return false
 	}
@@ -87,7 +87,7 @@
 
 // startSearch queues an inquiry to other balancers for the packet's flow. It reports whether the
 // packet waits for the answer.
-func (s *Steerer) seek(now time.Duration, packet *Packet) bool {
+func (s *Steerer) startSearch(now time.Duration, packet *Packet) bool {
 	if packet.Waited || packet.Kind == Abort || s.view.Revision == 0 || s.config.Mechanisms.NoInquiries {
 		return false
 	}
@@ -101,11 +101,11 @@
 	last.at, last.attempts = now, last.attempts+1
 	openSequence := openingSequence(packet)
 	if rec := s.flows[packet.Flow]; rec != nil {
-		last.disputed = last.disputed || rec.left != 0 || !rec.opensBy(packet, rec.member.Tag)
+		last.disputed = last.disputed || rec.previousTag != 0 || !rec.hasOpeningTag(packet, rec.member.Tag)
 		openSequence = rec.openSequence
 	}
 	inquiry := Inquiry{Flow: packet.Flow, Acknowledged: packet.Acknowledged}
-	if member := s.named(packet, openSequence); member != nil && openSequence == openingSequence(packet) {
+	if member := s.namedBackend(packet, openSequence); member != nil && openSequence == openingSequence(packet) {
 		inquiry.Backend = member.ID
 	}
 	if last.firstNamed == 0 {
@@ -118,12 +118,12 @@
 
 // takeSearchToken reports whether the rate limit allows a search, and counts it.
 func (s *Steerer) takeSearchToken(now time.Duration) bool {
-	s.searchesLeft = min(s.searchesLeft+(now-s.searchedAt).Seconds()*searchRate, searchBurst)
-	s.searchedAt = now
-	if s.searchesLeft < 1 {
+	s.searchTokens = min(s.searchTokens+(now-s.searchTokensAt).Seconds()*searchRate, searchBurst)
+	s.searchTokensAt = now
+	if s.searchTokens < 1 {
 		return false
 	}
-	s.searchesLeft--
+	s.searchTokens--
 	return true
 }
 
@@ -138,7 +138,7 @@
 
 // isSearched reports whether a flow's first packet has arrived here recently: a server has answered
 // its opening packet, and a second one must not.
-func (s *Steerer) isSought(now time.Duration, key flow.Key) bool {
+func (s *Steerer) isSearched(now time.Duration, key flow.Key) bool {
 	search, found := s.searches[key]
 	return found && now-search.at <= openTimeout
 }
@@ -147,7 +147,7 @@
 // tag names, or nil for none yet. It is the named one if no other balancer contradicts and one has
 // sent the opening packet there, or if enough searches were made. Where copies went to two back
 // ends, the one that the caller named first is used.
-func (s *Steerer) mayFollow(key flow.Key, named *directory.Member) *directory.Member {
+func (s *Steerer) searchResult(key flow.Key, named *directory.Member) *directory.Member {
 	search, found := s.searches[key]
 	switch {
 	case named == nil || !found || search.reportedBackend == named.ID && !search.disputed:
@@ -202,7 +202,7 @@
 func inLocateWindow(a, b uint32) bool { return a-b+locateWindow <= 2*locateWindow }
 
 // ReceiveLocations records the back ends of flows that other balancers have located.
-func (s *Steerer) HearLocations(now time.Duration, locations []Location) {
+func (s *Steerer) ReceiveLocations(now time.Duration, locations []Location) {
 	for _, location := range locations {
 		if location.Opening {
 			s.receiveOpening(location)
@@ -213,12 +213,12 @@
 		if member == nil || rec != nil && !rec.opening {
 			continue
 		}
-		s.forget(rec)
-		s.remember(&record{
+		s.removeRecord(rec)
+		s.addRecord(&record{
 			key:          location.Flow,
 			member:       member,
 			backend:      s.stateOf(member),
-			begun:        true,
+			requested:    true,
 			started:      now,
 			lastSeen:     now,
 			acknowledged: location.Acknowledged,
--- a/internal/steering/locate_test.go
+++ b/internal/steering/locate_test.go
@@ -37,9 +37,9 @@
 
 // steer passes a packet to a balancer. The other balancers receive its inquiries; their answers
 // arrive if answers is set.
-func (z *zone) steer(i int, packet Packet, answers bool) Verdict {
+func (z *zone) steer(i int, packet Packet, answers bool) Decision {
 	b := z.balancers[i]
-	b.pass(z.now - b.now)
+	b.advance(z.now - b.now)
 	decision := b.steerer.Steer(z.now, &packet)
 	inquiries := b.steerer.TakeInquiries()
 	for j, other := range z.balancers {
@@ -47,7 +47,7 @@
 			continue
 		}
 		if locations := other.steerer.Locate(z.now, inquiries); answers {
-			b.steerer.HearLocations(z.now, locations)
+			b.steerer.ReceiveLocations(z.now, locations)
 		}
 	}
 	if decision.Action != Wait {
@@ -55,7 +55,7 @@
 	}
 	z.now += CopyWait
 	packet.Waited = true
-	b.pass(z.now - b.now)
+	b.advance(z.now - b.now)
 	return b.steerer.Steer(z.now, &packet)
 }
 
@@ -81,7 +81,7 @@
 }
 
 // open sends a copy of the opening packet through a balancer.
-func (c *caller) open(through int, attempt uint32) Verdict {
+func (c *caller) open(through int, attempt uint32) Decision {
 	decision := c.zone.steer(through, Packet{Flow: key(c.number, feedAddress), Kind: Open, Attempt: attempt, Sequence: c.openSequence}, true)
 	if decision.Action == Forward {
 		c.tags[decision.Backend.ID] = decision.Tag
@@ -99,7 +99,7 @@
 }
 
 // send sends a packet with data through a balancer.
-func (c *caller) send(through int, answers bool) Verdict {
+func (c *caller) send(through int, answers bool) Decision {
 	decision := c.zone.steer(through, Packet{
 		Flow: key(c.number, feedAddress), Kind: Established, Tag: c.tag, Sequence: c.sequence,
 		Acknowledged: c.positions[c.backend] + 1, Payload: 100,
@@ -192,7 +192,7 @@
 		z.now += settleTime
 		for i, b := range z.balancers {
 			// Loads differ, so that balancers place copies apart.
-			b.pass(z.now - b.now)
+			b.advance(z.now - b.now)
 			for other := range random.IntN(4) {
 				b.opened(100*(i+1)+other, feedAddress)
 			}
--- a/internal/steering/observation.go
+++ b/internal/steering/observation.go
@@ -12,7 +12,7 @@
 // These values are logged.
 const (
 	// Suspect back ends have not answered an opening packet in time.
-	Doubted Observation = "back end doubted"
+	Suspect Observation = "back end doubted"
 	// Silent back ends left several callers without an answer.
 	Silent Observation = "back end suspected"
 	// Down back ends answer no caller. Flows whose requests may be repeated and idle flows are
@@ -21,13 +21,13 @@
 	// Ended back ends were replaced: another one has started at the address.
 	Ended Observation = "back end ended"
 	// RequestFailures is set for back ends that accept new flows and leave requests unanswered.
-	Faulty Observation = "back end leaves requests unanswered"
+	RequestFailures Observation = "back end leaves requests unanswered"
 	// Ejected back ends failed so many requests, through all balancers, that new flows avoid them.
 	// Restored is the end of that.
-	OutOfRotation  Observation = "back end out of rotation"
-	BackInRotation Observation = "back end back in rotation"
+	Ejected  Observation = "back end out of rotation"
+	Restored Observation = "back end back in rotation"
 	// Restarted back ends announced another start under their identifier.
-	StartedAnew Observation = "back end forgets its flows"
+	Restarted Observation = "back end forgets its flows"
 	// Responding back ends were suspect, silent or down and have responded.
 	Responding Observation = "back end answers again"
 )
--- a/internal/steering/opening.go
+++ b/internal/steering/opening.go
@@ -25,11 +25,11 @@
 
 // isFirstPacket reports whether the packet is the first one after the flow's opening packet, or a
 // retransmission of it.
-func (r *record) isFirst(packet *Packet) bool { return openingSequence(packet) == r.openSequence }
+func (r *record) isFirstPacket(packet *Packet) bool { return openingSequence(packet) == r.openSequence }
 
 // hasOpeningTag reports whether the packet carries the tag of the flow's opening packet to the back
 // end.
-func (r *record) opensBy(packet *Packet, backend directory.Tag) bool {
+func (r *record) hasOpeningTag(packet *Packet, backend directory.Tag) bool {
 	return packet.Tag == openingTag(backend, r.openSequence)
 }
 
@@ -37,7 +37,7 @@
 // the back end that its tag names. That is the case if all copies of the opening packet came here,
 // so that no other balancer can have opened it.
 func (r *record) confirmsOpening(now time.Duration, packet *Packet) bool {
-	if r.inquired || !r.opensBy(packet, r.member.Tag) && (r.left == 0 || !r.opensBy(packet, r.left)) {
+	if r.inquired || !r.hasOpeningTag(packet, r.member.Tag) && (r.previousTag == 0 || !r.hasOpeningTag(packet, r.previousTag)) {
 		return false
 	}
 	switch r.attempt {
--- a/internal/steering/outlier.go
+++ b/internal/steering/outlier.go
@@ -27,7 +27,7 @@
 	maxEjectedShare = 0.5
 	// maxReportedFailures bounds the failures accepted from reports, so that a wrong report decays
 	// within 16 s.
-	mostFailures = 64
+	maxReportedFailures = 64
 	// maxEvidence bounds the evidence that a back end fails, so that normal answers soon outweigh
 	// it.
 	maxEvidence = 1.5
@@ -44,12 +44,12 @@
 
 // classifyAnswer evaluates the answer to a flow's last request, once the next request or the end of
 // the flow shows that it is complete.
-func (s *Steerer) noteAnswer(now time.Duration, rec *record) {
+func (s *Steerer) classifyAnswer(now time.Duration, rec *record) {
 	if s.config.Mechanisms.NoOutliers || rec.member.ColdUntil > now {
 		return
 	}
-	evidence := s.baselineOf(s.baselineKeyOf(rec)).add(rec.acknowledged-rec.responseStart, rec.answerTime)
-	rec.answerTime = 0
+	evidence := s.baselineOf(s.baselineKeyOf(rec)).add(rec.acknowledged-rec.responseStart, rec.responseLatency)
+	rec.responseLatency = 0
 	b := rec.backend
 	b.failureEvidence = min(max(b.failureEvidence+evidence, 0), maxEvidence)
 	if evidence > 0 && b.failureEvidence >= minEvidence {
@@ -78,28 +78,28 @@
 		if c.failures < negligibleFailures {
 			continue
 		}
-		c.load, c.soon, c.even = max(c.load, mean.load), max(c.soon, mean.soon), max(c.even, mean.even)
-		if !c.state.out {
+		c.load, c.expectedLoad, c.balanceLoad = max(c.load, mean.load), max(c.expectedLoad, mean.expectedLoad), max(c.balanceLoad, mean.balanceLoad)
+		if !c.state.ejected {
 			continue
 		}
-		minLoad := faultCost / float64(max(c.member.Slots, 1))
+		minLoad := requestFailureCost / float64(max(c.member.Slots, 1))
 		c.load += c.failures * max(mean.load, minLoad)
-		c.soon += c.failures * max(mean.soon, minLoad)
-		c.even += c.failures * max(mean.even, minLoad/recentWindow)
+		c.expectedLoad += c.failures * max(mean.expectedLoad, minLoad)
+		c.balanceLoad += c.failures * max(mean.balanceLoad, minLoad/recentWindow)
 	}
 }
 
 // updateEjected ejects or restores a back end by its number of failures, and reports whether it is
 // ejected.
 func (b *backendState) updateEjected(failures float64) bool {
-	ejected := failures >= ejectFailures || b.out && failures >= restoreFailures
-	if ejected == b.out {
+	ejected := failures >= ejectFailures || b.ejected && failures >= restoreFailures
+	if ejected == b.ejected {
 		return ejected
 	}
-	b.out = ejected
-	observation := BackInRotation
+	b.ejected = ejected
+	observation := Restored
 	if ejected {
-		observation = OutOfRotation
+		observation = Ejected
 	}
 	*b.events = append(*b.events, BackendEvent{Observation: observation, Backend: b.id, Failures: failures})
 	return ejected
@@ -111,10 +111,10 @@
 	for i := range candidates {
 		c := &candidates[i]
 		mean.load += c.load
-		mean.soon += c.soon
-		mean.even += c.even
+		mean.expectedLoad += c.expectedLoad
+		mean.balanceLoad += c.balanceLoad
 	}
 	n := float64(max(len(candidates), 1))
-	mean.load, mean.soon, mean.even = mean.load/n, mean.soon/n, mean.even/n
+	mean.load, mean.expectedLoad, mean.balanceLoad = mean.load/n, mean.expectedLoad/n, mean.balanceLoad/n
 	return mean
 }
--- a/internal/steering/outlier_test.go
+++ b/internal/steering/outlier_test.go
@@ -87,10 +87,10 @@
 	if failed < 2 {
 		t.Errorf("only %d requests probe the failing back ends", failed)
 	}
-	if events := f.TakeEvents(); len(events) == 0 || events[0].Observation != OutOfRotation {
+	if events := f.TakeEvents(); len(events) == 0 || events[0].Observation != Ejected {
 		t.Errorf("events: %v", events)
 	}
-	if f.TakeAlarm() != true || len(f.Failures(9)) == 0 {
+	if f.TakeUrgentReport() != true || len(f.Failures(9)) == 0 {
 		t.Error("no urgent report of the failures")
 	}
 }
@@ -159,13 +159,13 @@
 // Reported failures take effect at once.
 func TestReportedFailuresCountAndDecay(t *testing.T) {
 	f := newOutlierFleet(t, 2)
-	f.SetOthersLoad(map[directory.Tag]Load{1: {Failures: 2}})
+	f.SetPeerLoads(map[directory.Tag]Load{1: {Failures: 2}})
 	for range 20 {
 		if id := f.request(t, func(settings.BackendID) (uint32, time.Duration) { return f.normalAnswer(0.3) }); id == 1 {
 			t.Fatal("a flow goes to a back end with two reported failures")
 		}
 	}
-	left := Load{Failures: 2}.Faded(FadingOver(20 * time.Second))
+	left := Load{Failures: 2}.Decayed(DecayOver(20 * time.Second))
 	if left.Failures >= negligibleFailures {
 		t.Errorf("%v of two failures are left after 20 s", left.Failures)
 	}
@@ -181,11 +181,11 @@
 	if len(baselines) != 1 || baselines[0].Service != running.address {
 		t.Fatalf("baselines %v", baselines)
 	}
-	started.HearBaselines([]Baseline{{Service: running.address}, {Length: 100, Time: time.Second}, {Service: running.address, Length: 1, Time: -time.Second}})
+	started.ReceiveBaselines([]Baseline{{Service: running.address}, {Length: 100, Time: time.Second}, {Service: running.address, Length: 1, Time: -time.Second}})
 	if len(started.baselines) != 0 {
 		t.Errorf("invalid baselines are adopted: %v", started.baselines)
 	}
-	started.HearBaselines(baselines)
+	started.ReceiveBaselines(baselines)
 	started.request(t, func(settings.BackendID) (uint32, time.Duration) { return failedLength, failedTime })
 	if len(started.Failures(4)) != 1 {
 		t.Error("the first failure does not count")
--- a/internal/steering/packet.go
+++ b/internal/steering/packet.go
@@ -114,7 +114,7 @@
 )
 
 // Decision is the result for one packet.
-type Verdict struct {
+type Decision struct {
 	Action Action
 	// Backend is where the packet goes; nil unless Action is Forward.
 	Backend *directory.Member
--- a/internal/steering/parts.go
+++ b/internal/steering/parts.go
@@ -78,7 +78,7 @@
 type part struct {
 	group *settings.Group
 	// share is its share of new flows, and requests the decaying count on flows scheduled for it.
-	share, count float64
+	share, requests float64
 }
 
 // newRotation starts at a position that depends on the hash.
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, p := range r.parts {
-		p.count = 0
+		p.requests = 0
 	}
 }
 
@@ -136,7 +136,7 @@
 	r.computeTargets()
 	r.order = append(r.order[:0], r.parts...)
 	if at := slices.Index(r.order, previous); at >= 0 {
-		previous.count = max(previous.count-1, 0)
+		previous.requests = max(previous.requests-1, 0)
 		r.order[0], r.order[at] = r.order[at], r.order[0]
 		return r.order
 	}
@@ -152,11 +152,11 @@
 func (r *rotation) computeTargets() {
 	total := float64(priorShareRequests)
 	for _, p := range r.parts {
-		total += p.count
+		total += p.requests
 	}
 	r.targets = r.targets[:0]
 	for _, p := range r.parts {
-		share := (p.count + priorShareRequests*p.share) / total
+		share := (p.requests + priorShareRequests*p.share) / total
 		limit := min(maxCorrection, p.share/2)
 		r.targets = append(r.targets, p.share+max(-limit, min(p.share-share, limit)))
 	}
@@ -204,14 +204,14 @@
 }
 
 // decayRotations ages the counts by one second.
-func (s *Steerer) decaySplits() {
+func (s *Steerer) decayRotations() {
 	for name, r := range s.rotations {
 		if s.serviceReplaced(name, r.service) {
 			delete(s.rotations, name)
 			continue
 		}
 		for _, p := range r.parts {
-			p.count *= partCountDecay
+			p.requests *= partCountDecay
 		}
 	}
 }
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -30,7 +30,7 @@
 						s.update(service)
 						for range flows {
 							p := s.next(nil)[0]
-							p.count++
+							p.requests++
 							if p.group.Path == "b" {
 								taken++
 							}
@@ -52,9 +52,9 @@
 	flows := 0.0
 	for range 2000 {
 		p := s.next(nil)[0]
-		p.count++
+		p.requests++
 		if p.group.Path == "a" {
-			p.count += 9
+			p.requests += 9
 			flows++
 		}
 	}
@@ -102,7 +102,7 @@
 		reason           PartReason
 	}{
 		"empty": {
-			func(f *fleet) { f.vanish(11); f.vanish(12) },
+			func(f *fleet) { f.remove(11); f.remove(12) },
 			func(f *fleet) { f.announce(11, "upload", "a", false); f.announce(12, "upload", "a", false) }, PartEmpty,
 		},
 		"draining": {
@@ -111,16 +111,16 @@
 		},
 		"evacuated": {evacuate(true), evacuate(false), PartEmpty},
 		"silent": {
-			uploads(func(f *fleet, state *backendState) { state.suspectUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
+			uploads(func(f *fleet, state *backendState) { state.silentUntil = f.now + time.Hour }),
+			uploads(func(f *fleet, state *backendState) { state.recordResponse(f.now) }), PartUnresponsive,
 		},
 		"down": {
-			uploads(func(f *fleet, state *backendState) { state.lostUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
+			uploads(func(f *fleet, state *backendState) { state.downUntil = f.now + time.Hour }),
+			uploads(func(f *fleet, state *backendState) { state.recordResponse(f.now) }), PartUnresponsive,
 		},
 		"suspect": {
-			uploads(func(f *fleet, state *backendState) { state.doubtUntil = f.now + time.Hour }),
-			uploads(func(f *fleet, state *backendState) { state.noteProgress(f.now) }), PartUnresponsive,
+			uploads(func(f *fleet, state *backendState) { state.suspectUntil = f.now + time.Hour }),
+			uploads(func(f *fleet, state *backendState) { state.recordResponse(f.now) }), PartUnresponsive,
 		},
 		"ejected": {
 			uploads(func(_ *fleet, state *backendState) { state.failures = 10 }),
@@ -165,12 +165,12 @@
 			t.Fatalf("in cooldown at %v", at)
 		}
 	}
-	pool := poolState{usual: 0.5}
+	pool := poolState{typicalLatency: 0.5}
 	for range 2 * cooldownThreshold {
-		pool.noteVain(2*time.Second, time.Second)
+		pool.noteUnanswered(2*time.Second, time.Second)
 	}
-	if pool.rest.unanswered != 0 {
-		t.Errorf("requests of twice the typical time count: %+v", pool.rest)
+	if pool.cooldown.unanswered != 0 {
+		t.Errorf("requests of twice the typical time count: %+v", pool.cooldown)
 	}
 }
 
@@ -193,15 +193,15 @@
 // A copy goes to the other part if its own part has no other back end.
 func TestCopyGoesToOtherPart(t *testing.T) {
 	f := newFleet(t)
-	f.vanish(12)
+	f.remove(12)
 	caller := 0
 	decision := f.open(caller, splitAddress, 0)
 	for ; decision.Part.Discover != "upload"; decision = f.open(caller, splitAddress, 0) {
 		f.established(caller, splitAddress, decision.Backend.Tag, 1, 0)
 		caller++
 	}
-	f.pass(200 * time.Millisecond)
-	f.state(11).suspectUntil = f.now + time.Second
+	f.advance(200 * time.Millisecond)
+	f.state(11).silentUntil = f.now + time.Second
 	copied := f.open(caller, splitAddress, 1)
 	if copied.Action != Forward || !copied.Moved || copied.Part.Discover != "feed" || copied.PartReason != PartUnresponsive {
 		t.Errorf("the copy: %+v", copied)
@@ -229,7 +229,7 @@
 	f := newFleet(t)
 	waiting := f.open(0, splitAddress, 0)
 	f.applySettings(map[string]string{waiting.Part.Discover: "0", map[string]string{"feed": "upload", "upload": "feed"}[waiting.Part.Discover]: "1"}, "0")
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	if copied := f.open(0, splitAddress, 1); copied.Part == nil || copied.Part.Discover == waiting.Part.Discover {
 		t.Errorf("a copy goes to the part with weight 0: %+v", copied)
 	}
@@ -237,9 +237,9 @@
 	if counts := f.countParts(100, 50); len(counts) != 1 || counts["upload only"] != 50 {
 		t.Errorf("%v", counts)
 	}
-	f.vanish(11)
-	f.vanish(12)
-	f.pass(3 * time.Second)
+	f.remove(11)
+	f.remove(12)
+	f.advance(3 * time.Second)
 	if decision := f.open(200, splitAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
 		t.Errorf("%+v", decision)
 	}
@@ -273,7 +273,7 @@
 		f.now += took
 		f.established(caller, splitAddress, tag, uint32(length), 0)
 		f.steerer.Steer(f.now, &Packet{Flow: key(caller, splitAddress), Kind: Close, Tag: tag, Sequence: uint32(caller) + 102, Acknowledged: uint32(length)})
-		f.pass(time.Second/16 - took)
+		f.advance(time.Second/16 - took)
 		if caller%16 == 0 {
 			f.steerer.Tick(f.now)
 		}
@@ -305,7 +305,7 @@
 		if answered || decision.Part.Discover == "feed" {
 			f.established(caller, splitAddress, tag, 500, 0)
 		}
-		f.pass(25 * time.Millisecond)
+		f.advance(25 * time.Millisecond)
 		return decision.Part.Discover + " " + decision.PartReason.String()
 	}
 	counts := map[string]int{}
@@ -315,7 +315,7 @@
 	if counts["feed dark"] < 60 || counts["upload turn"] > 35 {
 		t.Errorf("while it answers none: %v", counts)
 	}
-	f.pass(maxCooldown + time.Second)
+	f.advance(maxCooldown + time.Second)
 	clear(counts)
 	for caller := 400; caller < 600; caller++ {
 		counts[request(caller, true)]++
--- a/internal/steering/placements.go
+++ b/internal/steering/placements.go
@@ -12,7 +12,7 @@
 // placedRetention is the age from which on placed flows are negligible in that count.
 const placedRetention = 8 * placedWindow
 
-func (b *backendState) notePlaced(now time.Duration) {
+func (b *backendState) recordPlacement(now time.Duration) {
 	b.placed, b.placedAt = b.recentPlacements(now)+1, now
 	b.recent++
 	b.steady++
@@ -32,7 +32,7 @@
 // extrapolated from this balancer's latest placements. Counts that others report half a second
 // later show a change too late: all balancers decide by the same loads and rule, and would together
 // overload a newly idle back end.
-func (s *Steerer) rush(now time.Duration, state *backendState, local bool) float64 {
+func (s *Steerer) loadCorrection(now time.Duration, state *backendState, local bool) float64 {
 	if state.recentPlaced == 0 || s.config.Mechanisms.NoPacing {
 		return 0
 	}
@@ -44,9 +44,9 @@
 // placers returns the number of balancers that place flows at the same back ends: those of the
 // zone, or all for back ends elsewhere. It is lower where each compares only a subset.
 func (s *Steerer) placers(local bool) float64 {
-	zone, fleet := float64(max(s.own.Count, 1)), float64(max(s.own.Fleet, s.own.Count, 1))
-	if s.own.Count >= manyBalancers {
-		zone, fleet = spanEach, spanEach*fleet/zone
+	zone, fleet := float64(max(s.membership.Count, 1)), float64(max(s.membership.Fleet, s.membership.Count, 1))
+	if s.membership.Count >= minBalancersForSubsets {
+		zone, fleet = balancersPerBackend, balancersPerBackend*fleet/zone
 	}
 	if local {
 		return zone
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -9,7 +9,7 @@
 )
 
 // placementState holds what filters and scorers read for the placement of one flow.
-type placing struct {
+type placementState struct {
 	now   time.Duration
 	hash  uint64
 	group *settings.Group
@@ -23,11 +23,11 @@
 }
 
 // filter reports whether a back end is excluded from a placement.
-type filter func(s *Steerer, p *placing, member *directory.Member, state *backendState) bool
+type filter func(s *Steerer, p *placementState, member *directory.Member, state *backendState) bool
 
 // scorer fills in one value of all candidates. Scorers run in order, and a later one may read what
 // an earlier one filled in.
-type scorer func(s *Steerer, p *placing)
+type scorer func(s *Steerer, p *placementState)
 
 // tier is a list of back ends and the filters that apply to it. A flow goes to the first tier that
 // has a candidate.
@@ -41,10 +41,10 @@
 // tiers are in order of preference: healthy back ends, those near their limit of flows,
 // unresponsive ones, and those whose entries were removed recently, perhaps by mistake.
 var tiers = []tier{
-	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterConnections}, true},
-	{openMembers, []filter{filterCold, filterLeft, filterSilent, filterFull}, true},
-	{openMembers, []filter{filterCold, filterFull}, false},
-	{removedMembers, []filter{filterLapsed, filterCold, filterFull}, false},
+	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterConnections}, true},
+	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterFull}, true},
+	{openMembers, []filter{filterWarmingUp, filterFull}, false},
+	{removedMembers, []filter{filterExpired, filterWarmingUp, filterFull}, false},
 }
 
 // scorers set the load first, then what makes the same load slower.
@@ -58,33 +58,33 @@
 func (s *Steerer) gatherCandidates(tier int) bool {
 	s.candidates = s.candidates[:0]
 	t := &tiers[tier]
-	for _, member := range t.members(s.placing.pool) {
+	for _, member := range t.members(s.placement.pool) {
 		s.addCandidate(member, t.filters)
 	}
 	if t.includeExpired {
-		s.addLapsed(t.filters)
+		s.addExpired(t.filters)
 	}
 	return len(s.candidates) > 0
 }
 
 // addCandidate adds a back end if it passes the filters.
 func (s *Steerer) addCandidate(member *directory.Member, filters []filter) {
-	state := s.observed(member)
+	state := s.observedState(member)
 	if s.filtered(filters, member, state) {
 		return
 	}
 	s.candidates = append(s.candidates, candidate{
-		member: member,
-		state:  state,
-		pace:   1,
-		score:  placement.Score(s.placing.hash, member.ID, 1),
-		local:  member.Zone == s.config.Zone,
+		member:    member,
+		state:     state,
+		slowdown:  1,
+		hashScore: placement.Score(s.placement.hash, member.ID, 1),
+		local:     member.Zone == s.config.Zone,
 	})
 }
 
 func (s *Steerer) filtered(filters []filter, member *directory.Member, state *backendState) bool {
 	for _, excludes := range filters {
-		if excludes(s, &s.placing, member, state) {
+		if excludes(s, &s.placement, member, state) {
 			return true
 		}
 	}
@@ -94,6 +94,6 @@
 // scoreCandidates runs all scorers.
 func (s *Steerer) scoreCandidates() {
 	for _, score := range scorers {
-		score(s, &s.placing)
+		score(s, &s.placement)
 	}
 }
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -32,23 +32,23 @@
 // poolState holds what this balancer has observed of the back ends that announce one name.
 type poolState struct {
 	// unobserved is shared by all back ends without observations. It is never written to.
-	blank *backendState
+	unobserved *backendState
 	// startedAt is when this balancer began to observe.
 	startedAt time.Duration
 	// rotation counts the placements in the pool and rotates the subset.
 	rotation int
 	// typicalLatency is the typical response time at the last placement in seconds, 0 while
 	// unknown.
-	usual float64
+	typicalLatency float64
 	// warmUpSlowdown is the measured slowdown of back ends that are warming up.
 	warmUpSlowdown float64
 	// cooldown keeps flows of split services away while no back end answers requests.
-	rest cooldown
+	cooldown cooldown
 	// retransmits and retransmitsLong count requests retransmitted though the back end was
 	// healthy: over seconds, which follows changes, and over half a minute, which varies less.
-	repeated, repeatedLong repetitions
+	retransmits, retransmitsLong retransmitStats
 	// openingRetransmits counts retransmitted opening packets over half a minute.
-	openingRetransmits repetitions
+	openingRetransmits retransmitStats
 }
 
 // poolOf returns the state of the back ends that announce the name, creating it if needed.
@@ -63,24 +63,26 @@
 
 // lossy reports whether loss at healthy back ends may explain a single unanswered packet.
 func (p *poolState) lossy() bool {
-	return p.repeatedLong.highest() >= lossyShare || p.losesAnswers()
+	return p.retransmitsLong.upperBound() >= lossyShare || p.losesAnswers()
 }
 
 // losesAnswers reports whether two lost answers to opening packets in a row are likely.
-func (p *poolState) losesAnswers() bool { return p.openingRetransmits.highest() >= lossyOpeningShare }
+func (p *poolState) losesAnswers() bool {
+	return p.openingRetransmits.upperBound() >= lossyOpeningShare
+}
 
 // minSilentFlows returns how many flows in a row must go unanswered before a back end counts as
 // silent.
-func (p *poolState) silentFlows() int {
-	return max(silentFlows, byChance(silentByChance, p.openingRetransmits.highest()))
+func (p *poolState) minSilentFlows() int {
+	return max(minUnansweredFlows, minRunLength(silentFalsePositiveRate, p.openingRetransmits.upperBound()))
 }
 
 // justStarted reports whether too little was observed to estimate packet loss.
-func (p *poolState) young(now time.Duration) bool { return now-p.startedAt < settleTime }
+func (p *poolState) justStarted(now time.Duration) bool { return now-p.startedAt < settleTime }
 
 // minRunLength returns the smallest number of consecutive events, each with the given probability,
 // that has a joint probability of at most maxProbability.
-func byChance(maxProbability, probability float64) int {
+func minRunLength(maxProbability, probability float64) int {
 	if probability >= 1 {
 		return math.MaxInt
 	}
@@ -89,61 +91,61 @@
 
 // noteOpened counts an opened flow; copied is set if that took a copy of its opening packet.
 func (p *poolState) noteOpened(copied bool) {
-	p.openingRetransmits.asked++
+	p.openingRetransmits.requests++
 	if copied {
-		p.openingRetransmits.vain++
+		p.openingRetransmits.retransmitted++
 	}
 }
 
 // noteUnanswered counts an unanswered request that has waited much longer than is typical.
-func (p *poolState) noteVain(now, askedAt time.Duration) {
-	if (now - askedAt).Seconds() >= overdueFactor*p.usual {
-		p.rest.noteUnanswered(now, askedAt)
+func (p *poolState) noteUnanswered(now, askedAt time.Duration) {
+	if (now - askedAt).Seconds() >= overdueFactor*p.typicalLatency {
+		p.cooldown.noteUnanswered(now, askedAt)
 	}
 }
 
 // noteWarmUpLatency updates the slowdown with a response of a back end that is warming up.
-func (p *poolState) noteCold(latency time.Duration) {
-	if p.usual > 0 {
-		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.usual, 1), slowMost) - p.warmUpSlowdown)
+func (p *poolState) noteWarmUpLatency(latency time.Duration) {
+	if p.typicalLatency > 0 {
+		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.typicalLatency, 1), maxSlowness) - p.warmUpSlowdown)
 	}
 }
 
 // noteRequest counts a request that was sent.
-func (p *poolState) noteAsked() {
-	p.repeated.asked++
-	p.repeatedLong.asked++
+func (p *poolState) noteRequest() {
+	p.retransmits.requests++
+	p.retransmitsLong.requests++
 }
 
 // noteRetransmits counts requests that were retransmitted though the back end was healthy.
-func (p *poolState) noteRepeated(count int) {
-	p.repeated.vain += float64(count)
-	p.repeatedLong.vain += float64(count)
+func (p *poolState) noteRetransmits(count int) {
+	p.retransmits.retransmitted += float64(count)
+	p.retransmitsLong.retransmitted += float64(count)
 }
 
 // decay ages the counts by one second.
 func (p *poolState) decay() {
-	p.repeated.decay(recentDecay)
-	p.repeatedLong.decay(longDecay)
+	p.retransmits.decay(recentDecay)
+	p.retransmitsLong.decay(longDecay)
 	p.openingRetransmits.decay(longDecay)
 }
 
 // retransmitStats counts requests and those that were retransmitted, both decaying.
-type repetitions struct {
-	asked, vain float64
+type retransmitStats struct {
+	requests, retransmitted float64
 }
 
-func (r *repetitions) decay(factor float64) {
-	r.asked *= factor
-	r.vain *= factor
+func (r *retransmitStats) decay(factor float64) {
+	r.requests *= factor
+	r.retransmitted *= factor
 }
 
 // share estimates the share of retransmitted requests, starting from priorRetransmitShare.
-func (r *repetitions) share() float64 {
-	return (r.vain + priorRetransmitShare*priorRequests) / (r.asked + priorRequests)
+func (r *retransmitStats) share() float64 {
+	return (r.retransmitted + priorRetransmitShare*priorRequests) / (r.requests + priorRequests)
 }
 
 // upperBound returns the upper bound of share.
-func (r *repetitions) highest() float64 {
-	return r.share() + retransmitMargin*math.Sqrt(r.vain)/(r.asked+priorRequests)
+func (r *retransmitStats) upperBound() float64 {
+	return r.share() + retransmitMargin*math.Sqrt(r.retransmitted)/(r.requests+priorRequests)
 }
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -19,15 +19,15 @@
 		for caller := range 100 {
 			decision := f.open(caller, feedAddress, 0)
 			if caller%test.every == 0 {
-				f.pass(200 * time.Millisecond)
+				f.advance(200 * time.Millisecond)
 				decision = f.open(caller, feedAddress, 1)
 			}
 			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
-		f.pass(time.Second)
+		f.advance(time.Second)
 		first := f.open(200, feedAddress, 0)
-		f.pass(200 * time.Millisecond)
-		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{first.Backend.ID})
+		f.advance(200 * time.Millisecond)
+		f.steerer.ReceiveSuspects(f.now, []settings.BackendID{first.Backend.ID})
 		copied := f.open(200, feedAddress, 1)
 		if moved := copied.Backend.ID != first.Backend.ID; moved != test.moves {
 			t.Errorf("one in %d is retransmitted: the copy moves: %v", test.every, moved)
@@ -40,7 +40,7 @@
 func TestFirstCopyOfUnknownFlowIsNotPlacedUnderLoss(t *testing.T) {
 	for _, retransmitted := range []float64{1, 50} {
 		f := newFleet(t)
-		f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: retransmitted}
+		f.steerer.poolOf("feed").openingRetransmits = retransmitStats{requests: 100, retransmitted: retransmitted}
 		want := Wait
 		if retransmitted == 50 {
 			want = Drop
@@ -64,23 +64,23 @@
 	for _, test := range []struct {
 		name          string
 		now           time.Duration
-		openings      repetitions
+		openings      retransmitStats
 		heard         bool
 		silent, moves int
 	}{
-		{"just started", time.Second, repetitions{}, false, 3, 3},
-		{"just started, and another balancer suspects it", time.Second, repetitions{}, true, 1, 1},
-		{"settled", 10 * time.Second, repetitions{asked: 100}, false, 2, 2},
-		{"one in 20 is lost", 10 * time.Second, repetitions{asked: 100, vain: 5}, false, 3, 3},
+		{"just started", time.Second, retransmitStats{}, false, 3, 3},
+		{"just started, and another balancer suspects it", time.Second, retransmitStats{}, true, 1, 1},
+		{"settled", 10 * time.Second, retransmitStats{requests: 100}, false, 2, 2},
+		{"one in 20 is lost", 10 * time.Second, retransmitStats{requests: 100, retransmitted: 5}, false, 3, 3},
 	} {
 		var events []BackendEvent
 		b := &backendState{pool: &poolState{openingRetransmits: test.openings}, events: &events}
 		if test.heard {
-			b.heardDoubtUntil = test.now + time.Second
+			b.reportedSuspectUntil = test.now + time.Second
 		}
 		for flows := 1; flows <= test.silent; flows++ {
-			b.noteSilence(test.now, test.now-time.Millisecond)
-			if silent := b.suspected(test.now); silent != (flows >= test.moves) {
+			b.recordUnansweredFlow(test.now, test.now-time.Millisecond)
+			if silent := b.isSilent(test.now); silent != (flows >= test.moves) {
 				t.Errorf("%s, after %d flows: silent %v", test.name, flows, silent)
 			}
 		}
@@ -92,15 +92,15 @@
 	for _, lossy := range []bool{false, true} {
 		f := newFleet(t)
 		b := f.state(1)
-		b.doubt, b.doubtUntil = doubtTime, f.now+doubtTime
+		b.suspectPeriod, b.suspectUntil = initialSuspectPeriod, f.now+initialSuspectPeriod
 		if lossy {
-			f.steerer.poolOf("feed").openingRetransmits = repetitions{asked: 100, vain: 20}
+			f.steerer.poolOf("feed").openingRetransmits = retransmitStats{requests: 100, retransmitted: 20}
 		}
-		if reported := len(f.steerer.Doubted(f.now, 9)) > 0; reported == lossy {
+		if reported := len(f.steerer.Suspects(f.now, 9)) > 0; reported == lossy {
 			t.Errorf("packets are lost: %v, the suspect is reported: %v", lossy, reported)
 		}
-		b.suspectUntil = f.now + suspectTime
-		if len(f.steerer.Doubted(f.now, 9)) != 1 {
+		b.silentUntil = f.now + initialSilentPeriod
+		if len(f.steerer.Suspects(f.now, 9)) != 1 {
 			t.Errorf("packets are lost: %v, the silent back end is not reported", lossy)
 		}
 	}
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -28,14 +28,14 @@
 	member  *directory.Member
 	backend *backendState
 	// part is the part of the service that the flow's requests count for, nil when adopted.
-	turn *part
+	part *part
 	// opening is set until the caller has acknowledged the back end's answer.
 	opening bool
 	// openSequence is the caller's sequence on its opening packet.
 	openSequence uint32
 	// previousTag is the tag of the back end that an earlier copy of the opening packet went to, 0
 	// for none.
-	left directory.Tag
+	previousTag directory.Tag
 	// attempt is the number of the last copy of the opening packet that came here.
 	attempt uint8
 	// inquired is set once another balancer has asked for the flow's back end.
@@ -43,7 +43,7 @@
 	// closed is set once the caller has closed its side.
 	closed bool
 	// requestPending is set while a request is under way, and requested once there was one.
-	waiting, begun bool
+	requestPending, requested bool
 	// countedSilent is set once the record has counted as evidence that the back end is silent.
 	countedSilent bool
 	// unanswered is set once the request under way has counted as unanswered.
@@ -55,36 +55,36 @@
 	// responseStart is the caller's position in the data it received when it sent its last request.
 	// responseLatency is the time until the answer began, 0 once it was classified.
 	responseStart     uint32
-	answerTime        time.Duration
+	responseLatency   time.Duration
 	started, lastSeen time.Duration
 	// sentAt is when the opening packet or the request under way was sent.
-	askedAt time.Duration
+	sentAt time.Duration
 }
 
 // addRecord adds a new record, and reports whether there was room for it.
-func (s *Steerer) remember(rec *record) bool {
+func (s *Steerer) addRecord(rec *record) bool {
 	if s.config.MaxFlows > 0 && len(s.flows) >= s.config.MaxFlows {
 		return false
 	}
 	s.flows[rec.key] = rec
-	rec.backend.join(rec)
+	rec.backend.addRecord(rec)
 	return true
 }
 
 // removeRecord removes a record; nil is allowed.
-func (s *Steerer) forget(rec *record) {
+func (s *Steerer) removeRecord(rec *record) {
 	if rec == nil {
 		return
 	}
-	rec.backend.leave(rec)
-	rec.waiting = false
+	rec.backend.removeRecord(rec)
+	rec.requestPending = false
 	delete(s.flows, rec.key)
 }
 
 // isLateCopy reports whether an opening packet is a late copy of the one that opened this flow. It
 // must not reach another back end, whose answer would mislead the caller. The initial sequence of
 // an adopted flow is unknown, so any copy counts as late.
-func (r *record) isOpenFor(now time.Duration, packet *Packet) bool {
+func (r *record) isLateCopy(now time.Duration, packet *Packet) bool {
 	if r.opening || r.closed {
 		return false
 	}
@@ -96,17 +96,17 @@
 
 // adopted reports whether the flow was opened through another balancer.
 func (r *record) adopted() bool {
-	return r.turn == nil
+	return r.part == nil
 }
 
 // recordCopy counts a copy of the opening packet as evidence that the back end is silent.
-func (r *record) noteCopy(now time.Duration, attempt uint32) {
-	r.attempt = max(r.attempt, lastAttempt(attempt))
-	if attempt == 0 || r.countedSilent || now-r.askedAt < minRetransmitDelay {
+func (r *record) recordCopy(now time.Duration, attempt uint32) {
+	r.attempt = max(r.attempt, clampAttempt(attempt))
+	if attempt == 0 || r.countedSilent || now-r.sentAt < minRetransmitDelay {
 		return
 	}
 	r.countedSilent = true
-	r.backend.noteSilence(now, r.askedAt)
+	r.backend.recordUnansweredFlow(now, r.sentAt)
 }
 
 // received processes what a packet acknowledges of the back end's data.
@@ -117,7 +117,7 @@
 		r.backend.pool.noteOpened(r.countedSilent)
 		r.acknowledged = packet.Acknowledged
 		r.sequence = packet.Sequence
-		r.backend.noteProgress(now)
+		r.backend.recordResponse(now)
 		r.backend.opening--
 	}
 	if sequenceAfter(packet.Acknowledged, r.acknowledged) {
@@ -136,7 +136,7 @@
 // pending here, or only an unanswered one. That is no response: the back end may have gone silent
 // since.
 func (r *record) answeredAtUnknownTime(packet *Packet) bool {
-	return (packet.Payload > 0 || packet.Kind != Established) && (!r.waiting || r.unanswered)
+	return (packet.Payload > 0 || packet.Kind != Established) && (!r.requestPending || r.unanswered)
 }
 
 // sent processes the data that a packet carries. It reports whether the caller has retransmitted
@@ -155,16 +155,16 @@
 
 // completesAnswer reports whether a packet shows that the answer to the last request is complete:
 // the caller sends another request or ends the flow.
-func (r *record) endsAnswer(packet *Packet) bool {
+func (r *record) completesAnswer(packet *Packet) bool {
 	return packet.Kind == Close || packet.Payload > 0 && sequenceAfter(packet.Sequence+uint32(packet.Payload), r.sequence)
 }
 
 // cancelRequest ends the request under way, if any, without learning from it.
 func (r *record) cancelRequest() {
-	if !r.waiting {
+	if !r.requestPending {
 		return
 	}
-	r.waiting = false
+	r.requestPending = false
 	r.backend.active--
 }
 
@@ -173,30 +173,30 @@
 func (r *record) request(now time.Duration, packet *Packet) (retransmitted bool) {
 	end := packet.Sequence + uint32(packet.Payload)
 	if r.sequence != 0 && !sequenceAfter(end, r.sequence) {
-		if r.waiting && !r.countedSilent && now-r.askedAt >= minRetransmitDelay {
+		if r.requestPending && !r.countedSilent && now-r.sentAt >= minRetransmitDelay {
 			r.countedSilent = true
-			r.backend.noteSilence(now, r.askedAt)
+			r.backend.recordUnansweredFlow(now, r.sentAt)
 			return true
 		}
 		return false
 	}
 	r.sequence = end
-	if r.waiting || r.closed {
+	if r.requestPending || r.closed {
 		return false
 	}
-	r.waiting, r.unanswered = true, false
-	r.askedAt, r.responseStart = now, r.acknowledged
+	r.requestPending, r.unanswered = true, false
+	r.sentAt, r.responseStart = now, r.acknowledged
 	r.backend.active++
-	r.backend.pool.noteAsked()
-	if !r.begun {
+	r.backend.pool.noteRequest()
+	if !r.requested {
 		// The first request was counted when the flow was placed.
-		r.begun = true
+		r.requested = true
 		return false
 	}
 	r.backend.recent++
 	r.backend.steady++
-	if r.turn != nil {
-		r.turn.count++
+	if r.part != nil {
+		r.part.requests++
 	}
 	return false
 }
@@ -204,13 +204,13 @@
 // answered records that the caller received data from the back end.
 func (r *record) answered(now time.Duration) {
 	r.countedSilent = false
-	r.backend.noteProgress(now)
-	if !r.waiting {
+	r.backend.recordResponse(now)
+	if !r.requestPending {
 		return
 	}
-	r.waiting = false
-	r.answerTime = now - r.askedAt
-	r.backend.recordAnswer(now, now-r.askedAt, r.askedAt < r.member.ColdUntil)
+	r.requestPending = false
+	r.responseLatency = now - r.sentAt
+	r.backend.recordAnswer(now, now-r.sentAt, r.sentAt < r.member.ColdUntil)
 }
 
 // sequenceAfter reports whether position a is after b, modulo 2^32.
@@ -227,7 +227,7 @@
 			rec.closed && idle > closedRetention,
 			idle > s.config.FlowLife,
 			now-rec.started > 2*s.config.FlowLife:
-			s.forget(rec)
+			s.removeRecord(rec)
 		case idle > idleTimeout:
 			rec.cancelRequest()
 		}
@@ -235,7 +235,7 @@
 	for id, state := range s.backends {
 		if state.decay(now); state.idle(now) {
 			delete(s.backends, id)
-			delete(s.departed, id)
+			delete(s.removed, id)
 		}
 	}
 	for _, pool := range s.pools {
@@ -244,6 +244,6 @@
 	for _, baseline := range s.baselines {
 		baseline.decay()
 	}
-	s.decaySplits()
+	s.decayRotations()
 	s.expireSearches(now)
 }
--- a/internal/steering/rush_test.go
+++ b/internal/steering/rush_test.go
@@ -92,11 +92,11 @@
 	member := f.opened(0, feedAddress)
 	member.ColdUntil = f.now + time.Minute
 	pool := f.steerer.poolOf("feed")
-	pool.usual = 0.050
+	pool.typicalLatency = 0.050
 	other := f.steerer.poolOf("upload").warmUpSlowdown
 	for i := range uint32(60) {
 		f.established(0, feedAddress, member.Tag, 1+100*i, 100)
-		f.pass(150 * time.Millisecond)
+		f.advance(150 * time.Millisecond)
 		f.established(0, feedAddress, member.Tag, 101+100*i, 0)
 	}
 	if slowdown := pool.warmUpSlowdown; math.Abs(slowdown-3) > 0.1 {
@@ -111,22 +111,22 @@
 }
 
 func TestWaitingTime(t *testing.T) {
-	if waiting(0, 2) != 0 {
+	if queueWait(0, 2) != 0 {
 		t.Error("waiting time at zero utilization")
 	}
 	// With one server the exact wait is use/(1-use) times the service time.
-	if got := waiting(0.5, 1); math.Abs(got-1) > 0.01 {
+	if got := queueWait(0.5, 1); math.Abs(got-1) > 0.01 {
 		t.Errorf("utilization 0.5, one slot: %v", got)
 	}
 	last := 0.0
 	for use := 0.05; use < 3; use += 0.05 {
-		got := waiting(use, 3)
+		got := queueWait(use, 3)
 		if got <= last {
 			t.Errorf("utilization %.2f: wait %v, no more than before", use, got)
 		}
 		last = got
 	}
-	if waiting(0.7, 1) <= waiting(0.7, 4) {
+	if queueWait(0.7, 1) <= queueWait(0.7, 4) {
 		t.Error("more slots at the same utilization wait as long or longer")
 	}
 }
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -1,7 +1,7 @@
 package steering
 
 // scoreLoad fills in the loads of each candidate relative to its slots, and its failures.
-func scoreLoad(s *Steerer, p *placing) {
+func scoreLoad(s *Steerer, p *placementState) {
 	if s.config.Mechanisms.NoLoad {
 		return
 	}
@@ -10,36 +10,36 @@
 		slots := float64(max(c.member.Slots, 1))
 		load := float64(c.state.active+1) + c.state.work() + c.state.others.Requests
 		even := load
-		if s.own.Count >= manyBalancers {
+		if s.membership.Count >= minBalancersForSubsets {
 			even = c.state.steadyRate()
 		}
 		c.load = load / slots
-		c.soon = (load + s.rush(p.now, c.state, c.local)) / slots
-		c.even = even / slots
+		c.expectedLoad = (load + s.loadCorrection(p.now, c.state, c.local)) / slots
+		c.balanceLoad = even / slots
 		c.failures = c.state.failures + c.state.others.Failures
 	}
 }
 
 // scoreWarmUp sets the slowdown of back ends that are warming up.
-func scoreWarmUp(s *Steerer, p *placing) {
+func scoreWarmUp(s *Steerer, p *placementState) {
 	if s.config.Mechanisms.NoPace || s.config.Mechanisms.NoLoad {
 		return
 	}
 	for i := range s.candidates {
 		if c := &s.candidates[i]; p.now < c.member.ColdUntil {
-			c.pace = c.state.pool.warmUpSlowdown
+			c.slowdown = c.state.pool.warmUpSlowdown
 		}
 	}
 }
 
 // scoreFailures increases the load of ejected back ends.
-func scoreFailures(s *Steerer, _ *placing) { s.weighFailures() }
+func scoreFailures(s *Steerer, _ *placementState) { s.weighFailures() }
 
 // scoreTypicalLatency computes the typical response time of the candidates.
-func scoreTypicalLatency(s *Steerer, p *placing) { p.typicalLatency = s.usualAnswer() }
+func scoreTypicalLatency(s *Steerer, p *placementState) { p.typicalLatency = s.typicalAnswer() }
 
 // scoreSlowness sets the slowdown of back ends that respond slowly.
-func scoreSlowness(s *Steerer, p *placing) { s.weighSlowness(p.now, p.typicalLatency) }
+func scoreSlowness(s *Steerer, p *placementState) { s.weighSlowness(p.now, p.typicalLatency) }
 
 // scoreTime computes the expected time of a request at each candidate.
-func scoreTime(s *Steerer, p *placing) { s.expectTimes(p.typicalLatency) }
+func scoreTime(s *Steerer, p *placementState) { s.estimateTimes(p.typicalLatency) }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -33,24 +33,24 @@
 
 // DecayOver returns the factors for an age. Compute them once for all loads of a hello: they cost
 // two exponentiations.
-func FadingOver(age time.Duration) Decay {
+func DecayOver(age time.Duration) Decay {
 	return Decay{math.Pow(recentDecay, age.Seconds()), math.Pow(steadyDecay, age.Seconds())}
 }
 
 // Decayed returns the load after decay.
-func (l Load) Faded(by Decay) Load {
+func (l Load) Decayed(by Decay) Load {
 	return Load{l.Requests * by.recent, l.Steady * by.steady, l.Failures * by.recent, l.Answers * by.recent, l.Time * by.recent}
 }
 
 // SetPeerLoads replaces the loads that other balancers reported for each back end. The steerer
 // owns the map from then on and may change it.
-func (s *Steerer) SetOthersLoad(loads map[directory.Tag]Load) {
+func (s *Steerer) SetPeerLoads(loads map[directory.Tag]Load) {
 	for tag, load := range loads {
-		load.Failures = min(load.Failures, mostFailures)
+		load.Failures = min(load.Failures, maxReportedFailures)
 		loads[tag] = load
 	}
 	for id, state := range s.backends {
-		if state.others = loads[directory.TagOf(id)]; state.deaf(s.pulse) {
+		if state.others = loads[directory.TagOf(id)]; state.ignoresReports(s.pulse) {
 			state.others = Load{}
 		}
 	}
@@ -64,13 +64,13 @@
 }
 
 // SetMembership sets this balancer's position among those of its zone.
-func (s *Steerer) SetPlace(membership Place) { s.own = membership }
+func (s *Steerer) SetMembership(membership Membership) { s.membership = membership }
 
 // ReceiveSuspects marks the back ends that other balancers suspect at present.
-func (s *Steerer) SetOthersDoubts(now time.Duration, suspects []settings.BackendID) {
+func (s *Steerer) ReceiveSuspects(now time.Duration, suspects []settings.BackendID) {
 	for _, id := range suspects {
 		if member := s.view.Member(id); member != nil {
-			s.stateOf(member).hearDoubt(now)
+			s.stateOf(member).receiveSuspect(now)
 		}
 	}
 }
@@ -78,10 +78,10 @@
 // Suspects returns at most count back ends that this balancer itself found unresponsive. Under
 // packet loss a single unanswered opening packet is left out: a receiver that does not know of the
 // loss would count it as a confirmation.
-func (s *Steerer) Doubted(now time.Duration, count int) []settings.BackendID {
+func (s *Steerer) Suspects(now time.Duration, count int) []settings.BackendID {
 	var suspects []settings.BackendID
 	for id, state := range s.backends {
-		if state.doubt > 0 && now < state.doubtUntil && !state.pool.lossy() || state.suspected(now) {
+		if state.suspectPeriod > 0 && now < state.suspectUntil && !state.pool.lossy() || state.isSilent(now) {
 			suspects = append(suspects, id)
 		}
 	}
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -12,7 +12,7 @@
 	// minSlowness is the ratio to the typical latency above which a back end counts as slow, and
 	// maxSlowness the upper bound of that ratio.
 	minSlowness = 1.6
-	slowMost    = 8
+	maxSlowness = 8
 	// minLocalAnswers is the number of answers through this balancer from which on their moving
 	// average, with weight localGain per answer, is preferred to the mean of all balancers, since
 	// it follows changes at once. It expires localLifetime after the last answer.
@@ -71,18 +71,18 @@
 
 // typicalAnswer returns the lower median of the candidates' mean latencies in seconds, 0 while
 // unknown.
-func (s *Steerer) usualAnswer() float64 {
-	s.means = s.means[:0]
+func (s *Steerer) typicalAnswer() float64 {
+	s.latencies = s.latencies[:0]
 	for i := range s.candidates {
 		if mean := s.candidates[i].state.meanAnswer(); mean > 0 {
-			s.means = append(s.means, mean)
+			s.latencies = append(s.latencies, mean)
 		}
 	}
-	if len(s.means) == 0 {
+	if len(s.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(s.means)
-	return s.means[(len(s.means)-1)/2]
+	slices.Sort(s.latencies)
+	return s.latencies[(len(s.latencies)-1)/2]
 }
 
 // weighSlowness raises the slowdown of candidates that answer clearly slower than typical. Too few
@@ -97,11 +97,11 @@
 		switch {
 		case mean > 0:
 			c.state.setSlowness(mean / typical)
-		case c.state.slowness > 1 && !c.state.trial && now-c.state.placedAt > probeInterval:
-			c.trial = true
+		case c.state.slowness > 1 && !c.state.probing && now-c.state.placedAt > probeInterval:
+			c.probe = true
 			continue
 		}
-		c.pace = max(c.pace, c.state.slowness)
+		c.slowdown = max(c.slowdown, c.state.slowness)
 	}
 }
 
@@ -109,6 +109,6 @@
 func (b *backendState) setSlowness(slowness float64) {
 	b.slowness = 1
 	if slowness > minSlowness {
-		b.slowness = min(slowness, slowMost)
+		b.slowness = min(slowness, maxSlowness)
 	}
 }
--- a/internal/steering/slowness_test.go
+++ b/internal/steering/slowness_test.go
@@ -22,9 +22,9 @@
 		member := f.opened(caller, feedAddress)
 		f.established(caller, feedAddress, member.Tag, 1, 100)
 		counts[member.ID]++
-		f.pass(latency(member.ID))
+		f.advance(latency(member.ID))
 		f.established(caller, feedAddress, member.Tag, 200, 0)
-		f.pass(interval)
+		f.advance(interval)
 		if f.now >= ticked+time.Second {
 			ticked = f.now
 			f.steerer.Tick(f.now)
@@ -40,7 +40,7 @@
 	for id := directory.Tag(2); id <= 6; id++ {
 		loads[id] = loadWithLatency(50 * time.Millisecond)
 	}
-	f.steerer.SetOthersLoad(loads)
+	f.steerer.SetPeerLoads(loads)
 	quick := func(settings.BackendID) time.Duration { return 50 * time.Millisecond }
 	if counts := f.placeEach(0, 60, 0, quick); counts[1] > 0 || counts[2] < 15 {
 		t.Errorf("flows by back end: %v", counts)
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -14,7 +14,7 @@
 const ignoreReportsTime = 6 * time.Second
 
 // ignoresReports reports whether reports on the back end may concern its previous start.
-func (b *backendState) deaf(now time.Duration) bool { return now < b.deafUntil }
+func (b *backendState) ignoresReports(now time.Duration) bool { return now < b.ignoreReportsUntil }
 
 // handleRestarts discards the observations of back ends that restarted under their identifiers,
 // and ends the flows that are older than the restart. Their next request would be lost, and a
@@ -37,17 +37,17 @@
 	for _, id := range slices.Sorted(maps.Keys(restarted)) {
 		previous, member := s.backends[id], restarted[id]
 		b := s.newState(member)
-		b.deafUntil = s.pulse + ignoreReportsTime
-		b.note(StartedAnew, s.pulse-previous.progress, b.deafUntil)
+		b.ignoreReportsUntil = s.pulse + ignoreReportsTime
+		b.recordEvent(Restarted, s.pulse-previous.lastResponse, b.ignoreReportsUntil)
 	}
 	for _, rec := range s.flows {
 		if member := restarted[rec.backend.id]; member != nil {
-			rec.backend.leave(rec)
+			rec.backend.removeRecord(rec)
 			rec.member, rec.backend = member, s.backends[member.ID]
-			rec.backend.join(rec)
+			rec.backend.addRecord(rec)
 		}
 	}
-	s.resetAll(func(rec *record) bool {
+	s.resetMatching(func(rec *record) bool {
 		member := restarted[rec.backend.id]
 		return member != nil && rec.started < member.StartedAfter
 	})
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -36,11 +36,11 @@
 	f.directory.SetInterval(time.Second)
 	f.restartAs(100)
 	old := f.openAtFirst(1)
-	f.pass(10 * time.Second)
+	f.advance(10 * time.Second)
 	recent := f.openAtFirst(2000)
 	before := f.state(1)
 	before.failures, before.slowness, before.others.Failures = 5, 4, 5
-	before.suspectUntil = f.now + time.Minute
+	before.silentUntil = f.now + time.Minute
 	f.steerer.TakeEvents()
 	f.restartAs(200)
 	resets := f.steerer.TakeResets()
@@ -59,11 +59,11 @@
 		t.Errorf("the old flow was reset: %v, the recent one: %v", ended[old], ended[recent])
 	}
 	state := f.state(1)
-	if state.failures != 0 || state.slowness != 1 || state.suspected(f.now) || state.flows == 0 || state.flows >= before.flows+len(resets)+1 {
+	if state.failures != 0 || state.slowness != 1 || state.isSilent(f.now) || state.flows == 0 || state.flows >= before.flows+len(resets)+1 {
 		t.Errorf("state of the previous start remains: %+v", state)
 	}
 	events := f.steerer.TakeEvents()
-	if len(events) != 1 || events[0].Observation != StartedAnew || events[0].Backend != 1 {
+	if len(events) != 1 || events[0].Observation != Restarted || events[0].Backend != 1 {
 		t.Errorf("events %+v", events)
 	}
 	// The recent flow continues.
@@ -80,17 +80,17 @@
 	f.openAtFirst(1)
 	f.restartAs(200)
 	receive := func() {
-		f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1})
-		f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 9, Failures: 9}})
+		f.steerer.ReceiveSuspects(f.now, []settings.BackendID{1})
+		f.steerer.SetPeerLoads(map[directory.Tag]Load{1: {Requests: 9, Failures: 9}})
 	}
 	receive()
 	state := f.state(1)
-	if state.doubted(f.now) || state.others != (Load{}) {
+	if state.checkSuspect(f.now) || state.others != (Load{}) {
 		t.Errorf("reports are not ignored after the restart: %+v", state)
 	}
-	f.pass(ignoreReportsTime)
+	f.advance(ignoreReportsTime)
 	receive()
-	if !state.doubted(f.now) || state.others.Failures != 9 {
+	if !state.checkSuspect(f.now) || state.others.Failures != 9 {
 		t.Errorf("reports are still ignored later: %+v", state)
 	}
 }
@@ -119,15 +119,15 @@
 		step(skipping, i%2 == 1, directory.Changes{Gone: []directory.Gone{{ID: id}}})
 	}
 	for _, f := range []*fleet{complete, skipping} {
-		if len(f.steerer.departed) != 4 {
-			t.Errorf("removed: %v", f.steerer.departed)
+		if len(f.steerer.removed) != 4 {
+			t.Errorf("removed: %v", f.steerer.removed)
 		}
 		f.now += 2 * time.Minute
 		f.steerer.Tick(f.now)
 		f.directory.Forget(f.now)
 		f.steerer.SetView(f.directory.View())
-		if len(f.steerer.departed) != 0 || len(f.steerer.backends) != 0 {
-			t.Errorf("remaining removed back ends %v and states %v", f.steerer.departed, f.steerer.backends)
+		if len(f.steerer.removed) != 0 || len(f.steerer.backends) != 0 {
+			t.Errorf("remaining removed back ends %v and states %v", f.steerer.removed, f.steerer.backends)
 		}
 	}
 }
@@ -143,14 +143,14 @@
 		t.Errorf("%d back ends have a state", states)
 	}
 	for range 180 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.steerer.Tick(f.now)
 	}
 	if states := len(f.steerer.backends); states > 0 {
 		t.Errorf("%d back ends have a state after all flows have ended", states)
 	}
 	for _, pool := range f.steerer.pools {
-		if unobserved := pool.blank; unobserved != nil && (unobserved.recent != 0 || unobserved.flows != 0 || unobserved.doubt != 0 || unobserved.slowness != 1) {
+		if unobserved := pool.unobserved; unobserved != nil && (unobserved.recent != 0 || unobserved.flows != 0 || unobserved.suspectPeriod != 0 || unobserved.slowness != 1) {
 			t.Errorf("the shared state of unobserved back ends was written to: %+v", unobserved)
 		}
 	}
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -23,18 +23,18 @@
 
 // steadyWork returns the work of this balancer at the back end over the longer time, in requests.
 func (b *backendState) steadyWork() float64 {
-	return b.steady + faultCost*b.faults
+	return b.steady + requestFailureCost*b.requestFailures
 }
 
 // steadyRate returns the work of all balancers at the back end in requests per second, over the
 // longer time or since it was first known.
 func (b *backendState) steadyRate() float64 {
-	return (b.steadyWork() + b.others.Steady) / (steadyOffset + b.spanned)
+	return (b.steadyWork() + b.others.Steady) / (steadyOffset + b.steadySpan)
 }
 
 // initialSteadySpan returns the seconds that the steady count covers for a back end without
 // observations: as long as it has been known here.
-func (s *Steerer) firstSpan(member *directory.Member) float64 {
+func (s *Steerer) initialSteadySpan(member *directory.Member) float64 {
 	const longest = 1 / (1 - steadyDecay)
 	if member.Since-s.startedAt < settleTime {
 		return longest
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -37,19 +37,19 @@
 	backends map[settings.BackendID]*backendState
 	// removed holds the states in backends whose entries were removed. They are few, so that each
 	// view is checked for these only.
-	departed map[settings.BackendID]*backendState
+	removed map[settings.BackendID]*backendState
 	// rotations are by service name.
 	rotations map[string]*rotation
 	// baselines describe typical responses.
 	baselines map[baselineKey]*answerBaseline
 	// membership is this balancer's position in its zone, and pools are by the name that back ends
 	// announce.
-	own   Place
-	pools map[string]*poolState
+	membership Membership
+	pools      map[string]*poolState
 	// placement, candidates and latencies are buffers reused by each placement.
-	placing    placing
+	placement  placementState
 	candidates []candidate
-	means      []float64
+	latencies  []float64
 	// events are observations that the driver has not taken yet.
 	events []BackendEvent
 	// running is set by the first call, at startedAt. pulse is the time of the last pulse, and
@@ -57,24 +57,24 @@
 	running                   bool
 	startedAt, pulse, resumed time.Duration
 	// lastLate is when a pulse was last late.
-	lagged time.Duration
+	lastLate time.Duration
 	// resets are ended flows that the driver has not taken yet. urgentReport is set when
 	// unresponsive back ends should be reported to others at once, and urgentAt is when it was
 	// last set.
-	resets []Reset
-	alarm  bool
-	raised time.Duration
+	resets       []Reset
+	urgentReport bool
+	urgentAt     time.Duration
 	// awaited are the requests in progress, and lastScan is when they were last searched for
 	// unanswered ones.
-	awaited  awaited
+	awaited  pendingRequests
 	lastScan time.Duration
 	// searches are for flows that may be pinned to another back end than their tags name, and
 	// inquiries are those to other balancers that the driver has not taken yet.
 	searches  map[flow.Key]search
 	inquiries []Inquiry
 	// searchTokens is how many more searches were allowed at searchTokensAt.
-	searchesLeft float64
-	searchedAt   time.Duration
+	searchTokens   float64
+	searchTokensAt time.Duration
 }
 
 // New returns a steerer without settings and back ends.
@@ -84,15 +84,15 @@
 		view:      &directory.View{},
 		flows:     map[flow.Key]*record{},
 		backends:  map[settings.BackendID]*backendState{},
-		departed:  map[settings.BackendID]*backendState{},
+		removed:   map[settings.BackendID]*backendState{},
 		rotations: map[string]*rotation{},
 		baselines: map[baselineKey]*answerBaseline{},
 		pools:     map[string]*poolState{},
 		searches:  map[flow.Key]search{},
 		resumed:   -resumeTime,
-		lagged:    -lagTime,
+		lastLate:  -lagTime,
 
-		searchesLeft: searchBurst,
+		searchTokens: searchBurst,
 	}
 }
 
@@ -100,19 +100,19 @@
 func (s *Steerer) Pulse(now time.Duration) {
 	s.detectPause(now)
 	if now-s.pulse > PulseInterval+pulseSlack {
-		s.lagged = now
+		s.lastLate = now
 	}
 	s.pulse = now
-	if now-s.lastScan >= lookInterval && !s.config.Mechanisms.NoFaults {
+	if now-s.lastScan >= unansweredCheckInterval && !s.config.Mechanisms.NoFaults {
 		s.lastScan = now
-		s.noteUnanswered(now)
+		s.checkUnanswered(now)
 	}
 }
 
 // lagging reports whether the process was short of CPU recently, so that responses may be waiting
 // in its own queue.
 func (s *Steerer) lagging(now time.Duration) bool {
-	return now-s.pulse > PulseInterval+pulseSlack || now-s.lagged < lagTime
+	return now-s.pulse > PulseInterval+pulseSlack || now-s.lastLate < lagTime
 }
 
 // detectPause updates the times of the last pulse and the last pause.
@@ -139,7 +139,7 @@
 	for _, id := range changed {
 		s.noteMember(id, view.Member(id))
 	}
-	s.noteEnded()
+	s.resetReplaced()
 }
 
 // noteMember updates whether the entry of a back end is removed. member is nil once no flow can be
@@ -149,9 +149,9 @@
 	if b == nil {
 		return
 	}
-	delete(s.departed, id)
+	delete(s.removed, id)
 	if member == nil || member.Gone {
-		s.departed[id] = b
+		s.removed[id] = b
 		return
 	}
 	b.ended = false
@@ -171,7 +171,7 @@
 func (s *Steerer) Flows() int { return len(s.flows) }
 
 // Steer decides on one packet. now must never decrease.
-func (s *Steerer) Steer(now time.Duration, packet *Packet) Verdict {
+func (s *Steerer) Steer(now time.Duration, packet *Packet) Decision {
 	s.detectPause(now)
 	if packet.Kind == Open {
 		return s.steerOpen(now, packet)
@@ -181,7 +181,7 @@
 
 // steerOpen places an opening packet. A copy goes to the back end of the earlier packet, so that
 // only one answers, unless that one may take no new flow or is silent.
-func (s *Steerer) steerOpen(now time.Duration, packet *Packet) Verdict {
+func (s *Steerer) steerOpen(now time.Duration, packet *Packet) Decision {
 	if s.view.Settings == nil {
 		return drop(errkind.NotReady)
 	}
@@ -198,28 +198,28 @@
 	switch {
 	case rec == nil && packet.hasBeenCopied():
 		return drop(errkind.Stale)
-	case rec == nil && packet.Attempt > 0 && s.isSought(now, packet.Flow):
+	case rec == nil && packet.Attempt > 0 && s.isSearched(now, packet.Flow):
 		return drop(errkind.Undecided)
 	case rec == nil && s.mayBePlacedElsewhere(packet):
 		if packet.Attempt == 1 && s.losesAnswers() {
 			return drop(errkind.Undecided)
 		}
-		return Verdict{Action: Wait}
+		return Decision{Action: Wait}
 	case rec == nil || s.config.Mechanisms.NoCopyMemory:
-		s.forget(rec)
+		s.removeRecord(rec)
 		return s.place(now, packet, service, nil)
-	case rec.isOpenFor(now, packet):
+	case rec.isLateCopy(now, packet):
 		return drop(errkind.Unexpected)
 	case !rec.opening || rec.openSequence != packet.Sequence:
-		s.forget(rec)
+		s.removeRecord(rec)
 		return s.place(now, packet, service, nil)
 	}
-	rec.noteCopy(now, packet.Attempt)
+	rec.recordCopy(now, packet.Attempt)
 	if s.acceptsCopy(now, service, rec) {
 		rec.lastSeen = now
-		return Verdict{Action: Forward, Backend: rec.member, Tag: openingTag(rec.member.Tag, packet.Sequence)}
+		return Decision{Action: Forward, Backend: rec.member, Tag: openingTag(rec.member.Tag, packet.Sequence)}
 	}
-	s.forget(rec)
+	s.removeRecord(rec)
 	decision := s.place(now, packet, service, rec)
 	decision.Moved, decision.Previous = true, rec.member
 	return decision
@@ -248,7 +248,7 @@
 // acceptsCopy reports whether the back end of a flow that is still opening may take it by the
 // newest view.
 func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, rec *record) bool {
-	if rec.backend.suspected(now) && !s.config.Mechanisms.NoSuspicion {
+	if rec.backend.isSilent(now) && !s.config.Mechanisms.NoSuspicion {
 		return false
 	}
 	for i := range service.Groups {
@@ -261,7 +261,7 @@
 				return true
 			}
 		}
-		if s.keepsLapsed(now, pool, rec.member.ID) {
+		if s.acceptsExpired(now, pool, rec.member.ID) {
 			return true
 		}
 	}
@@ -270,7 +270,7 @@
 
 // place chooses the back end of a new flow and records it. previous is the record that a copy of
 // its opening packet moves away from, or nil.
-func (s *Steerer) place(now time.Duration, packet *Packet, service *settings.Service, previous *record) Verdict {
+func (s *Steerer) place(now time.Duration, packet *Packet, service *settings.Service, previous *record) Decision {
 	choice := s.choose(now, packet.Flow.Hash(), service, previous)
 	if choice.member == nil {
 		return refuse(choice.refusal)
@@ -280,36 +280,36 @@
 		key:          packet.Flow,
 		member:       choice.member,
 		backend:      state,
-		turn:         choice.scheduled,
+		part:         choice.scheduled,
 		opening:      true,
 		openSequence: packet.Sequence,
-		attempt:      lastAttempt(packet.Attempt),
+		attempt:      clampAttempt(packet.Attempt),
 		started:      now,
 		lastSeen:     now,
-		askedAt:      now,
+		sentAt:       now,
 	}
 	if previous != nil {
-		rec.left = previous.member.Tag
+		rec.previousTag = previous.member.Tag
 	}
-	if s.remember(rec) {
+	if s.addRecord(rec) {
 		// Without a record no answer would ever be noticed.
-		state.asked(now)
+		state.recordOpening(now)
 	}
-	state.notePlaced(now)
+	state.recordPlacement(now)
 	state.warmUpNext = now + s.warmUpOf(choice.part.group).interval
-	state.trial = state.trial || choice.probe
-	choice.scheduled.count++
-	return Verdict{
+	state.probing = state.probing || choice.probe
+	choice.scheduled.requests++
+	return Decision{
 		Action: Forward, Backend: choice.member, Tag: openingTag(choice.member.Tag, packet.Sequence), Placed: true, Spilled: choice.spilled,
 		Load: choice.load, Mean: meanLoad(s.candidates), Candidates: len(s.candidates),
 		Part: choice.part.group, PartReason: choice.reason,
 	}
 }
 
-func drop(reason errkind.Kind) Verdict {
-	return Verdict{Action: Drop, Reason: reason}
+func drop(reason errkind.Kind) Decision {
+	return Decision{Action: Drop, Reason: reason}
 }
 
-func refuse(reason errkind.Kind) Verdict {
-	return Verdict{Action: Refuse, Reason: reason}
+func refuse(reason errkind.Kind) Decision {
+	return Decision{Action: Refuse, Reason: reason}
 }
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -35,7 +35,7 @@
 // upload.
 func newFleetWith(t *testing.T, loadFactor string) *fleet {
 	f := &fleet{T: t, directory: directory.New(time.Minute), now: time.Second}
-	f.steerer = New(Config{Zone: "a", FlowLife: time.Minute, LapseGrace: 1500 * time.Millisecond})
+	f.steerer = New(Config{Zone: "a", FlowLife: time.Minute, RemovalGrace: 1500 * time.Millisecond})
 	tree := settings.Tree{"": settings.Values{settings.KeyLoadFactor: loadFactor}}
 	f.route(tree, "feed", feedAddress, map[string]string{"feed": "1"})
 	f.route(tree, "split", splitAddress, map[string]string{"feed": "3", "upload": "1"})
@@ -76,7 +76,7 @@
 	f.steerer.SetView(f.directory.View())
 }
 
-func (f *fleet) vanish(id settings.BackendID) {
+func (f *fleet) remove(id settings.BackendID) {
 	f.revision++
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Gone: []directory.Gone{{ID: id, Revision: f.revision}}})
 	f.steerer.SetView(f.directory.View())
@@ -88,7 +88,7 @@
 }
 
 // advance moves the time forward in steps with pulses.
-func (f *fleet) pass(length time.Duration) {
+func (f *fleet) advance(length time.Duration) {
 	for end := f.now + length; f.now < end; {
 		f.now = min(end, f.now+PulseInterval)
 		f.steerer.Pulse(f.now)
@@ -100,17 +100,17 @@
 	return flow.Key{Caller: netip.AddrPortFrom(ip, 4000), Service: service}
 }
 
-func (f *fleet) open(caller int, service netip.AddrPort, attempt uint32) Verdict {
+func (f *fleet) open(caller int, service netip.AddrPort, attempt uint32) Decision {
 	f.steerer.Pulse(f.now)
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1})
 }
 
 // openWaited steers a copy of an opening packet that has waited.
-func (f *fleet) openWaited(caller int, service netip.AddrPort, attempt uint32) Verdict {
+func (f *fleet) openWaited(caller int, service netip.AddrPort, attempt uint32) Decision {
 	return f.steerer.Steer(f.now, &Packet{Flow: key(caller, service), Kind: Open, Attempt: attempt, Sequence: uint32(caller) + 1, Waited: true})
 }
 
-func (f *fleet) established(caller int, service netip.AddrPort, tag directory.Tag, acknowledged uint32, payload int) Verdict {
+func (f *fleet) established(caller int, service netip.AddrPort, tag directory.Tag, acknowledged uint32, payload int) Decision {
 	return f.steerer.Steer(f.now, &Packet{
 		Flow: key(caller, service), Kind: Established, Tag: tag, Sequence: uint32(caller) + 2 + acknowledged, Acknowledged: acknowledged, Payload: payload,
 	})
@@ -174,9 +174,9 @@
 // Loads that other balancers report count. Three of four back ends are busy with them.
 func TestReportedLoadCounts(t *testing.T) {
 	f := newFleet(t)
-	f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
+	f.steerer.SetPeerLoads(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
 	for caller := range 40 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		if member := f.opened(caller, feedAddress); member.ID != 4 {
 			t.Fatalf("flow %d goes to back end %d, which others keep busy", caller, member.ID)
 		}
@@ -190,14 +190,14 @@
 		// Each request takes 50 ms.
 		member := f.opened(1000+caller, feedAddress)
 		f.established(1000+caller, feedAddress, member.Tag, 1, 100)
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		f.established(1000+caller, feedAddress, member.Tag, 200, 0)
 	}
 	for range 2 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 		f.steerer.Tick(f.now)
 	}
-	f.steerer.SetOthersLoad(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
+	f.steerer.SetPeerLoads(map[directory.Tag]Load{1: {Requests: 50}, 2: {Requests: 50}, 3: {Requests: 50}})
 	counts := map[settings.BackendID]int{}
 	for caller := range 20 {
 		counts[f.open(caller, feedAddress, 0).Backend.ID]++
@@ -217,7 +217,7 @@
 			member := f.opened(caller, feedAddress)
 			f.established(caller, feedAddress, member.Tag, 1, 100)
 			counts[member.ID]++
-			f.pass(latency(member.ID))
+			f.advance(latency(member.ID))
 			f.established(caller, feedAddress, member.Tag, 200, 0)
 			if f.now >= ticked+time.Second {
 				ticked = f.now
@@ -244,9 +244,9 @@
 // A suspect back end gets one flow at a time until it responds.
 func TestSuspectBackEndGetsOneFlowAtATime(t *testing.T) {
 	f := newFleet(t)
-	f.pass(settleTime)
+	f.advance(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
-	f.pass(answerTime)
+	f.advance(openingAnswerTimeout)
 	tried := 0
 	for caller := 1; caller < 400; caller++ {
 		decision := f.open(caller, feedAddress, 0)
@@ -255,12 +255,12 @@
 		} else {
 			f.established(caller, feedAddress, decision.Backend.Tag, 1, 0)
 		}
-		f.pass(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 	}
 	if tried == 0 || tried > 4 {
 		t.Errorf("a silent back end is tried %d times in 4 s", tried)
 	}
-	if suspects := f.steerer.Doubted(f.now, 5); len(suspects) != 1 || suspects[0] != silent.ID {
+	if suspects := f.steerer.Suspects(f.now, 5); len(suspects) != 1 || suspects[0] != silent.ID {
 		t.Errorf("reported suspects: %v", suspects)
 	}
 }
@@ -270,9 +270,9 @@
 	f := newFleet(t)
 	f.opened(0, feedAddress)
 	first := f.opened(1, feedAddress)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.established(1, feedAddress, first.Tag, 5, 0)
-	f.steerer.SetOthersDoubts(f.now, []settings.BackendID{1, 2, 3, 4})
+	f.steerer.ReceiveSuspects(f.now, []settings.BackendID{1, 2, 3, 4})
 	for caller := 10; caller < 30; caller++ {
 		decision := f.open(caller, feedAddress, 0)
 		if decision.Backend.Zone == "a" && decision.Backend != first {
@@ -285,12 +285,12 @@
 // clear its suspect state.
 func TestAdoptedFlowDoesNotClearSuspect(t *testing.T) {
 	f := newFleet(t)
-	f.pass(settleTime)
+	f.advance(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
-	f.pass(answerTime)
-	f.steerer.stateOf(silent).doubted(f.now)
+	f.advance(openingAnswerTimeout)
+	f.steerer.stateOf(silent).checkSuspect(f.now)
 	f.established(700, feedAddress, silent.Tag, 900, 50)
-	if !f.steerer.stateOf(silent).doubted(f.now) {
+	if !f.steerer.stateOf(silent).checkSuspect(f.now) {
 		t.Error("a retransmission clears the suspect state")
 	}
 }
@@ -313,7 +313,7 @@
 	t.Run("empty", func(t *testing.T) {
 		f := newFleet(t)
 		for id := settings.BackendID(1); id <= 4; id++ {
-			f.vanish(id)
+			f.remove(id)
 		}
 		if decision := f.open(1, feedAddress, 0); decision.Action != Forward || decision.Backend.Zone != "b" || !decision.Spilled {
 			t.Errorf("decision %+v", decision)
@@ -330,7 +330,7 @@
 		}
 	}
 	f.announce(2, "feed", "a", true)
-	f.vanish(5)
+	f.remove(5)
 	for _, id := range []settings.BackendID{2, 5} {
 		decision := f.established(int(id)+10, feedAddress, directory.TagOf(id), 9, 10)
 		if decision.Action != Forward || decision.Backend.ID != id {
@@ -457,7 +457,7 @@
 
 func TestSilentBackEndsGetNoNewFlows(t *testing.T) {
 	f := newFleet(t)
-	f.pass(settleTime)
+	f.advance(settleTime)
 	silent := f.open(0, feedAddress, 0).Backend
 	waiting := []int{0}
 	var answered []*directory.Member
@@ -468,7 +468,7 @@
 			waiting = append(waiting, caller)
 		}
 	}
-	if len(waiting) < silentFlows {
+	if len(waiting) < minUnansweredFlows {
 		t.Fatalf("flows %v are unanswered", waiting)
 	}
 	for i, member := range answered {
@@ -476,7 +476,7 @@
 			f.established(i+1, feedAddress, member.Tag, 1, 0)
 		}
 	}
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	for _, caller := range waiting {
 		f.open(caller, feedAddress, 1)
 	}
@@ -490,7 +490,7 @@
 	}
 	f.established(500, feedAddress, silent.Tag, 1, 0)
 	f.established(500, feedAddress, silent.Tag, 2, 0)
-	if f.steerer.stateOf(silent).suspected(f.now) {
+	if f.steerer.stateOf(silent).isSilent(f.now) {
 		t.Error("a back end that answers again still counts as silent")
 	}
 }
@@ -520,11 +520,11 @@
 func TestOneLostPacketDoesNotMarkSilent(t *testing.T) {
 	f := newFleet(t)
 	first := f.open(1, feedAddress, 0)
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	if second := f.open(1, feedAddress, 1); second.Backend != first.Backend {
 		t.Error("a flow moves after one copy")
 	}
-	if f.steerer.stateOf(first.Backend).suspected(f.now) {
+	if f.steerer.stateOf(first.Backend).isSilent(f.now) {
 		t.Error("one copy marks the back end silent")
 	}
 }
@@ -537,7 +537,7 @@
 		f.open(caller, feedAddress, 1)
 	}
 	for _, state := range f.steerer.backends {
-		if state.suspected(f.now) {
+		if state.isSilent(f.now) {
 			t.Fatal("a back end that had no time to answer counts as silent")
 		}
 	}
@@ -554,7 +554,7 @@
 	if decision := f.established(1, feedAddress, member.Tag, 2, 5); decision.Action != Forward {
 		t.Errorf("a packet of an open flow: %+v", decision)
 	}
-	f.pass(200 * time.Millisecond)
+	f.advance(200 * time.Millisecond)
 	if decision := f.open(3, feedAddress, 0); decision.Action != Forward {
 		t.Errorf("an opening packet after the pause: %+v", decision)
 	}
@@ -575,16 +575,16 @@
 func TestRemovedEntriesStayUsableBriefly(t *testing.T) {
 	f := newFleet(t)
 	for id := settings.BackendID(1); id <= 6; id++ {
-		f.vanish(id)
+		f.remove(id)
 	}
 	if decision := f.open(1, feedAddress, 0); decision.Action != Forward {
 		t.Errorf("at once: %+v", decision)
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	if decision := f.open(2, feedAddress, 0); decision.Action != Forward {
 		t.Errorf("after 2 s: %+v", decision)
 	}
-	f.pass(600 * time.Millisecond)
+	f.advance(600 * time.Millisecond)
 	if decision := f.open(3, feedAddress, 0); decision.Action != Refuse || decision.Reason != errkind.NoBackend {
 		t.Errorf("later: %+v", decision)
 	}
@@ -597,12 +597,12 @@
 		f.open(100+caller, feedAddress, 0)
 	}
 	f.steerer.Steer(f.now, &Packet{Flow: key(0, feedAddress), Kind: Close, Tag: 1, Acknowledged: 2})
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	f.steerer.Tick(f.now)
 	if f.steerer.Flows() != 9 {
 		t.Errorf("%d flows, want the 9 that are open", f.steerer.Flows())
 	}
-	f.pass(2 * time.Minute)
+	f.advance(2 * time.Minute)
 	f.steerer.Tick(f.now)
 	if f.steerer.Flows() != 0 {
 		t.Errorf("%d flows after their life", f.steerer.Flows())
@@ -626,9 +626,9 @@
 			t.Fatalf("flow %d: %+v", caller, decision)
 		}
 	}
-	f.pass(answerTime)
+	f.advance(openingAnswerTimeout)
 	for id, state := range f.steerer.backends {
-		if state.doubted(f.now) {
+		if state.checkSuspect(f.now) {
 			t.Errorf("back end %d, which answers, is suspect", id)
 		}
 	}
@@ -702,26 +702,26 @@
 func TestUnansweredRequestsCountAsLoad(t *testing.T) {
 	s := New(Config{Zone: "a", FlowLife: time.Minute})
 	state := s.newState(&directory.Member{Backend: directory.Backend{ID: 7}})
-	rec := &record{backend: state, waiting: true, lastSeen: time.Second, askedAt: time.Second}
-	rec.noteUnanswered(time.Second + answerPatience/2)
-	if state.faults != 0 {
+	rec := &record{backend: state, requestPending: true, lastSeen: time.Second, sentAt: time.Second}
+	rec.checkUnanswered(time.Second + answerTimeout/2)
+	if state.requestFailures != 0 {
 		t.Fatal("a request that was just sent counts as unanswered")
 	}
 	for range 3 {
-		rec.noteUnanswered(time.Second + answerPatience)
+		rec.checkUnanswered(time.Second + answerTimeout)
 		rec.unanswered = false
 	}
-	if state.faults != 3 || state.work() != 3*faultCost {
-		t.Errorf("%v faults, work %v", state.faults, state.work())
+	if state.requestFailures != 3 || state.work() != 3*requestFailureCost {
+		t.Errorf("%v faults, work %v", state.requestFailures, state.work())
 	}
-	if events := s.TakeEvents(); len(events) != 1 || events[0].Observation != Faulty || events[0].Silence != answerPatience {
+	if events := s.TakeEvents(); len(events) != 1 || events[0].Observation != RequestFailures || events[0].Silence != answerTimeout {
 		t.Errorf("events %+v", events)
 	}
 	for range 20 {
 		state.decay(10 * time.Second)
 	}
-	if state.faulty || state.work() > 1 {
-		t.Errorf("after 20 s: faulty %v, work %v", state.faulty, state.work())
+	if state.failingRequests || state.work() > 1 {
+		t.Errorf("after 20 s: faulty %v, work %v", state.failingRequests, state.work())
 	}
 }
 
@@ -733,12 +733,12 @@
 		if starved {
 			f.now += 250 * time.Millisecond
 		} else {
-			f.pass(250 * time.Millisecond)
+			f.advance(250 * time.Millisecond)
 		}
 		for caller := 2; caller < 12; caller++ {
 			f.open(caller, feedAddress, 0)
 		}
-		suspected := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Doubted })
+		suspected := slices.ContainsFunc(f.steerer.TakeEvents(), func(event BackendEvent) bool { return event.Observation == Suspect })
 		if suspected == starved {
 			t.Errorf("short of CPU: %v, suspects: %v", starved, suspected)
 		}
--- a/internal/steering/subset.go
+++ b/internal/steering/subset.go
@@ -2,11 +2,11 @@
 
 // Membership is a balancer's position among the live balancers of its zone, in an order that all
 // of them share.
-type Place struct {
+type Membership struct {
 	// Index is from 0 to Count-1. Count includes the balancer itself; 0 is unknown.
 	Index, Count int
 	// Neighbours are the live balancers of the zone by hash.
-	Zone Neighbours
+	Neighbours Neighbours
 	// Fleet is the number of known live balancers of all zones, including this one.
 	Fleet int
 	// ZoneSize and FleetSize estimate the number of balancers, known or not; 0 is no estimate.
@@ -14,19 +14,19 @@
 }
 
 // zoneSize and fleetSize return how many balancers share the limit of a back end.
-func (p Place) zoneSize() int { return max(p.Count, p.ZoneSize) }
+func (p Membership) zoneSize() int { return max(p.Count, p.ZoneSize) }
 
-func (p Place) fleetSize() int { return max(p.Fleet, p.FleetSize) }
+func (p Membership) fleetSize() int { return max(p.Fleet, p.FleetSize) }
 
 const (
 	// minBalancersForSubsets is the zone size from which balancers compare only subsets. All
 	// receive the same loads half a second late, and many would overload the least loaded back
 	// end.
-	manyBalancers = 8
+	minBalancersForSubsets = 8
 	// balancersPerBackend is how many balancers compare each back end at a time, on average, and
 	// minSubset the least number of back ends that one compares.
-	spanEach  = 2
-	minSubset = 2
+	balancersPerBackend = 2
+	minSubset           = 2
 )
 
 // subset is a range on a ring of back ends. The zero value contains all of them.
@@ -36,11 +36,11 @@
 
 // subset returns the range of back ends to compare at a rotation. Balancers start at even
 // distances on the ring and advance with each flow, which spreads flows until loads are exchanged.
-func (p Place) subset(total, rotation int) subset {
+func (p Membership) subset(total, rotation int) subset {
 	if total == 0 {
 		return subset{}
 	}
-	length := max(minSubset, (spanEach*total+p.Count-1)/p.Count)
+	length := max(minSubset, (balancersPerBackend*total+p.Count-1)/p.Count)
 	if length >= total {
 		return subset{}
 	}
--- a/internal/steering/unanswered.go
+++ b/internal/steering/unanswered.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	lookInterval = 250 * time.Millisecond
+	unansweredCheckInterval = 250 * time.Millisecond
 	// answerTimeout is how long a request may be pending before it counts as unanswered.
-	answerPatience = 400 * time.Millisecond
+	answerTimeout = 400 * time.Millisecond
 )
 
 // pendingRequests are the flows with a pending request at the last check. Keeping them apart makes
 // the check independent of the number of open flows.
-type awaited struct {
+type pendingRequests struct {
 	records []*record
 }
 
 // add adds a flow with a pending request, unless it is present.
-func (a *awaited) add(rec *record) {
+func (a *pendingRequests) add(rec *record) {
 	if rec.tracked {
 		return
 	}
@@ -25,13 +25,13 @@
 
 // sweep calls visit for each flow whose request is pending and not counted as unanswered, and
 // removes the flows without a pending request.
-func (a *awaited) sweep(visit func(rec *record)) {
+func (a *pendingRequests) sweep(visit func(rec *record)) {
 	pending := a.records[:0]
 	for _, rec := range a.records {
-		if rec.waiting && !rec.unanswered {
+		if rec.requestPending && !rec.unanswered {
 			visit(rec)
 		}
-		rec.tracked = rec.waiting
+		rec.tracked = rec.requestPending
 		if rec.tracked {
 			pending = append(pending, rec)
 		}
@@ -42,8 +42,8 @@
 
 // checkUnanswered looks for unanswered requests. A request that was pending while the process was
 // suspended is no evidence: its caller abandoned it or was answered through another balancer.
-func (s *Steerer) noteUnanswered(now time.Duration) {
-	if now-s.resumed < answerPatience || s.lagging(now) {
+func (s *Steerer) checkUnanswered(now time.Duration) {
+	if now-s.resumed < answerTimeout || s.lagging(now) {
 		// Answers may have been missed.
 		return
 	}
@@ -52,16 +52,16 @@
 			rec.unanswered = true
 			return
 		}
-		rec.noteUnanswered(now)
+		rec.checkUnanswered(now)
 	})
 }
 
 // checkUnanswered counts a request as unanswered whose caller has waited for answerTimeout: the
 // back end has reset it or never answers, though it accepts new flows.
-func (r *record) noteUnanswered(now time.Duration) {
-	if !r.waiting || r.unanswered || now-r.lastSeen < answerPatience {
+func (r *record) checkUnanswered(now time.Duration) {
+	if !r.requestPending || r.unanswered || now-r.lastSeen < answerTimeout {
 		return
 	}
 	r.unanswered = true
-	r.backend.recordRequestFailure(now, r.askedAt)
+	r.backend.recordRequestFailure(now, r.sentAt)
 }
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -11,7 +11,7 @@
 	for name, scenario := range map[string]func(f *fleet, request func()){
 		"asked before the standstill":      func(f *fleet, request func()) { request(); f.suspendProcess() },
 		"waited in the queue meanwhile":    func(f *fleet, request func()) { f.suspendProcess(); request() },
-		"came while the queue was emptied": func(f *fleet, request func()) { f.suspendProcess(); f.pass(resumeTime / 2); request() },
+		"came while the queue was emptied": func(f *fleet, request func()) { f.suspendProcess(); f.advance(resumeTime / 2); request() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
@@ -23,7 +23,7 @@
 	f := newFleet(t)
 	failures := f.failuresAfter(func(f *fleet, request func()) {
 		f.suspendProcess()
-		f.pass(2 * resumeTime)
+		f.advance(2 * resumeTime)
 		request()
 	})
 	if failures != 4 {
@@ -50,10 +50,10 @@
 			f.established(caller, feedAddress, rec.member.Tag, 1, 100)
 		}
 	})
-	f.pass(3 * answerPatience)
+	f.advance(3 * answerTimeout)
 	sum := 0.0
 	for _, state := range f.steerer.backends {
-		sum += state.faults
+		sum += state.requestFailures
 	}
 	return sum
 }
@@ -69,7 +69,7 @@
 	if entries := len(f.steerer.awaited.records); entries != 1 {
 		t.Errorf("%d entries for one flow, want 1", entries)
 	}
-	f.pass(2 * lookInterval)
+	f.advance(2 * unansweredCheckInterval)
 	if entries := len(f.steerer.awaited.records); entries != 0 {
 		t.Errorf("%d entries after all answers, want 0", entries)
 	}
@@ -88,6 +88,6 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		f.steerer.noteUnanswered(f.now)
+		f.steerer.checkUnanswered(f.now)
 	}
 }
--- a/internal/steering/unresponsive.go
+++ b/internal/steering/unresponsive.go
@@ -20,7 +20,7 @@
 
 // UnresponsiveReport is what one balancer knows of a back end that leaves callers without a
 // response.
-type Stall struct {
+type UnresponsiveReport struct {
 	Backend settings.BackendID
 	// Callers is the number of callers that retransmitted data without a response since the last
 	// one that the sender saw. It is 0 where none did so recently, and in a report that contradicts
@@ -30,7 +30,7 @@
 	Silence time.Duration
 	// Down is the remaining time for which the sender considers the back end down, 0 if it does
 	// not.
-	Lost time.Duration
+	Down time.Duration
 }
 
 // receivedReport is an UnresponsiveReport received from another balancer.
@@ -45,45 +45,45 @@
 // requestUrgentReport makes the driver report to other balancers at once, at most every
 // urgentReportInterval.
 func (s *Steerer) requestUrgentReport(now time.Duration) {
-	if now-s.raised >= urgentReportInterval {
-		s.raised, s.alarm = now, true
+	if now-s.urgentAt >= urgentReportInterval {
+		s.urgentAt, s.urgentReport = now, true
 	}
 }
 
 // TakeUrgentReport reports whether UnresponsiveReports should be sent to other balancers at once,
 // and resets the request.
-func (s *Steerer) TakeAlarm() bool {
-	urgent := s.alarm
-	s.alarm = false
+func (s *Steerer) TakeUrgentReport() bool {
+	urgent := s.urgentReport
+	s.urgentReport = false
 	return urgent
 }
 
 // UnresponsiveReports returns at most count reports on back ends that are unresponsive here or
 // reported so by others: down ones first, then by descending number of callers.
-func (s *Steerer) Stalls(now time.Duration, count int) []Stall {
-	var reports []Stall
+func (s *Steerer) UnresponsiveReports(now time.Duration, count int) []UnresponsiveReport {
+	var reports []UnresponsiveReport
 	for id, b := range s.backends {
-		report := Stall{Backend: id, Silence: now - b.progress, Lost: max(b.lostUntil-now, 0)}
+		report := UnresponsiveReport{Backend: id, Silence: now - b.lastResponse, Down: max(b.downUntil-now, 0)}
 		switch {
 		case b.recentlyUnanswered(now):
 			// Older callers are not reported, since they would renew the state of the receivers.
 			report.Callers = len(b.unansweredCallers)
 			reports = append(reports, report)
-		case report.Lost > 0:
+		case report.Down > 0:
 			reports = append(reports, report)
-		case len(b.reports) > 0 && now-b.progress < reportLifetime:
+		case len(b.reports) > 0 && now-b.lastResponse < reportLifetime:
 			reports = append(reports, report)
 		}
 	}
-	slices.SortFunc(reports, func(a, b Stall) int {
-		return cmp.Or(cmp.Compare(min(b.Lost, 1), min(a.Lost, 1)), cmp.Compare(b.Callers, a.Callers), cmp.Compare(a.Backend, b.Backend))
+	slices.SortFunc(reports, func(a, b UnresponsiveReport) int {
+		return cmp.Or(cmp.Compare(min(b.Down, 1), min(a.Down, 1)), cmp.Compare(b.Callers, a.Callers), cmp.Compare(a.Backend, b.Backend))
 	})
 	return reports[:min(count, len(reports))]
 }
 
 // ReceiveUnresponsive processes reports of another balancer. It requests an urgent report if this
 // balancer has seen a later response.
-func (s *Steerer) HearStalls(now time.Duration, from netip.AddrPort, reports []Stall) {
+func (s *Steerer) ReceiveUnresponsive(now time.Duration, from netip.AddrPort, reports []UnresponsiveReport) {
 	if now-s.resumed < resumeTime || s.config.Mechanisms.NoResets {
 		// The report was queued while the process was suspended.
 		return
@@ -95,20 +95,20 @@
 			continue
 		}
 		b := s.stateOf(member)
-		if b.deaf(now) {
+		if b.ignoresReports(now) {
 			continue
 		}
 		b.storeReport(receivedReport{from, report.Callers, now - report.Silence, now})
 		b.receiveDown(now, &report)
-		if (report.Callers > 0 || report.Lost > 0) && now-b.progress < reportLifetime {
+		if (report.Callers > 0 || report.Down > 0) && now-b.lastResponse < reportLifetime {
 			s.requestUrgentReport(now)
 		}
-		if s.lost(now, b) {
+		if s.checkDown(now, b) {
 			down = append(down, b)
 		}
 	}
 	if len(down) > 0 {
-		s.endFlows(now, down...)
+		s.resetFlowsAt(now, down...)
 	}
 }
 
@@ -126,12 +126,12 @@
 
 // receiveDown adopts the sender's down state for no longer than the sender does. A response that
 // the sender has seen since the back end was marked down ends the state.
-func (b *backendState) receiveDown(now time.Duration, report *Stall) {
+func (b *backendState) receiveDown(now time.Duration, report *UnresponsiveReport) {
 	lastResponse := now - report.Silence
 	switch {
-	case report.Lost > 0 && now-b.progress >= minDownSilence:
-		b.lostUntil = max(b.lostUntil, now+min(report.Lost, downPeriod))
-	case now < b.lostUntil && lastResponse > b.lostUntil-downPeriod && report.Silence < minDownSilence:
-		b.lostUntil, b.unansweredCallers = 0, b.unansweredCallers[:0]
+	case report.Down > 0 && now-b.lastResponse >= minDownSilence:
+		b.downUntil = max(b.downUntil, now+min(report.Down, downPeriod))
+	case now < b.downUntil && lastResponse > b.downUntil-downPeriod && report.Silence < minDownSilence:
+		b.downUntil, b.unansweredCallers = 0, b.unansweredCallers[:0]
 	}
 }
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -42,7 +42,7 @@
 		return warmUp{}
 	}
 	if s.config.Mechanisms.EvenWarmUp {
-		count := float64(max(s.own.Count, 1))
+		count := float64(max(s.membership.Count, 1))
 		return warmUp{true, int(count), seconds(count / group.WarmUpRate)}
 	}
 	bound := group.WarmUpRate*max(s.config.WarmUpOvershoot, 1) + s.config.WarmUpSlack
@@ -63,7 +63,7 @@
 
 // warmUpBlocks reports whether this balancer must not send a new flow to a back end that is
 // warming up: other balancers do, or this one has just done so.
-func (s *Steerer) withholds(now time.Duration, limit warmUp, member *directory.Member, state *backendState) bool {
+func (s *Steerer) warmUpBlocks(now time.Duration, limit warmUp, member *directory.Member, state *backendState) bool {
 	if !limit.limited || now >= member.ColdUntil {
 		return false
 	}
@@ -76,7 +76,7 @@
 	if member.Zone != s.config.Zone || now-s.startedAt < settleTime {
 		return false
 	}
-	return s.own.Zone.isNearest(placement.Mix(uint64(member.ID), 0), placers)
+	return s.membership.Neighbours.isNearest(placement.Mix(uint64(member.ID), 0), placers)
 }
 
 // Neighbours are the known balancers of the own zone, each by a hash of its address. The zero
@@ -89,7 +89,7 @@
 	Live   []uint64
 	Silent int
 	// Truncated is set where there may be others, all of them farther from Own than those in Live.
-	Bounded bool
+	Truncated bool
 }
 
 // isNearest reports whether this balancer is among the count nearest to a point. Points outside
@@ -106,5 +106,5 @@
 		}
 		widest = max(widest, other^n.Own)
 	}
-	return nearer < count && (!n.Bounded || distance <= widest)
+	return nearer < count && (!n.Truncated || distance <= widest)
 }
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -41,7 +41,7 @@
 
 // neighboursOf returns the neighbours that balancer i knows: the nearest ones.
 func neighboursOf(hashes []uint64, i int) Neighbours {
-	n := Neighbours{Own: hashes[i], Bounded: len(hashes) > neighbourTableSize}
+	n := Neighbours{Own: hashes[i], Truncated: len(hashes) > neighbourTableSize}
 	for j, other := range hashes {
 		if j == i {
 			continue
@@ -111,7 +111,7 @@
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Settings: &directory.Settings{Version: 2, Revision: f.revision, Tree: tree}})
 	f.steerer.SetView(f.directory.View())
 	f.steerer.Pulse(f.now)
-	f.pass(settleTime + time.Second)
+	f.advance(settleTime + time.Second)
 	return f
 }
 
@@ -139,12 +139,12 @@
 		if decision.Backend.ID == 1 {
 			warming++
 		}
-		f.pass(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 	}
 	if warming < 1 || warming > 3 {
 		t.Errorf("the back end that is warming up gets %d flows in a second, want 1 to 3", warming)
 	}
-	f.pass(8 * time.Second)
+	f.advance(8 * time.Second)
 	for caller := 200; caller < 300; caller++ {
 		if decision := f.open(caller, feedAddress, 0); decision.Backend.ID == 1 {
 			return
