--- a/internal/directory/build.go
+++ b/internal/directory/build.go
@@ -38,8 +38,8 @@
 	}
 	if removed, found := d.removed[id]; found {
 		return &Member{
-			Backend: removed.Backend, Tag: TagOf(id), Since: removed.start.seenAt, StartedAfter: removed.start.startedAfter, Gone: true,
-			GoneAt: removed.removedAt, AnnouncedRevision: removed.announcedRevision, LapsedUntil: removed.usableUntil, Evacuated: d.evacuated(&removed.Backend),
+			Backend: removed.Backend, Tag: TagOf(id), StartSeenAt: removed.start.seenAt, StartedAfter: removed.start.startedAfter, Removed: true,
+			RemovedAt: removed.removedAt, AnnouncedRevision: removed.announcedRevision, UsableUntil: removed.usableUntil, Evacuated: d.evacuated(&removed.Backend),
 		}
 	}
 	return nil
@@ -75,7 +75,7 @@
 		return
 	}
 	change := b.pool(after.Group)
-	if after.Gone {
+	if after.Removed {
 		change.removed = append(change.removed, after)
 		return
 	}
@@ -112,11 +112,11 @@
 			b.view.groups[part] = cloneOrNew(b.view.groups[part])
 		}
 		known := b.view.Pool(group)
-		next := &Pool{LapsedUntil: known.LapsedUntil}
+		next := &Pool{UsableUntil: known.UsableUntil}
 		slices.Sort(change.removedIDs)
-		next.Open, next.Left = mergeMembers(known.Open, change.removedIDs, change.open), mergeMembers(known.Left, change.removedIDs, change.removed)
+		next.Open, next.Removed = mergeMembers(known.Open, change.removedIDs, change.open), mergeMembers(known.Removed, change.removedIDs, change.removed)
 		for _, member := range change.removed {
-			next.LapsedUntil = max(next.LapsedUntil, member.LapsedUntil)
+			next.UsableUntil = max(next.UsableUntil, member.UsableUntil)
 		}
 		b.view.groups[part][group] = next
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -102,7 +102,7 @@
 }
 
 // SetRetention sets how long removed back ends are remembered.
-func (d *Directory) Keep(retention time.Duration) { d.retention = retention }
+func (d *Directory) SetRetention(retention time.Duration) { d.retention = retention }
 
 // Revision returns the store's revision up to which the directory is complete, 0 for none.
 func (d *Directory) Revision() uint64 { return d.revision }
@@ -143,9 +143,9 @@
 	}
 	slices.Sort(unlisted)
 	for _, id := range unlisted {
-		events = d.applyRemoval(now, events, Gone{ID: id, Revision: listing.Revision})
+		events = d.applyRemoval(now, events, Removal{ID: id, Revision: listing.Revision})
 	}
-	if listing.Told {
+	if listing.FromPeer {
 		unlisted = listing.Expired
 	}
 	d.markExpired(now, unlisted)
@@ -168,13 +168,13 @@
 		events = d.applyRecord(now, events, record)
 	}
 	var removedIDs []settings.BackendID
-	for _, removal := range changes.Gone {
+	for _, removal := range changes.Removed {
 		before := len(events)
 		if events = d.applyRemoval(now, events, removal); len(events) > before {
 			removedIDs = append(removedIDs, removal.ID)
 		}
 	}
-	if changes.Told {
+	if changes.FromPeer {
 		removedIDs = changes.Expired
 	}
 	for _, unusable := range changes.Unusable {
@@ -206,16 +206,16 @@
 	case remembered:
 		previous, started = removed.Backend, removed.start
 	}
-	startTime := record.Backend.Born
-	started = started.next(previous.Born, startTime, now, d.confirmedAt, d.interval)
+	startTime := record.Backend.StartTime
+	started = started.next(previous.StartTime, startTime, now, d.confirmedAt, d.interval)
 	member := &Member{
-		Backend: record.Backend, Tag: TagOf(id), ColdUntil: now + record.Backend.WarmUp, Since: started.seenAt, StartedAfter: started.startedAfter,
+		Backend: record.Backend, Tag: TagOf(id), WarmUpUntil: now + record.Backend.WarmUp, StartSeenAt: started.seenAt, StartedAfter: started.startedAfter,
 		AnnouncedRevision: record.Revision, Evacuated: d.evacuated(&record.Backend),
 	}
 	d.live[id] = entry{member, started}
 	event := Event{Backend: &member.Backend, Revision: record.Revision}
 	switch {
-	case startTime.Differs(previous.Born):
+	case startTime.DiffersFrom(previous.StartTime):
 		event.Transition = BackendRestarted
 	case record.Backend.Draining && (!live || !previous.Draining):
 		event.Transition = BackendDraining
@@ -229,7 +229,7 @@
 	return append(events, event)
 }
 
-func (d *Directory) applyRemoval(now time.Duration, events []Event, removal Gone) []Event {
+func (d *Directory) applyRemoval(now time.Duration, events []Event, removal Removal) []Event {
 	known, live := d.live[removal.ID]
 	if !live || removal.Revision < known.member.AnnouncedRevision {
 		return events
@@ -237,7 +237,7 @@
 	d.changed[removal.ID] = true
 	delete(d.live, removal.ID)
 	d.removed[removal.ID] = removedBackend{Record: Record{known.member.Backend, removal.Revision}, removedAt: now, announcedRevision: known.member.AnnouncedRevision, start: known.start}
-	return append(events, Event{Transition: BackendGone, Backend: &known.member.Backend, Revision: removal.Revision})
+	return append(events, Event{Transition: BackendRemoved, Backend: &known.member.Backend, Revision: removal.Revision})
 }
 
 // addRemoved adds a back end that another balancer reports as removed, unless it is known.
@@ -247,7 +247,7 @@
 	}
 	if _, known := d.removed[record.Backend.ID]; !known {
 		d.changed[record.Backend.ID] = true
-		d.removed[record.Backend.ID] = removedBackend{Record: record, removedAt: now, announcedRevision: record.Revision, start: serverStart{latest: record.Backend.Born, seenAt: now}}
+		d.removed[record.Backend.ID] = removedBackend{Record: record, removedAt: now, announcedRevision: record.Revision, start: serverStart{latest: record.Backend.StartTime, seenAt: now}}
 	}
 }
 
@@ -274,7 +274,7 @@
 func MembershipChanged(events []Event) bool {
 	for i := range events {
 		switch events[i].Transition {
-		case BackendAdded, BackendGone, BackendDraining, BackendReturned, BackendRestarted, BackendUnusable:
+		case BackendAdded, BackendRemoved, BackendDraining, BackendReturned, BackendRestarted, BackendUnusable:
 			return true
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -66,7 +66,7 @@
 		wantOpen(t, d, 1, 2)
 	})
 	t.Run("changes", func(t *testing.T) {
-		d.Apply(0, &Changes{Revision: 19, Settings: version(t, 4, 9, "192.0.2.9:80"), Gone: []Gone{{ID: 2, Revision: 15}}})
+		d.Apply(0, &Changes{Revision: 19, Settings: version(t, 4, 9, "192.0.2.9:80"), Removed: []Removal{{ID: 2, Revision: 15}}})
 		wantOpen(t, d, 1, 2)
 	})
 	if d.SettingsVersion() != 5 || d.Revision() != 20 {
@@ -84,7 +84,7 @@
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3), record(2, 4)}})
 	events := d.Replace(time.Second, &Listing{Revision: 9, Records: []Record{record(2, 4)}})
 	wantOpen(t, d, 2)
-	if len(events) != 1 || events[0].Transition != BackendGone || events[0].Backend.ID != 1 {
+	if len(events) != 1 || events[0].Transition != BackendRemoved || events[0].Backend.ID != 1 {
 		t.Errorf("events %+v", events)
 	}
 }
@@ -94,7 +94,7 @@
 func TestListingEntryNewerThanRevision(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 10, Records: []Record{record(1, 12)}})
-	d.Apply(0, &Changes{Revision: 13, Records: []Record{record(1, 11), record(1, 12), record(3, 13)}, Gone: []Gone{{ID: 1, Revision: 11}}})
+	d.Apply(0, &Changes{Revision: 13, Records: []Record{record(1, 11), record(1, 12), record(3, 13)}, Removed: []Removal{{ID: 1, Revision: 11}}})
 	wantOpen(t, d, 1, 3)
 }
 
@@ -102,10 +102,10 @@
 func TestRemovedBackendKeepsTag(t *testing.T) {
 	d := New(testRetention)
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 3)}})
-	d.Apply(time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
+	d.Apply(time.Second, &Changes{Revision: 6, Removed: []Removal{{ID: 1, Revision: 6}}})
 	wantOpen(t, d)
 	members := d.View().Tagged(TagOf(1))
-	if len(members) != 1 || !members[0].Gone || members[0].GoneAt != time.Second {
+	if len(members) != 1 || !members[0].Removed || members[0].RemovedAt != time.Second {
 		t.Fatalf("tagged %+v", members)
 	}
 	if d.Forget(testRetention) || len(d.View().Tagged(TagOf(1))) != 1 {
@@ -136,7 +136,7 @@
 	broken := version(t, 2, 6, "192.0.2.2:80")
 	broken.Tree["lost/child"] = settings.Values{}
 	events := d.Apply(0, &Changes{Revision: 6, Settings: broken})
-	if len(events) != 1 || events[0].Transition != SettingsRefused || events[0].Err == nil {
+	if len(events) != 1 || events[0].Transition != SettingsRejected || events[0].Err == nil {
 		t.Fatalf("events %+v", events)
 	}
 	if d.SettingsVersion() != 1 || d.View().Settings.ServiceAt(netip.MustParseAddrPort("192.0.2.1:80")) == nil {
@@ -151,8 +151,8 @@
 	listing := &Listing{Revision: 5, Settings: version(t, 1, 2, "192.0.2.1:80"), Records: []Record{record(1, 3), record(2, 4)}}
 	first.Replace(0, listing)
 	second.Replace(0, first.Listing())
-	first.Apply(0, &Changes{Revision: 9, Settings: version(t, 3, 7, "192.0.2.3:80"), Records: []Record{record(3, 8)}, Gone: []Gone{{ID: 1, Revision: 9}}})
-	changes, known := first.Since(5, 2)
+	first.Apply(0, &Changes{Revision: 9, Settings: version(t, 3, 7, "192.0.2.3:80"), Records: []Record{record(3, 8)}, Removed: []Removal{{ID: 1, Revision: 9}}})
+	changes, known := first.ChangesSince(5, 2)
 	if !known {
 		t.Fatal("changes are not known")
 	}
@@ -162,10 +162,10 @@
 		t.Errorf("revision %d, version %d", second.Revision(), second.SettingsVersion())
 	}
 	first.Forget(3 * testRetention)
-	if _, known := first.Since(5, 2); known {
+	if _, known := first.ChangesSince(5, 2); known {
 		t.Error("changes are known though a removal among them is forgotten")
 	}
-	if _, known := first.Since(9, 7); !known {
+	if _, known := first.ChangesSince(9, 7); !known {
 		t.Error("changes since revision 9 are not known, though nothing was forgotten since")
 	}
 }
@@ -176,7 +176,7 @@
 	d.Replace(0, &Listing{Revision: 8, Records: []Record{record(1, 8)}})
 	d.Replace(0, &Listing{Revision: 4, Removed: []Record{record(1, 3), record(2, 2)}})
 	wantOpen(t, d, 1)
-	if members := d.View().Tagged(TagOf(2)); len(members) != 1 || !members[0].Gone {
+	if members := d.View().Tagged(TagOf(2)); len(members) != 1 || !members[0].Removed {
 		t.Error("a back end removed before this balancer started is not known")
 	}
 }
@@ -204,7 +204,7 @@
 	}
 	first.Apply(0, &Changes{Revision: 6, Settings: manyServices(t, 2, 6, 501)})
 	first.Apply(0, &Changes{Revision: 7, Settings: manyServices(t, 3, 7, 502)})
-	changes, known := first.Since(5, 2)
+	changes, known := first.ChangesSince(5, 2)
 	if !known || changes.Settings != nil || changes.Step == nil || len(changes.Step.Changes) != 2 {
 		t.Fatalf("known %v, whole settings %v, step %+v", known, changes.Settings != nil, changes.Step)
 	}
@@ -222,7 +222,7 @@
 		}
 	})
 	t.Run("with a base that is not remembered", func(t *testing.T) {
-		if changes, _ := first.Since(5, 1); changes.Step != nil || changes.Settings == nil {
+		if changes, _ := first.ChangesSince(5, 1); changes.Step != nil || changes.Settings == nil {
 			t.Errorf("step %+v", changes.Step)
 		}
 	})
@@ -243,7 +243,7 @@
 			case 0, 1:
 				d.Apply(now, &Changes{Revision: revision, Records: []Record{record}})
 			case 2:
-				d.Apply(now, &Changes{Revision: revision, Gone: []Gone{{ID: id, Revision: revision}}})
+				d.Apply(now, &Changes{Revision: revision, Removed: []Removal{{ID: id, Revision: revision}}})
 			case 3:
 				d.Replace(now, &Listing{Revision: revision, Records: []Record{record}, Removed: []Record{{Backend: backend(id+1, false), Revision: 1}}})
 			case 4:
@@ -282,10 +282,10 @@
 		for _, member := range v.Pool(group).Open {
 			lines = append(lines, fmt.Sprintf("open %s %x", group, member.ID))
 		}
-		for _, member := range v.Pool(group).Left {
+		for _, member := range v.Pool(group).Removed {
 			lines = append(lines, fmt.Sprintf("left %s %x", group, member.ID))
 		}
 	}
-	slices.Sort(lines[:len(lines)-len(v.Pool("fonts").Open)-len(v.Pool("fonts").Left)-len(v.Pool("ingest").Open)-len(v.Pool("ingest").Left)])
+	slices.Sort(lines[:len(lines)-len(v.Pool("fonts").Open)-len(v.Pool("fonts").Removed)-len(v.Pool("ingest").Open)-len(v.Pool("ingest").Removed)])
 	return lines
 }
--- a/internal/directory/encoding_test.go
+++ b/internal/directory/encoding_test.go
@@ -17,7 +17,7 @@
 // exchange them, so a renamed or moved field would make one version lose what the other sends.
 func TestPeerMessageEncoding(t *testing.T) {
 	records := Records{
-		{Backend{ID: 1 << 40, Born: 1_800_000_000_000, Group: "fonts", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 2}, 9},
+		{Backend{ID: 1 << 40, StartTime: 1_800_000_000_000, Group: "fonts", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 2}, 9},
 		{Backend{ID: 7, Group: "uploads", Zone: "b", Address: netip.MustParseAddrPort("10.0.0.2:65535"), Slots: 1, Draining: true, WarmUp: time.Second}, 300},
 	}
 	tree := settings.Tree{"": settings.Values{}}
@@ -33,8 +33,8 @@
 		encoded       string
 	}{
 		{"listing", &Listing{
-			Revision: 10, Settings: current, Records: records, Evacuations: evacuations, Unusable: []Gone{{ID: 3, Revision: 5}},
-			Removed: records[:1], Told: true, Expired: []settings.BackendID{1 << 40},
+			Revision: 10, Settings: current, Records: records, Evacuations: evacuations, Unusable: []Removal{{ID: 3, Revision: 5}},
+			Removed: records[:1], FromPeer: true, Expired: []settings.BackendID{1 << 40},
 		}, &Listing{}, "88a85265766973696f6ecf000000000000000aa853657474696e677383a756657273696f6ecf0000000000000003a85265766973696f6ecf00000000" +
 			"00000004a4547265659391a76164647265737391909a00a0000000a5666f6e7473000100ac3139322e302e322e313a3830a75265636f7264738ca647" +
 			"726f75707392a5666f6e7473a775706c6f616473a55a6f6e657392a161a162a349447392cf000001000000000007a95265766973696f6e739209cd01" +
@@ -45,8 +45,8 @@
 			"185c5000a747726f757041749100a65a6f6e6541749100a5486f737473c4040a000001a5506f7274739150a5536c6f74739102a75761726d55707391" +
 			"00a8447261696e696e67c40100a4546f6c64c3a64c617073656491cf0000010000000000"},
 		{"changes", &Changes{
-			Revision: 10, Settings: current, Step: step, Records: records[1:], Gone: []Gone{{ID: 2, Revision: 7}},
-			Unusable: []Gone{{ID: 3, Revision: 5}}, Evacuations: evacuations, Told: true, Expired: []settings.BackendID{2},
+			Revision: 10, Settings: current, Step: step, Records: records[1:], Removed: []Removal{{ID: 2, Revision: 7}},
+			Unusable: []Removal{{ID: 3, Revision: 5}}, Evacuations: evacuations, FromPeer: true, Expired: []settings.BackendID{2},
 		}, &Changes{}, "89a85265766973696f6ecf000000000000000aa853657474696e677383a756657273696f6ecf0000000000000003a85265766973696f6ecf00000000" +
 			"00000004a4547265659391a76164647265737391909a00a0000000a5666f6e7473000100ac3139322e302e322e313a3830a45374657084a442617365" +
 			"cf0000000000000004a756657273696f6ecf0000000000000005a85265766973696f6ecf0000000000000006a74368616e6765739391a76164647265" +
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -17,7 +17,7 @@
 }
 
 // EvacuatedZones returns the zones that take no new flows, in order of name.
-func (d *Directory) Evacuated() []string {
+func (d *Directory) EvacuatedZones() []string {
 	var zones []string
 	for zone, known := range d.evacuations {
 		if known.Active {
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -36,11 +36,11 @@
 	if len(events) != 1 || events[0].Transition != ZoneEvacuated || events[0].Zone != "a" || events[0].Revision != 6 {
 		t.Errorf("events %+v", events)
 	}
-	if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Evacuated || members[0].Gone {
+	if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Evacuated || members[0].Removed {
 		t.Errorf("members with the tag: %+v, want one that is evacuated", members)
 	}
-	if !slices.Equal(d.Evacuated(), []string{"a"}) {
-		t.Errorf("evacuated zones %v, want a", d.Evacuated())
+	if !slices.Equal(d.EvacuatedZones(), []string{"a"}) {
+		t.Errorf("evacuated zones %v, want a", d.EvacuatedZones())
 	}
 	events = d.Apply(0, restore("a", 7))
 	wantOpen(t, d, 1, 2, 3)
@@ -53,14 +53,14 @@
 func TestChangesInEvacuatedZone(t *testing.T) {
 	d := twoZones()
 	d.Apply(0, evacuate("a", 6))
-	d.Apply(0, &Changes{Revision: 8, Records: []Record{record(4, 7)}, Gone: []Gone{{ID: 1, Revision: 8}}})
+	d.Apply(0, &Changes{Revision: 8, Records: []Record{record(4, 7)}, Removed: []Removal{{ID: 1, Revision: 8}}})
 	wantOpen(t, d, 3)
-	if removed := d.View().Pool("fonts").Left; len(removed) != 0 {
+	if removed := d.View().Pool("fonts").Removed; len(removed) != 0 {
 		t.Errorf("removed back ends in the pool: %+v, want none", removed)
 	}
 	d.Apply(time.Second, restore("a", 9))
 	wantOpen(t, d, 2, 3, 4)
-	if removed := d.View().Pool("fonts").Left; len(removed) != 1 || removed[0].ID != 1 {
+	if removed := d.View().Pool("fonts").Removed; len(removed) != 1 || removed[0].ID != 1 {
 		t.Errorf("removed back ends in the pool after the evacuation: %+v, want 1", removed)
 	}
 }
@@ -106,13 +106,13 @@
 	wantOpen(t, other, 1, 2)
 	late := twoZones()
 	late.Apply(0, evacuate("a", 6))
-	changes, known := d.Since(6, 0)
+	changes, known := d.ChangesSince(6, 0)
 	if !known {
 		t.Fatal("changes are not known")
 	}
 	late.Apply(0, changes)
 	wantOpen(t, late, 1, 2)
-	if !slices.Equal(late.Evacuated(), []string{"b"}) {
-		t.Errorf("evacuated zones %v, want b", late.Evacuated())
+	if !slices.Equal(late.EvacuatedZones(), []string{"b"}) {
+		t.Errorf("evacuated zones %v, want b", late.EvacuatedZones())
 	}
 }
--- a/internal/directory/expiry.go
+++ b/internal/directory/expiry.go
@@ -32,7 +32,7 @@
 }
 
 // ExpiryBoundsFor returns the bounds that follow from the contact and drain bounds.
-func LapseWithin(contact, drain time.Duration) ExpiryBounds {
+func ExpiryBoundsFor(contact, drain time.Duration) ExpiryBounds {
 	return ExpiryBounds{
 		MinOutage: time.Duration(minOutageFraction * float64(contact)),
 		Window:    min(maxReturnWindow, time.Duration(returnWindowFraction*float64(drain))),
@@ -52,13 +52,13 @@
 }
 
 // SetExpiryBounds sets the bounds for the use of expired back ends.
-func (d *Directory) SetLapse(bounds ExpiryBounds) { d.expiryBounds = bounds }
+func (d *Directory) SetExpiryBounds(bounds ExpiryBounds) { d.expiryBounds = bounds }
 
 // DetectStoreReturn takes a confirmation of the known state by the store, age before now, where the previous
 // confirmation was staleness before now. It reports whether this was the end of an outage. Back ends whose
 // removal comes with this confirmation or within the window after it count as expired. Call it before applying
 // what came with the confirmation.
-func (d *Directory) NoteConfirmed(now, age, staleness time.Duration) bool {
+func (d *Directory) DetectStoreReturn(now, age, staleness time.Duration) bool {
 	if d.revision == 0 || d.expiryBounds.Window == 0 || staleness-age < d.expiryBounds.MinOutage {
 		return false
 	}
@@ -71,10 +71,10 @@
 
 // ReceiveStoreReturn takes the time of the store's return from another balancer, and reports whether it was
 // not known. Call it before applying what that balancer sent.
-func (d *Directory) HearReturn(at time.Duration) bool { return d.startReturnWindow(at) }
+func (d *Directory) ReceiveStoreReturn(at time.Duration) bool { return d.startReturnWindow(at) }
 
 // IsExpired reports whether the entry of the back end expired in the last outage.
-func (d *Directory) IsLapsed(id settings.BackendID) bool { return d.removed[id].usableUntil > 0 }
+func (d *Directory) IsExpired(id settings.BackendID) bool { return d.removed[id].usableUntil > 0 }
 
 // startReturnWindow starts the window of a return of the store and reports whether it was not known. Other
 // balancers see the same return at about the same time, and their reports must not extend the window.
--- a/internal/directory/expiry_test.go
+++ b/internal/directory/expiry_test.go
@@ -19,7 +19,7 @@
 // newConfirmedDirectory returns a directory with back ends 1 to 4, of which 4 drains, confirmed by the store at 0.
 func newConfirmedDirectory() *Directory {
 	d := New(time.Minute)
-	d.SetLapse(LapseWithin(contactBound, drainBound))
+	d.SetExpiryBounds(ExpiryBoundsFor(contactBound, drainBound))
 	d.Replace(0, &Listing{Revision: 5, Records: []Record{record(1, 1), record(2, 2), record(3, 3), {Backend: backend(4, true), Revision: 4}}})
 	return d
 }
@@ -28,7 +28,7 @@
 func removals(revision uint64, ids ...settings.BackendID) *Changes {
 	changes := &Changes{Revision: revision}
 	for _, id := range ids {
-		changes.Gone = append(changes.Gone, Gone{ID: id, Revision: revision})
+		changes.Removed = append(changes.Removed, Removal{ID: id, Revision: revision})
 	}
 	return changes
 }
@@ -37,8 +37,8 @@
 func usableAt(d *Directory, now time.Duration) []settings.BackendID {
 	var ids []settings.BackendID
 	pool := d.View().Pool("fonts")
-	for _, member := range pool.Left {
-		if now < member.LapsedUntil && now < pool.LapsedUntil {
+	for _, member := range pool.Removed {
+		if now < member.UsableUntil && now < pool.UsableUntil {
 			ids = append(ids, member.ID)
 		}
 	}
@@ -55,14 +55,14 @@
 // TestBackendsExpireInOutage: removed ones stay usable for a bounded time, unless they were draining.
 func TestBackendsExpireInOutage(t *testing.T) {
 	d := newConfirmedDirectory()
-	if !d.NoteConfirmed(outage, 0, outage) {
+	if !d.DetectStoreReturn(outage, 0, outage) {
 		t.Fatal("the end of an outage is not detected")
 	}
 	d.Apply(outage, removals(8, 1, 2, 4))
 	wantUsable(t, d, outage, 1, 2)
 	wantOpen(t, d, 3)
 	// A back end may expire later within the window.
-	d.NoteConfirmed(outage+time.Second, 0, time.Second)
+	d.DetectStoreReturn(outage+time.Second, 0, time.Second)
 	d.Apply(outage+time.Second, removals(9, 3))
 	wantUsable(t, d, outage+window-1, 1, 2, 3)
 	wantUsable(t, d, outage+window)
@@ -74,7 +74,7 @@
 
 func TestListingAfterOutageExpiresMissingBackends(t *testing.T) {
 	d := newConfirmedDirectory()
-	d.NoteConfirmed(outage, 0, outage)
+	d.DetectStoreReturn(outage, 0, outage)
 	d.Replace(outage, &Listing{Revision: 9, Records: []Record{record(2, 2)}})
 	wantUsable(t, d, outage, 1, 3)
 }
@@ -83,13 +83,13 @@
 func TestRemovalWithoutOutageIsNotExpiry(t *testing.T) {
 	d := newConfirmedDirectory()
 	staleness := time.Duration(0.6 * float64(contactBound))
-	if d.NoteConfirmed(staleness, 0, staleness) {
+	if d.DetectStoreReturn(staleness, 0, staleness) {
 		t.Error("a late confirmation is taken for the end of an outage")
 	}
 	d.Apply(staleness, removals(8, 1))
 	wantUsable(t, d, staleness)
 	// A back end removed before an outage does not expire either.
-	d.NoteConfirmed(staleness+outage, 0, outage)
+	d.DetectStoreReturn(staleness+outage, 0, outage)
 	d.Apply(staleness+outage, removals(9, 1, 2))
 	wantUsable(t, d, staleness+outage, 2)
 }
@@ -98,7 +98,7 @@
 // evacuated.
 func TestExpiredBackendBecomesUnusable(t *testing.T) {
 	d := newConfirmedDirectory()
-	d.NoteConfirmed(outage, 0, outage)
+	d.DetectStoreReturn(outage, 0, outage)
 	other := record(9, 7)
 	other.Backend.Group, other.Backend.Address = "sounds", backend(3, false).Address
 	changes := removals(8, 1, 2, 3)
@@ -122,29 +122,29 @@
 func TestExpiryIsSentToPeers(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		first, second, later := newConfirmedDirectory(), newConfirmedDirectory(), outage+time.Second
-		first.NoteConfirmed(outage, 0, outage)
+		first.DetectStoreReturn(outage, 0, outage)
 		first.Apply(outage, removals(8, 1, 4))
 		if whole {
 			second = New(time.Minute)
-			second.SetLapse(LapseWithin(contactBound, drainBound))
+			second.SetExpiryBounds(ExpiryBoundsFor(contactBound, drainBound))
 		}
 		send := func() {
 			age, inWindow := first.ReturnAge(later)
 			if !inWindow {
 				t.Fatal("the return is not sent")
 			}
-			second.HearReturn(later - age)
+			second.ReceiveStoreReturn(later - age)
 			if whole {
 				second.Replace(later, first.Listing())
 				return
 			}
-			changes, _ := first.Since(5, 0)
+			changes, _ := first.ChangesSince(5, 0)
 			second.Apply(later, changes)
 		}
 		send()
 		wantUsable(t, second, outage+window-1, 1)
 		wantUsable(t, second, outage+window)
-		if second.HearReturn(outage + 500*time.Millisecond) {
+		if second.ReceiveStoreReturn(outage + 500*time.Millisecond) {
 			t.Error("the same return starts a new window")
 		}
 		send()
@@ -159,8 +159,8 @@
 func TestFollowerTakesExpiryFromSender(t *testing.T) {
 	first, second := newConfirmedDirectory(), newConfirmedDirectory()
 	first.Apply(outage, removals(8, 1))
-	changes, _ := first.Since(5, 0)
-	second.NoteConfirmed(outage, 0, outage)
+	changes, _ := first.ChangesSince(5, 0)
+	second.DetectStoreReturn(outage, 0, outage)
 	second.Apply(outage, changes)
 	wantUsable(t, second, outage)
 }
@@ -178,16 +178,16 @@
 	} {
 		for _, draining := range []bool{false, true} {
 			d := New(time.Minute)
-			d.SetLapse(LapseWithin(contactBound, drainBound))
+			d.SetExpiryBounds(ExpiryBoundsFor(contactBound, drainBound))
 			older, newer := record(7, 1), record(2, 3)
 			newer.Backend.Group, newer.Backend.Address, newer.Backend.Draining = "sounds", older.Backend.Address, draining
 			d.Replace(0, &Listing{Revision: 5, Records: []Record{older, newer}})
-			d.NoteConfirmed(outage, 0, outage)
+			d.DetectStoreReturn(outage, 0, outage)
 			for _, changes := range test.removals {
 				d.Apply(outage, changes)
 			}
-			if d.IsLapsed(7) || d.IsLapsed(2) != (test.expires && !draining) {
-				t.Errorf("%s, last one draining %v: first expired %v, last expired %v", name, draining, d.IsLapsed(7), d.IsLapsed(2))
+			if d.IsExpired(7) || d.IsExpired(2) != (test.expires && !draining) {
+				t.Errorf("%s, last one draining %v: first expired %v, last expired %v", name, draining, d.IsExpired(7), d.IsExpired(2))
 			}
 		}
 	}
@@ -196,11 +196,11 @@
 // TestSnapshotDoesNotRestoreRemovedBackend: another balancer may have sent the removal before the snapshot is read.
 func TestSnapshotDoesNotRestoreRemovedBackend(t *testing.T) {
 	d := New(time.Minute)
-	d.SetLapse(LapseWithin(contactBound, drainBound))
-	d.Replace(0, &Listing{Revision: 6, Told: true, Records: []Record{record(1, 1)}, Removed: []Record{record(2, 6)}})
+	d.SetExpiryBounds(ExpiryBoundsFor(contactBound, drainBound))
+	d.Replace(0, &Listing{Revision: 6, FromPeer: true, Records: []Record{record(1, 1)}, Removed: []Record{record(2, 6)}})
 	d.Replace(1, &Listing{Revision: 7, Records: []Record{record(1, 1)}, Missing: []Record{record(2, 2), record(3, 2)}})
-	if d.IsLapsed(2) || !d.IsLapsed(3) {
-		t.Errorf("known removed back end expired %v, want false; unknown back end expired %v, want true", d.IsLapsed(2), d.IsLapsed(3))
+	if d.IsExpired(2) || !d.IsExpired(3) {
+		t.Errorf("known removed back end expired %v, want false; unknown back end expired %v, want true", d.IsExpired(2), d.IsExpired(3))
 	}
 }
 
@@ -208,10 +208,10 @@
 // that of the next one.
 func TestIncompleteListingIsNoSecondReturn(t *testing.T) {
 	d := newConfirmedDirectory()
-	if !d.NoteConfirmed(outage, 0, outage) {
+	if !d.DetectStoreReturn(outage, 0, outage) {
 		t.Fatal("the end of the outage is not detected")
 	}
-	if d.NoteConfirmed(outage+contactBound, 0, outage+contactBound) {
+	if d.DetectStoreReturn(outage+contactBound, 0, outage+contactBound) {
 		t.Error("the first page of the next listing counts as the end of another outage")
 	}
 }
--- a/internal/directory/export.go
+++ b/internal/directory/export.go
@@ -9,11 +9,11 @@
 // ChangesSince returns what changed after an earlier revision, for another balancer that is complete up to there
 // and has the settings of the revision base in force. known is false if back ends removed since then have been
 // forgotten or were never known here; the other balancer then needs a Listing.
-func (d *Directory) Since(after, base uint64) (changes *Changes, known bool) {
+func (d *Directory) ChangesSince(after, base uint64) (changes *Changes, known bool) {
 	if after == 0 || after < d.forgottenRevision || d.inGap(after) {
 		return nil, false
 	}
-	changes = &Changes{Revision: d.revision, Told: true, Expired: d.expiredSince(after)}
+	changes = &Changes{Revision: d.revision, FromPeer: true, Expired: d.expiredSince(after)}
 	if d.settings.Revision > base {
 		if changes.Step = d.stepFrom(base); changes.Step == nil {
 			current := d.settings
@@ -27,18 +27,18 @@
 	}
 	for id, removed := range d.removed {
 		if removed.Revision > after {
-			changes.Gone = append(changes.Gone, Gone{ID: id, Revision: removed.Revision})
+			changes.Removed = append(changes.Removed, Removal{ID: id, Revision: removed.Revision})
 		}
 	}
 	changes.Evacuations = d.evacuationsSince(after)
 	sortRecords(changes.Records)
-	slices.SortFunc(changes.Gone, func(a, b Gone) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(changes.Removed, func(a, b Removal) int { return cmp.Compare(a.ID, b.ID) })
 	return changes, true
 }
 
 // Listing returns the whole known state, for another balancer.
 func (d *Directory) Listing() *Listing {
-	listing := &Listing{Revision: d.revision, Told: true, Expired: d.expiredSince(0)}
+	listing := &Listing{Revision: d.revision, FromPeer: true, Expired: d.expiredSince(0)}
 	if d.settings.Revision > 0 {
 		current := d.settings
 		listing.Settings = &current
--- a/internal/directory/gap_test.go
+++ b/internal/directory/gap_test.go
@@ -12,13 +12,13 @@
 	behind, fresh := New(time.Minute), New(time.Minute)
 	behind.Replace(0, &Listing{Revision: 52, Records: []Record{removed, stays}})
 	fresh.Replace(0, &Listing{Revision: 74, Records: []Record{stays}})
-	if changes, known := fresh.Since(52, 0); known {
+	if changes, known := fresh.ChangesSince(52, 0); known {
 		behind.Apply(time.Second, changes)
-		if member := behind.View().Member(1); member != nil && !member.Gone {
+		if member := behind.View().Member(1); member != nil && !member.Removed {
 			t.Errorf("a removed back end is live at revision %d", behind.Revision())
 		}
 	}
-	if _, known := fresh.Since(74, 0); !known {
+	if _, known := fresh.ChangesSince(74, 0); !known {
 		t.Error("changes since the listing are not known")
 	}
 }
@@ -34,7 +34,7 @@
 		after uint64
 		known bool
 	}{{5, false}, {10, true}, {15, true}, {20, true}, {21, false}, {29, false}, {30, true}, {40, true}} {
-		if _, known := d.Since(c.after, 0); known != c.known {
+		if _, known := d.ChangesSince(c.after, 0); known != c.known {
 			t.Errorf("changes since %d: known %v", c.after, known)
 		}
 	}
@@ -44,7 +44,7 @@
 	if len(d.gaps) > maxGaps {
 		t.Errorf("%d gaps are remembered, more than maxGaps", len(d.gaps))
 	}
-	if _, known := d.Since(25, 0); known {
+	if _, known := d.ChangesSince(25, 0); known {
 		t.Error("an old gap is forgotten")
 	}
 }
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -53,7 +53,7 @@
 		b := &r[i].Backend
 		c.IDs = append(c.IDs, uint64(b.ID))
 		c.Revisions = append(c.Revisions, r[i].Revision)
-		c.Births = append(c.Births, int64(b.Born))
+		c.Births = append(c.Births, int64(b.StartTime))
 		c.GroupAt = append(c.GroupAt, groups.Index(&c.Groups, b.Group))
 		c.ZoneAt = append(c.ZoneAt, zones.Index(&c.Zones, b.Zone))
 		host := b.Address.Addr().As16()
@@ -85,7 +85,7 @@
 	for i := range records {
 		address, _ := netip.AddrFromSlice(c.Hosts[i*hostBytes : (i+1)*hostBytes])
 		records[i] = Record{Revision: c.Revisions[i], Backend: Backend{
-			ID: settings.BackendID(c.IDs[i]), Born: Birth(c.Births[i]), Group: c.Groups[c.GroupAt[i]], Zone: c.Zones[c.ZoneAt[i]],
+			ID: settings.BackendID(c.IDs[i]), StartTime: StartTime(c.Births[i]), Group: c.Groups[c.GroupAt[i]], Zone: c.Zones[c.ZoneAt[i]],
 			Address: netip.AddrPortFrom(address.Unmap(), uint16(c.Ports[i])), Slots: c.Slots[i],
 			Draining: c.Draining[i] == 1, WarmUp: time.Duration(c.WarmUps[i]),
 		}}
--- a/internal/directory/records_test.go
+++ b/internal/directory/records_test.go
@@ -12,7 +12,7 @@
 // TestRecordsRoundTrip encodes and decodes no records, and records with IPv4 and IPv6 addresses.
 func TestRecordsRoundTrip(t *testing.T) {
 	four := Records{
-		{Backend{ID: 1 << 40, Born: 1_800_000_000_000, Group: "fonts", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 2}, 9},
+		{Backend{ID: 1 << 40, StartTime: 1_800_000_000_000, Group: "fonts", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 2}, 9},
 		{Backend{ID: 7, Group: "uploads", Zone: "a", Address: netip.MustParseAddrPort("10.0.0.2:65535"), Slots: 1, Draining: true, WarmUp: time.Second}, 1 << 50},
 	}
 	six := append(slices.Clone(four), Record{Backend{ID: 3, Group: "fonts", Zone: "b", Address: netip.MustParseAddrPort("[2001:db8::1]:443"), Slots: 3}, 2})
--- a/internal/directory/replaced.go
+++ b/internal/directory/replaced.go
@@ -13,7 +13,7 @@
 func (v *View) Replaced(ids []settings.BackendID) []settings.BackendID {
 	newestAt := map[netip.AddrPort]uint64{}
 	for _, id := range ids {
-		if member := v.Member(id); member != nil && member.Gone {
+		if member := v.Member(id); member != nil && member.Removed {
 			newestAt[member.Address] = 0
 		}
 	}
@@ -23,7 +23,7 @@
 	for _, part := range v.tags {
 		for _, members := range part {
 			for _, member := range members {
-				if newest, found := newestAt[member.Address]; found && !member.Gone {
+				if newest, found := newestAt[member.Address]; found && !member.Removed {
 					newestAt[member.Address] = max(newest, member.AnnouncedRevision)
 				}
 			}
@@ -31,7 +31,7 @@
 	}
 	var replaced []settings.BackendID
 	for _, id := range ids {
-		if member := v.Member(id); member != nil && member.Gone && newestAt[member.Address] > member.AnnouncedRevision {
+		if member := v.Member(id); member != nil && member.Removed && newestAt[member.Address] > member.AnnouncedRevision {
 			replaced = append(replaced, id)
 		}
 	}
--- a/internal/directory/replaced_test.go
+++ b/internal/directory/replaced_test.go
@@ -17,7 +17,7 @@
 		return &Changes{Revision: revision, Records: []Record{{Backend{ID: id, Group: group, Zone: "a", Address: address, Slots: 1}, revision}}}
 	}
 	removal := func(id settings.BackendID, revision uint64) *Changes {
-		return &Changes{Revision: revision, Gone: []Gone{{id, revision}}}
+		return &Changes{Revision: revision, Removed: []Removal{{id, revision}}}
 	}
 	for name, test := range map[string]struct {
 		changes []*Changes
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -47,7 +47,7 @@
 	}
 	event := Event{Transition: SettingsApplied, Revision: prepared.revision, Version: prepared.version}
 	if prepared.err != nil {
-		event.Transition, event.Err = SettingsRefused, prepared.err
+		event.Transition, event.Err = SettingsRejected, prepared.err
 		return append(events, event)
 	}
 	d.settings = Settings{Version: prepared.version, Revision: prepared.revision, Tree: prepared.resolved.Tree}
--- a/internal/directory/start_time_test.go
+++ b/internal/directory/start_time_test.go
@@ -12,9 +12,9 @@
 // interval is the announce interval of servers in these tests.
 const interval = 2 * time.Second
 
-func recordStartedAt(id settings.BackendID, startTime Birth, revision uint64) Record {
+func recordStartedAt(id settings.BackendID, startTime StartTime, revision uint64) Record {
 	r := record(id, revision)
-	r.Backend.Born = startTime
+	r.Backend.StartTime = startTime
 	return r
 }
 
@@ -26,7 +26,7 @@
 }
 
 func applyRecordAt(d *Directory, now time.Duration, r Record) []Event {
-	d.NoteCertain(now - 500*time.Millisecond)
+	d.AdvanceConfirmedAt(now - 500*time.Millisecond)
 	return d.Apply(now, &Changes{Revision: r.Revision, Records: []Record{r}})
 }
 
@@ -37,7 +37,7 @@
 	const after = now - 500*time.Millisecond - maxSilentIntervals*interval
 	for _, test := range []struct {
 		name        string
-		first, then Birth
+		first, then StartTime
 		restarted   bool
 		after       time.Duration
 	}{
@@ -64,7 +64,7 @@
 	d := newListedDirectory(recordStartedAt(1, 100, 3))
 	applyRecordAt(d, 20*time.Second, recordStartedAt(1, 200, 6))
 	after := d.View().Member(1).StartedAfter
-	for i, startTime := range []Birth{100, 200} {
+	for i, startTime := range []StartTime{100, 200} {
 		now := 40*time.Second + time.Duration(i)*interval
 		if events := applyRecordAt(d, now, recordStartedAt(1, startTime, uint64(7+i))); len(events) != 1 || events[0].Transition != BackendRestarted {
 			t.Errorf("start time %d: events %+v", startTime, events)
@@ -79,13 +79,13 @@
 // a new listing.
 func TestRestartAfterRemovalOrListing(t *testing.T) {
 	d := newListedDirectory(recordStartedAt(1, 100, 3))
-	d.Apply(10*time.Second, &Changes{Revision: 6, Gone: []Gone{{ID: 1, Revision: 6}}})
+	d.Apply(10*time.Second, &Changes{Revision: 6, Removed: []Removal{{ID: 1, Revision: 6}}})
 	applyRecordAt(d, 12*time.Second, recordStartedAt(1, 300, 9))
 	listed := newListedDirectory(recordStartedAt(1, 100, 3))
-	listed.NoteCertain(11500 * time.Millisecond)
+	listed.AdvanceConfirmedAt(11500 * time.Millisecond)
 	listed.Replace(12*time.Second, &Listing{Revision: 9, Records: []Record{recordStartedAt(1, 300, 9)}})
 	for _, d := range []*Directory{d, listed} {
-		if got := d.View().Member(1); got.Born != 300 || got.StartedAfter != 5500*time.Millisecond {
+		if got := d.View().Member(1); got.StartTime != 300 || got.StartedAfter != 5500*time.Millisecond {
 			t.Errorf("member %+v, want start time 300, started after 5.5s", got)
 		}
 	}
@@ -94,10 +94,10 @@
 // TestUnusableEntryRemovesBackend: it removes the back end at once, by a listing or by changes, and does not count
 // as expired.
 func TestUnusableEntryRemovesBackend(t *testing.T) {
-	unusable := []Gone{{ID: 1, Revision: 8}, {ID: 7, Revision: 8}}
+	unusable := []Removal{{ID: 1, Revision: 8}, {ID: 7, Revision: 8}}
 	for _, listed := range []bool{false, true} {
 		d := newConfirmedDirectory()
-		d.NoteConfirmed(outage, 0, outage)
+		d.DetectStoreReturn(outage, 0, outage)
 		var events []Event
 		if listed {
 			events = d.Replace(outage, &Listing{Revision: 9, Unusable: unusable, Records: []Record{record(2, 2), record(3, 3), {Backend: backend(4, true), Revision: 4}}})
@@ -109,10 +109,10 @@
 		}
 		wantOpen(t, d, 2, 3)
 		wantUsable(t, d, outage)
-		if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Gone {
+		if members := d.View().Tagged(TagOf(1)); len(members) != 1 || !members[0].Removed {
 			t.Errorf("members with the tag: %+v, want one that is removed", members)
 		}
-		if removed := d.View().Pool("fonts").Left; len(removed) > 0 {
+		if removed := d.View().Pool("fonts").Removed; len(removed) > 0 {
 			t.Errorf("removed back ends in the pool: %+v, want none", removed)
 		}
 		d.Apply(outage, &Changes{Revision: 10, Records: []Record{record(1, 7)}})
@@ -133,11 +133,11 @@
 			messages[i].Revision = revision
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				messages[i].Gone = []Gone{{ID: 1, Revision: revision}}
+				messages[i].Removed = []Removal{{ID: 1, Revision: revision}}
 			case 1:
-				messages[i].Unusable = []Gone{{ID: 1, Revision: revision}}
+				messages[i].Unusable = []Removal{{ID: 1, Revision: revision}}
 			default:
-				messages[i].Records = []Record{recordStartedAt(1, Birth(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
+				messages[i].Records = []Record{recordStartedAt(1, StartTime(rapid.IntRange(0, 3).Draw(t, "birth")), revision)}
 			}
 		}
 		inOrder, mixed := newListedDirectory(recordStartedAt(1, 1, 3)), newListedDirectory(recordStartedAt(1, 1, 3))
@@ -150,7 +150,7 @@
 		last := messages[count-1]
 		mixed.Apply(0, &last)
 		want, got := inOrder.View().Member(1), mixed.View().Member(1)
-		if live := len(last.Records) > 0; live && (got == nil || got.Gone || got.Born != want.Born) || !live && got != nil && !got.Gone {
+		if live := len(last.Records) > 0; live && (got == nil || got.Removed || got.StartTime != want.StartTime) || !live && got != nil && !got.Removed {
 			t.Fatalf("member %+v, applied in order %+v", got, want)
 		}
 	})
--- a/internal/directory/summary.go
+++ b/internal/directory/summary.go
@@ -9,8 +9,8 @@
 // Summary returns what a starting balancer needs to place new flows before it knows everything: the settings and
 // some back ends that take new flows, those of the zone first. The choice is random, so that balancers that
 // request summaries from different peers spread their flows. Its revision is 0, since it is complete up to none.
-func (d *Directory) Outline(zone string) *Listing {
-	summary := &Listing{Told: true, Evacuations: d.evacuationsSince(0)}
+func (d *Directory) Summary(zone string) *Listing {
+	summary := &Listing{FromPeer: true, Evacuations: d.evacuationsSince(0)}
 	if d.settings.Revision > 0 {
 		current := d.settings
 		summary.Settings = &current
@@ -35,7 +35,7 @@
 
 // ApplySummary applies a summary, or the first page of a listing, if nothing is known yet. The directory stays
 // complete up to no revision. Replace applies the remaining parts of a listing.
-func (d *Directory) TakeOutline(now time.Duration, summary *Listing) []Event {
+func (d *Directory) ApplySummary(now time.Duration, summary *Listing) []Event {
 	if d.revision > 0 {
 		return nil
 	}
--- a/internal/directory/summary_test.go
+++ b/internal/directory/summary_test.go
@@ -25,7 +25,7 @@
 // TestSummary: it has the settings and back ends of the zone first, none that is draining or evacuated.
 func TestSummary(t *testing.T) {
 	d := newFleetDirectory(t, 900)
-	summary := d.Outline("b")
+	summary := d.Summary("b")
 	inB := 0
 	for _, r := range summary.Records {
 		if r.Backend.Draining {
@@ -39,7 +39,7 @@
 		t.Errorf("%d back ends, %d of the zone, settings %v, revision %d", len(summary.Records), inB, summary.Settings, summary.Revision)
 	}
 	d.Apply(0, &Changes{Revision: 1000, Evacuations: []Evacuation{{Zone: "b", Active: true, Revision: 1000}}})
-	for _, r := range d.Outline("b").Records {
+	for _, r := range d.Summary("b").Records {
 		if r.Backend.Zone == "b" {
 			t.Fatal("the summary has a back end of an evacuated zone")
 		}
@@ -49,20 +49,20 @@
 // TestListingAfterSummary: a summary does not replace a listing, which corrects what the summary had wrong.
 func TestListingAfterSummary(t *testing.T) {
 	whole, d := newFleetDirectory(t, 900), New(testRetention)
-	d.TakeOutline(0, whole.Outline("a"))
+	d.ApplySummary(0, whole.Summary("a"))
 	if d.Revision() != 0 || d.SettingsVersion() != 5 || len(d.View().Pool("fonts").Open) != maxSummaryBackends {
 		t.Fatalf("revision %d, version %d, %d back ends", d.Revision(), d.SettingsVersion(), len(d.View().Pool("fonts").Open))
 	}
-	if _, known := d.Since(0, 0); known {
+	if _, known := d.ChangesSince(0, 0); known {
 		t.Error("changes since revision 0 are known after a summary")
 	}
-	whole.Apply(time.Second, &Changes{Revision: 1001, Gone: []Gone{{ID: 2, Revision: 1001}}})
+	whole.Apply(time.Second, &Changes{Revision: 1001, Removed: []Removal{{ID: 2, Revision: 1001}}})
 	d.Replace(time.Second, whole.Listing())
 	want, got := len(whole.View().Pool("fonts").Open), len(d.View().Pool("fonts").Open)
 	if d.Revision() != 1001 || want != got {
 		t.Errorf("revision %d, %d back ends, want %d", d.Revision(), got, want)
 	}
-	if events := d.TakeOutline(time.Second, newFleetDirectory(t, 3).Outline("a")); events != nil {
+	if events := d.ApplySummary(time.Second, newFleetDirectory(t, 3).Summary("a")); events != nil {
 		t.Errorf("a late summary has events %+v", events)
 	}
 }
--- a/internal/directory/types.go
+++ b/internal/directory/types.go
@@ -12,7 +12,7 @@
 	// ID identifies the server. Most servers announce another one with each start.
 	ID settings.BackendID
 	// StartTime distinguishes starts with the same ID.
-	Born Birth
+	StartTime StartTime
 	// Group is the name by which back-end groups discover the server.
 	Group   string
 	Zone    string
@@ -43,14 +43,14 @@
 	// Evacuations are the operators' evacuations; a zone without one takes flows.
 	Evacuations []Evacuation
 	// Unusable are back ends whose entries exist but name no usable server.
-	Unusable []Gone
+	Unusable []Removal
 	// Removed are removed back ends that may still serve flows. Only listings from other
 	// balancers have any.
 	Removed Records `msgpack:"Departed"`
 	// FromPeer is set if another balancer sent the listing. Expired are those of Removed whose entries
 	// expired in an outage of the store as known to that balancer.
-	Told    bool                 `msgpack:"Told"`
-	Expired []settings.BackendID `msgpack:"Lapsed"`
+	FromPeer bool                 `msgpack:"Told"`
+	Expired  []settings.BackendID `msgpack:"Lapsed"`
 	// Missing are back ends that a snapshot has and whose entries expired in an outage.
 	Missing []Record `msgpack:"-"`
 }
@@ -66,23 +66,23 @@
 	// Prepared is Settings or Step prepared in advance, nil if they were not.
 	Prepared *Prepared `msgpack:"-"`
 	Records  Records
-	Gone     []Gone `msgpack:"Gone"`
+	Removed  []Removal `msgpack:"Gone"`
 	// Unusable are back ends whose entries exist but name no usable server.
-	Unusable []Gone
+	Unusable []Removal
 	// Evacuations are the operators' evacuations, the newest of each zone last.
 	Evacuations []Evacuation
 	// FromPeer and Expired are as in a Listing; Expired are some of Removed.
-	Told    bool                 `msgpack:"Told"`
-	Expired []settings.BackendID `msgpack:"Lapsed"`
+	FromPeer bool                 `msgpack:"Told"`
+	Expired  []settings.BackendID `msgpack:"Lapsed"`
 }
 
 // Count returns the number of changed entries, without settings.
 func (c *Changes) Count() int {
-	return len(c.Records) + len(c.Gone) + len(c.Unusable) + len(c.Evacuations)
+	return len(c.Records) + len(c.Removed) + len(c.Unusable) + len(c.Evacuations)
 }
 
 // Removal states that the entry of a back end was removed, or no longer names a usable server.
-type Gone struct {
+type Removal struct {
 	ID       settings.BackendID
 	Revision uint64
 }
@@ -93,11 +93,11 @@
 // The transitions.
 const (
 	SettingsApplied  Transition = "settings applied"
-	SettingsRefused  Transition = "settings refused"
+	SettingsRejected Transition = "settings refused"
 	BackendAdded     Transition = "back end added"
 	BackendDraining  Transition = "back end draining"
 	BackendReturned  Transition = "back end returned"
-	BackendGone      Transition = "back end gone"
+	BackendRemoved   Transition = "back end gone"
 	BackendRestarted Transition = "back end started anew"
 	BackendUnusable  Transition = "back end entry unusable"
 	ZoneEvacuated    Transition = "zone evacuated"
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -24,21 +24,21 @@
 	Backend
 	Tag Tag
 	// WarmUpUntil is when the back end's warm-up ends.
-	ColdUntil time.Duration
+	WarmUpUntil time.Duration
 	// StartSeenAt is when this process learned of the current start of the back end.
-	Since time.Duration
+	StartSeenAt time.Duration
 	// StartedAfter is a lower bound of the current start: earlier packets of a flow went to an earlier start. 0 if
 	// no other start is known.
 	StartedAfter time.Duration
 	// Removed is set once the entry is removed; RemovedAt is when this process learned of that.
-	Gone   bool
-	GoneAt time.Duration
+	Removed   bool
+	RemovedAt time.Duration
 	// AnnouncedRevision is the store's revision at which the back end last wrote its entry; for a removed one,
 	// that or a later one.
 	AnnouncedRevision uint64
 	// UsableUntil is until when a removed back end may still take new flows, since its entry expired in an outage
 	// of the store. 0 if it may not.
-	LapsedUntil time.Duration
+	UsableUntil time.Duration
 	// Evacuated is set while the back end's zone takes no new flows.
 	Evacuated bool
 }
@@ -80,9 +80,9 @@
 	// Open are the back ends that take new flows.
 	Open []*Member
 	// Removed are the remembered removed back ends, except draining ones and those of evacuated zones.
-	Left []*Member
+	Removed []*Member
 	// UsableUntil is until when any of Removed may take new flows.
-	LapsedUntil time.Duration
+	UsableUntil time.Duration
 }
 
 // emptyPool is returned for groups that no back end announces.
@@ -107,7 +107,7 @@
 	for _, part := range v.tags {
 		for _, members := range part {
 			for _, member := range members {
-				if !member.Gone {
+				if !member.Removed {
 					count++
 				}
 			}
@@ -127,12 +127,12 @@
 }
 
 // IsRemoved reports whether the view has the back end and its entry is removed.
-func (v *View) Departed(id settings.BackendID) bool {
+func (v *View) IsRemoved(id settings.BackendID) bool {
 	member := v.Member(id)
-	return member != nil && member.Gone
+	return member != nil && member.Removed
 }
 
 // Contains reports whether the view has the back end, live or removed.
-func (v *View) Knows(id settings.BackendID) bool {
+func (v *View) Contains(id settings.BackendID) bool {
 	return v.Member(id) != nil
 }
--- a/internal/edge/answers_test.go
+++ b/internal/edge/answers_test.go
@@ -26,7 +26,7 @@
 
 func requestChanges(t *testing.T, n *Node, peer netip.AddrPort) {
 	t.Helper()
-	if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer, Wait: time.Second}); err != nil {
+	if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.QueryPeer, Peer: peer, Wait: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -74,7 +74,7 @@
 			_, _ = w.Write(encoded.bytes[:length])
 		}))
 		peer := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-		if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.AskPeer, Peer: peer}); err == nil {
+		if _, err := n.requestFromPeer(context.Background(), follow.Call{Kind: follow.QueryPeer, Peer: peer}); err == nil {
 			t.Errorf("%d of %d bytes are accepted", length, len(encoded.bytes))
 		}
 		server.Close()
--- a/internal/edge/broken_connection_test.go
+++ b/internal/edge/broken_connection_test.go
@@ -61,7 +61,7 @@
 		}
 	}
 	silencer.Silence()
-	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: 300 * time.Millisecond}
+	call := follow.Call{Kind: follow.QueryPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: 300 * time.Millisecond}
 	if outcome, _ := node.execute(t.Context(), call); outcome.Result != follow.Failed {
 		t.Fatalf("a call on a broken connection ends with %v", outcome.Result)
 	}
--- a/internal/edge/deadlock_test.go
+++ b/internal/edge/deadlock_test.go
@@ -25,7 +25,7 @@
 			n.stateMutex.Lock()
 			request := n.changesRequest()
 			n.stateMutex.Unlock()
-			n.applyFromPeer(&peerAnswer{Changes: &directory.Changes{Revision: request.after + 1, Told: true}}, request, "peer")
+			n.applyFromPeer(&peerAnswer{Changes: &directory.Changes{Revision: request.after + 1, FromPeer: true}}, request, "peer")
 		}
 		done <- struct{}{}
 	}()
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -217,9 +217,9 @@
 	if values := second.directory.Listing().Settings.Tree["fonts/any"]; len(values) > 0 {
 		t.Errorf("a settings node without values has %v", values)
 	}
-	first.apply(&directory.Changes{Revision: 6, Gone: []directory.Gone{{ID: 9, Revision: 6}}}, "store", 0)
+	first.apply(&directory.Changes{Revision: 6, Removed: []directory.Removal{{ID: 9, Revision: 6}}}, "store", 0)
 	answer, err := (&peerSource{second, control}).changes(context.Background(), peerRequest{after: 5, base: 1}, 0, time.Second)
-	if err != nil || answer.Changes == nil || answer.Listing != nil || len(answer.Changes.Gone) != 1 {
+	if err != nil || answer.Changes == nil || answer.Listing != nil || len(answer.Changes.Removed) != 1 {
 		t.Errorf("answer %+v, %v", answer, err)
 	}
 	if _, err := (&peerSource{second, control}).get(context.Background(), pathChanges+"?after=x"); err == nil {
@@ -253,7 +253,7 @@
 	// Make the last confirmation an old one.
 	first.stateMutex.Lock()
 	first.confirmed = follow.Confirmation{}
-	first.confirmed.Note(first.now(), time.Minute)
+	first.confirmed.Update(first.now(), time.Minute)
 	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
 	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
@@ -341,7 +341,7 @@
 	var bodies [][]byte
 	for _, answer := range []peerAnswer{
 		{Age: time.Second, Listing: listing(&testing.T{}, 5)},
-		{Changes: &directory.Changes{Revision: 3, Gone: []directory.Gone{{ID: 1, Revision: 3}}}},
+		{Changes: &directory.Changes{Revision: 3, Removed: []directory.Removal{{ID: 1, Revision: 3}}}},
 	} {
 		body, err := msgpack.Marshal(&answer)
 		if err != nil {
--- a/internal/edge/event_log.go
+++ b/internal/edge/event_log.go
@@ -41,7 +41,7 @@
 	switch event.Transition {
 	case directory.SettingsApplied:
 		n.log.Info(string(event.Transition), "version", event.Version, "revision", event.Revision, "from", from, "age_ms", age.Milliseconds())
-	case directory.SettingsRefused:
+	case directory.SettingsRejected:
 		n.log.Error(string(event.Transition), "version", event.Version, "revision", event.Revision, "from", from, "error", event.Err)
 	case directory.ZoneEvacuated, directory.ZoneRestored:
 		n.log.Info(string(event.Transition), "zone", event.Zone, "revision", event.Revision, "from", from, "age_ms", age.Milliseconds())
--- a/internal/edge/fleet_bench_test.go
+++ b/internal/edge/fleet_bench_test.go
@@ -16,10 +16,10 @@
 func largeFleet() *directory.Listing {
 	const count = 10_000
 	random := rand.New(rand.NewPCG(1, 2))
-	listing := &directory.Listing{Revision: count + 1, Told: true}
+	listing := &directory.Listing{Revision: count + 1, FromPeer: true}
 	for i := range count {
 		listing.Records = append(listing.Records, directory.Record{Revision: uint64(i + 1), Backend: directory.Backend{
-			ID: settings.BackendID(random.Uint32()), Born: directory.Birth(1_800_000_000_000 + i), Group: []string{"fonts", "fonts", "fonts", "fonts", "uploads"}[i%5],
+			ID: settings.BackendID(random.Uint32()), StartTime: directory.StartTime(1_800_000_000_000 + i), Group: []string{"fonts", "fonts", "fonts", "fonts", "uploads"}[i%5],
 			Zone: fmt.Sprintf("hall-number-%d", i/5%5), Slots: 2, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128 + byte(i>>16), byte(i >> 8), byte(i)}), 8080),
 		}})
 	}
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -58,14 +58,14 @@
 		err = n.listStore(ctx, n.maxListingBytes(call.Transfer))
 	case follow.WatchStore:
 		outcome.Changes, err = n.watchStore(ctx, call.Wait)
-	case follow.AskPeer:
+	case follow.QueryPeer:
 		outcome.Age, err = n.requestFromPeer(ctx, call)
 	}
 	switch {
 	case err != nil && n.overtaken.Load():
-		outcome.Result = follow.Overtaken
+		outcome.Result = follow.Superseded
 	case errors.Is(err, ErrListingAbandoned):
-		outcome.Result = follow.Overtaken
+		outcome.Result = follow.Superseded
 	case errors.Is(err, ErrHistoryLost):
 		outcome.Result = follow.HistoryLost
 	case errors.Is(err, ErrTooLong):
@@ -147,7 +147,7 @@
 // recordSource records the upstream of a call and logs it when it changes.
 func (n *Node) recordSource(call follow.Call) {
 	source := "store"
-	if call.Kind == follow.AskPeer {
+	if call.Kind == follow.QueryPeer {
 		source = call.Peer.String()
 	}
 	n.followsStore.Store(source == "store")
@@ -167,7 +167,7 @@
 		n.log.Info("long listing left to others", "bytes_at_most", n.maxListingBytes(call.Transfer))
 	case errors.Is(err, ErrHistoryLost):
 		n.log.Info("store history lost", "revision", n.revision())
-	case err != nil && call.Kind == follow.AskPeer:
+	case err != nil && call.Kind == follow.QueryPeer:
 		n.log.Warn("peer lost", "peer", call.Peer, "revision", n.revision(), "error", err)
 	case err != nil:
 		n.metrics.storeFailures.Inc()
@@ -211,7 +211,7 @@
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	n.recordCertainty()
-	n.recordConfirmation(age, changes.Told)
+	n.recordConfirmation(age, changes.FromPeer)
 	events := n.directory.Apply(n.now(), changes)
 	n.publish(events, from, age)
 }
@@ -237,7 +237,7 @@
 	defer n.stateMutex.Unlock()
 	forwardable = n.changesRequest() == request && changes.Settings == nil
 	n.recordCertainty()
-	n.recordConfirmation(answer.Age, changes.Told)
+	n.recordConfirmation(answer.Age, changes.FromPeer)
 	events := n.directory.Apply(n.now(), changes)
 	n.publish(events, from, answer.Age)
 	step := changes.Step
@@ -252,7 +252,7 @@
 // publish installs the known state in the steerer and wakes followers that wait for changes. The state
 // mutex must be held.
 func (n *Node) publish(events []directory.Event, from string, age time.Duration) {
-	if n.confirmed.Note(n.now(), age) {
+	if n.confirmed.Update(n.now(), age) {
 		n.changed.wake()
 	}
 	if n.viewRevision.Swap(n.directory.Revision()) == n.directory.Revision() && len(events) == 0 {
@@ -276,7 +276,7 @@
 }
 
 // recordCertainty tells the directory up to when its contents are complete. The state mutex must be held.
-func (n *Node) recordCertainty() { n.directory.NoteCertain(n.now() - n.staleness()) }
+func (n *Node) recordCertainty() { n.directory.AdvanceConfirmedAt(n.now() - n.staleness()) }
 
 // staleness returns the time since the store last confirmed the known state. The state mutex must be held.
 func (n *Node) staleness() time.Duration {
--- a/internal/edge/growth_bench_test.go
+++ b/internal/edge/growth_bench_test.go
@@ -37,7 +37,7 @@
 	sender.Replace(0, first)
 	follower.Replace(0, first)
 	sender.Apply(0, &directory.Changes{Revision: 2, Settings: larger})
-	changes, known := sender.Since(1, 1)
+	changes, known := sender.ChangesSince(1, 1)
 	if !known || changes.Step == nil {
 		tb.Fatal("the changes have no step")
 	}
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -206,14 +206,14 @@
 	if hello.Revision == n.directory.Revision() {
 		// At equal revisions a confirmation to the sender is valid here too.
 		n.recordConfirmation(hello.StoreAge, false)
-		n.confirmed.Note(now, hello.StoreAge)
+		n.confirmed.Update(now, hello.StoreAge)
 	}
 	var reply *peers.Hello
 	if isNew || hello.Reply {
 		reply = n.hello(now)
 		reply.Others = n.peers.ForAsker(now, hello)
 	}
-	behind := n.lag.Note(now, n.directory.Revision(), hello.Revision)
+	behind := n.lag.Observe(now, n.directory.Revision(), hello.Revision)
 	source, found := listingSource(hello)
 	summaryPeer, summaryFound := summarySource(hello)
 	summaryFound = summaryFound && n.directory.SettingsVersion() == 0
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -84,8 +84,8 @@
 		index, _, _ := n.peers.Place(n.now())
 		step := listing.Next(n.now(), n.directory.Revision(), n.peers.HasLower(n.now()), index)
 		n.stateMutex.Unlock()
-		if step != follow.WaitForOthers {
-			return step == follow.ReadOn
+		if step != follow.WaitForPeers {
+			return step == follow.NextPage
 		}
 		pause(ctx, follow.ListPoll)
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -87,7 +87,7 @@
 	set.NewGauge("gaugeyard_zones_evacuated", func() float64 {
 		n.stateMutex.Lock()
 		defer n.stateMutex.Unlock()
-		return float64(len(n.directory.Evacuated()))
+		return float64(len(n.directory.EvacuatedZones()))
 	})
 	set.NewGauge("gaugeyard_log_lines_dropped", func() float64 { return float64(n.lines.dropped.Load()) })
 	return m
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -160,7 +160,7 @@
 		inquiries:     make(chan []steering.Inquiry, maxInquiries),
 	}
 	n.current.Store(&config)
-	n.directory.SetLapse(directory.LapseWithin(config.Bounds.Contact, config.Bounds.Drain))
+	n.directory.SetExpiryBounds(directory.ExpiryBoundsFor(config.Bounds.Contact, config.Bounds.Drain))
 	n.directory.SetInterval(config.Bounds.Announce)
 	n.metrics = newMetrics(n)
 	return n, nil
--- a/internal/edge/outage.go
+++ b/internal/edge/outage.go
@@ -17,7 +17,7 @@
 // where a peer reports it together with the expired back ends. The state mutex must be held.
 func (n *Node) recordConfirmation(age time.Duration, fromPeer bool) {
 	before := n.staleness()
-	if fromPeer || !n.directory.NoteConfirmed(n.now(), age, before) {
+	if fromPeer || !n.directory.DetectStoreReturn(n.now(), age, before) {
 		return
 	}
 	// Cached answers predate the return of the store.
@@ -33,7 +33,7 @@
 	}
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	if n.directory.HearReturn(n.now() - age) {
+	if n.directory.ReceiveStoreReturn(n.now() - age) {
 		n.generation++
 	}
 }
@@ -65,7 +65,7 @@
 func (n *Node) logExpired(events []directory.Event, from string) {
 	count := 0
 	for _, event := range events {
-		if event.Transition == directory.BackendGone && n.directory.IsLapsed(event.Backend.ID) {
+		if event.Transition == directory.BackendRemoved && n.directory.IsExpired(event.Backend.ID) {
 			count++
 		}
 	}
--- a/internal/edge/outage_test.go
+++ b/internal/edge/outage_test.go
@@ -19,17 +19,17 @@
 	follower.replace(listing, "store", 0)
 	// The last confirmation by the store is old.
 	source.confirmed = follow.Confirmation{}
-	source.confirmed.Note(source.now(), time.Minute)
+	source.confirmed.Update(source.now(), time.Minute)
 	control, _ := serveWithSilencer(t, source.controlHandler())
-	source.apply(&directory.Changes{Revision: 8, Gone: []directory.Gone{{ID: 1, Revision: 8}}}, "store", 0)
+	source.apply(&directory.Changes{Revision: 8, Removed: []directory.Removal{{ID: 1, Revision: 8}}}, "store", 0)
 	if source.metrics.expired.Get() != 1 {
 		t.Error("the expired back end is not counted")
 	}
-	call := follow.Call{Kind: follow.AskPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: time.Second}
+	call := follow.Call{Kind: follow.QueryPeer, Peer: control, Wait: 50 * time.Millisecond, Timeout: time.Second}
 	if _, err := follower.execute(t.Context(), call); err != nil {
 		t.Fatal(err)
 	}
-	if !follower.directory.IsLapsed(1) {
+	if !follower.directory.IsExpired(1) {
 		t.Error("the follower treats the expired back end as removed")
 	}
 	age, returning := follower.directory.ReturnAge(follower.now())
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -67,8 +67,8 @@
 	}
 	n.current.Store(&merged)
 	n.stateMutex.Lock()
-	n.directory.Keep(removedRetention(&merged))
-	n.directory.SetLapse(directory.LapseWithin(merged.Bounds.Contact, merged.Bounds.Drain))
+	n.directory.SetRetention(removedRetention(&merged))
+	n.directory.SetExpiryBounds(directory.ExpiryBoundsFor(merged.Bounds.Contact, merged.Bounds.Drain))
 	n.stateMutex.Unlock()
 	n.steeringMutex.Lock()
 	n.steerer.Reconfigure(steeringConfig(&merged))
--- a/internal/edge/serving.go
+++ b/internal/edge/serving.go
@@ -91,7 +91,7 @@
 func (n *Node) hasNewer(after uint64, age time.Duration) bool {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	return n.directory.Revision() > after || n.confirmed.Renews(n.now(), age)
+	return n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), age)
 }
 
 // peerRequest is a request of another balancer for a full listing, for changes or for a summary.
@@ -131,10 +131,10 @@
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	if request.zone != "" {
-		return &peerAnswer{Listing: n.directory.Outline(request.zone)}
+		return &peerAnswer{Listing: n.directory.Summary(request.zone)}
 	}
 	if request.after > 0 {
-		if changes, known := n.directory.Since(request.after, request.base); known {
+		if changes, known := n.directory.ChangesSince(request.after, request.base); known {
 			return &peerAnswer{Changes: changes}
 		}
 	}
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -103,7 +103,7 @@
 // store that it has detected itself.
 func (n *Node) snapshotUsable() bool {
 	bounds := &n.config().Bounds
-	return n.storeFailing.Load() || directory.LapseWithin(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
+	return n.storeFailing.Load() || directory.ExpiryBoundsFor(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
 }
 
 // recordMembership tells the writer of the snapshot about changes of membership. The state mutex must be held.
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -78,7 +78,7 @@
 
 func expiredCount(node *Node) (count int) {
 	for id := settings.BackendID(1); id <= 8; id++ {
-		if node.directory.IsLapsed(id) {
+		if node.directory.IsExpired(id) {
 			count++
 		}
 	}
@@ -136,7 +136,7 @@
 		}
 		node.writeSnapshot(t.Context(), write)
 		node.started = node.started.Add(-time.Minute)
-		node.confirmed.Note(node.now(), 0)
+		node.confirmed.Update(node.now(), 0)
 	}
 	if store.calls != 2 || node.metrics.snapshotFailures.Get() != 2 {
 		t.Errorf("%d calls, %d failures, want 2 of each", store.calls, node.metrics.snapshotFailures.Get())
--- a/internal/edge/summary.go
+++ b/internal/edge/summary.go
@@ -91,7 +91,7 @@
 		n.stateMutex.Unlock()
 		return false
 	}
-	events := n.directory.TakeOutline(n.now(), summary)
+	events := n.directory.ApplySummary(n.now(), summary)
 	n.generation++
 	n.installView()
 	n.logEvents(events, from, 0)
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -52,7 +52,7 @@
 	var records directory.Records
 	for i := first; i < first+2; i++ {
 		records = append(records, directory.Record{Revision: uint64(i) + 100, Backend: directory.Backend{
-			ID: settings.BackendID(i), Born: directory.Birth(i) + 200, Group: "group-" + string('a'+rune(i%2)), Zone: "zone-" + string('c'+rune(i%2)),
+			ID: settings.BackendID(i), StartTime: directory.StartTime(i) + 200, Group: "group-" + string('a'+rune(i%2)), Zone: "zone-" + string('c'+rune(i%2)),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, i}), 9000+uint16(i)), Slots: int(i) + 50, Draining: i%2 == 1, WarmUp: time.Duration(i) + 400,
 		}})
 	}
@@ -72,8 +72,8 @@
 	return &directory.Listing{
 		Revision: 9, Settings: wireSettings(), Records: wireRecords(1),
 		Evacuations: []directory.Evacuation{{Zone: "a", Active: true, Revision: 11}, {Zone: "b", Active: false, Revision: 12}},
-		Unusable:    []directory.Gone{{ID: 13, Revision: 14}},
-		Removed:     wireRecords(21), Told: true, Expired: []settings.BackendID{21, 15},
+		Unusable:    []directory.Removal{{ID: 13, Revision: 14}},
+		Removed:     wireRecords(21), FromPeer: true, Expired: []settings.BackendID{21, 15},
 	}
 }
 
@@ -85,8 +85,8 @@
 			{Path: "fonts", Key: settings.KeyAddress, Before: "192.0.2.1:80", After: "192.0.2.2:80"},
 			{Path: "fonts", Key: settings.KeyRepeatable, Before: "true", After: ""},
 		}},
-		Records: wireRecords(41), Gone: []directory.Gone{{ID: 35, Revision: 36}, {ID: 37, Revision: 38}}, Unusable: []directory.Gone{{ID: 39, Revision: 40}},
-		Evacuations: []directory.Evacuation{{Zone: "c", Active: true, Revision: 43}}, Told: true, Expired: []settings.BackendID{35},
+		Records: wireRecords(41), Removed: []directory.Removal{{ID: 35, Revision: 36}, {ID: 37, Revision: 38}}, Unusable: []directory.Removal{{ID: 39, Revision: 40}},
+		Evacuations: []directory.Evacuation{{Zone: "c", Active: true, Revision: 43}}, FromPeer: true, Expired: []settings.BackendID{35},
 	}
 }
 
--- a/internal/emulator/listing.go
+++ b/internal/emulator/listing.go
@@ -69,7 +69,7 @@
 	if n.directory.SettingsVersion() > 0 {
 		return
 	}
-	n.directory.TakeOutline(n.now(), outline)
+	n.directory.ApplySummary(n.now(), outline)
 	n.setView()
 	if n.ready = n.directory.SettingsVersion() > 0; n.ready {
 		n.handleHeld()
@@ -90,12 +90,12 @@
 func (n *node) goOnListing(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
 	index, _, _ := n.peers.Place(n.now())
 	switch paged.Next(n.now(), n.directory.Revision(), n.peers.HasLower(n.now()), index) {
-	case follow.ReadOn:
+	case follow.NextPage:
 		n.listPage(paged, listing, after, end)
-	case follow.WaitForOthers:
+	case follow.WaitForPeers:
 		n.whileRunning(follow.ListPoll, func() { n.goOnListing(paged, listing, after, end) })
-	case follow.LeaveListing:
-		end(follow.Outcome{Result: follow.Overtaken})
+	case follow.AbandonListing:
+		end(follow.Outcome{Result: follow.Superseded})
 	}
 }
 
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -126,7 +126,7 @@
 	}
 	n.directory = directory.New(keep)
 	n.directory.SetInterval(heartbeat)
-	n.directory.SetLapse(directory.LapseWithin(contactBound, drainBound))
+	n.directory.SetExpiryBounds(directory.ExpiryBoundsFor(contactBound, drainBound))
 	n.steerer = steering.New(steering.Config{
 		Zone: n.zone, FlowLife: flowLife, RemovalGrace: drainBound / 2,
 		WarmUpOvershoot: warmUpOvershoot, WarmUpSlack: warmUpSlack,
@@ -215,7 +215,7 @@
 
 // believe lets packets be steered by what is known now and tells those that wait.
 func (n *node) believe(age time.Duration) {
-	n.confirmed.Note(n.now(), age)
+	n.confirmed.Update(n.now(), age)
 	if n.world.options.Without.Departed {
 		n.directory.Forget(n.now())
 	}
--- a/internal/emulator/node_follow.go
+++ b/internal/emulator/node_follow.go
@@ -26,14 +26,14 @@
 		n.finish(call, call.Wait, follow.Outcome{})
 		return
 	}
-	n.asksStore = call.Kind != follow.AskPeer
+	n.asksStore = call.Kind != follow.QueryPeer
 	answered := false
 	end := func(outcome follow.Outcome) {
 		if answered {
 			return
 		}
 		answered = true
-		if outcome.Result == follow.Failed || outcome.Result == follow.Overtaken {
+		if outcome.Result == follow.Failed || outcome.Result == follow.Superseded {
 			// The idle connections may have fallen silent as well.
 			clear(n.idle)
 		}
@@ -41,7 +41,7 @@
 	}
 	n.giveUp = end
 	timeout := call.Timeout
-	if n.world.options.Without.Deadlines && call.Kind != follow.AskPeer {
+	if n.world.options.Without.Deadlines && call.Kind != follow.QueryPeer {
 		timeout = hangTime
 	}
 	n.whileRunning(timeout, func() { end(follow.Outcome{Result: follow.Failed}) })
@@ -61,7 +61,7 @@
 				n.changed(changes, 0, err, end)
 			})
 		})
-	case follow.AskPeer:
+	case follow.QueryPeer:
 		n.askPeer(call, end)
 	}
 }
@@ -104,7 +104,7 @@
 		deaf.Evacuations = nil
 		listing = &deaf
 	}
-	n.directory.NoteCertain(n.now() - n.confirmed.Age(n.now()))
+	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Age(n.now()))
 	n.noteMembership(n.directory.Replace(n.now(), listing))
 	n.believe(age)
 }
@@ -113,8 +113,8 @@
 	if n.world.options.Without.Evacuations {
 		changes.Evacuations = nil
 	}
-	n.directory.NoteCertain(n.now() - n.confirmed.Age(n.now()))
-	n.noteConfirmed(age, changes.Told)
+	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Age(n.now()))
+	n.noteConfirmed(age, changes.FromPeer)
 	n.noteMembership(n.directory.Apply(n.now(), changes))
 	n.believe(age)
 }
--- a/internal/emulator/node_lapsed.go
+++ b/internal/emulator/node_lapsed.go
@@ -6,7 +6,7 @@
 // balancer has told together with it what lapsed.
 func (n *node) noteConfirmed(age time.Duration, told bool) {
 	if !told {
-		n.directory.NoteConfirmed(n.now(), age, n.confirmed.Age(n.now()))
+		n.directory.DetectStoreReturn(n.now(), age, n.confirmed.Age(n.now()))
 	}
 }
 
@@ -15,7 +15,7 @@
 	age, returning := n.directory.ReturnAge(n.now())
 	return func(asker *node) {
 		if returning {
-			asker.directory.HearReturn(asker.now() - age)
+			asker.directory.ReceiveStoreReturn(asker.now() - age)
 		}
 	}
 }
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -40,7 +40,7 @@
 // whenChanged runs reply once there is something newer, also a newer confirmation than one of
 // the age, or the wait is over.
 func (n *node) whenChanged(after uint64, age, wait time.Duration, reply func()) {
-	if n.directory.Revision() > after || n.confirmed.Renews(n.now(), age) {
+	if n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), age) {
 		reply()
 		return
 	}
@@ -58,7 +58,7 @@
 // answerFor collects what another balancer lacks and hands it over.
 func (n *node) answerFor(asker *node, toAsker func(do func()), after, base uint64, end func(follow.Outcome)) func() {
 	age := n.confirmed.Age(n.now())
-	changes, known := n.directory.Since(after, base)
+	changes, known := n.directory.ChangesSince(after, base)
 	listing := n.directory.Listing()
 	hearReturn := n.tellReturn()
 	return func() {
@@ -211,12 +211,12 @@
 	n.steerer.ReceiveUnresponsive(n.now(), hello.Control, hello.Stalls)
 	n.heardInquiries(hello)
 	n.actOnObservations()
-	if n.lag.Note(n.now(), n.directory.Revision(), hello.Revision) && n.giveUp != nil {
-		n.giveUp(follow.Outcome{Result: follow.Overtaken})
+	if n.lag.Observe(n.now(), n.directory.Revision(), hello.Revision) && n.giveUp != nil {
+		n.giveUp(follow.Outcome{Result: follow.Superseded})
 	}
 	if hello.Revision == n.directory.Revision() {
 		n.noteConfirmed(hello.StoreAge, false)
-		n.confirmed.Note(n.now(), hello.StoreAge)
+		n.confirmed.Update(n.now(), hello.StoreAge)
 	}
 	isNew := n.peers.Heard(n.now(), hello)
 	if len(hello.Failures) > 0 {
--- a/internal/emulator/node_snapshot.go
+++ b/internal/emulator/node_snapshot.go
@@ -89,7 +89,7 @@
 // readSnapshot adds to a listing what is missing by the snapshot, where nothing was known here before.
 func (n *node) readSnapshot(listing *directory.Listing) {
 	n.snapshots.Heard(n.kept)
-	young := n.failing || directory.LapseWithin(contactBound, drainBound).EndsInTime(n.now(), contactBound)
+	young := n.failing || directory.ExpiryBoundsFor(contactBound, drainBound).EndsInTime(n.now(), contactBound)
 	if n.directory.Revision() > 0 || !young || n.world.options.Without.Snapshot {
 		return
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -31,7 +31,7 @@
 type server struct {
 	world   *world
 	id      settings.BackendID
-	born    directory.Birth
+	born    directory.StartTime
 	service string
 	zone    string
 	address netip.AddrPort
@@ -106,9 +106,9 @@
 }
 
 // birth is the time of day at a server that starts now.
-func (w *world) birth() directory.Birth {
+func (w *world) birth() directory.StartTime {
 	const firstDay = 1_800_000_000_000
-	return directory.Birth(firstDay + (w.Now - w.clockBack).Milliseconds())
+	return directory.StartTime(firstDay + (w.Now - w.clockBack).Milliseconds())
 }
 
 // heartbeat writes the server's entry.
@@ -117,7 +117,7 @@
 		return
 	}
 	s.world.store.write(directory.Backend{
-		ID: s.id, Born: s.born, Group: s.service, Zone: s.zone, Address: s.address, Slots: serverSlots,
+		ID: s.id, StartTime: s.born, Group: s.service, Zone: s.zone, Address: s.address, Slots: serverSlots,
 		Draining: s.draining, WarmUp: max(0, s.warmAt()-s.world.Now),
 	})
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -139,7 +139,7 @@
 	}
 	s.written[backend.ID] = s.world.Now
 	known, live := s.entries[backend.ID]
-	if live && known.Backend.Born == backend.Born && known.Backend.Draining == backend.Draining && s.world.Now+backend.WarmUp <= s.warmAt[backend.ID] {
+	if live && known.Backend.StartTime == backend.StartTime && known.Backend.Draining == backend.Draining && s.world.Now+backend.WarmUp <= s.warmAt[backend.ID] {
 		return true
 	}
 	s.revision++
@@ -313,7 +313,7 @@
 		case c.zone != nil:
 			changes.Evacuations = append(changes.Evacuations, *c.zone)
 		default:
-			changes.Gone = append(changes.Gone, directory.Gone{ID: c.gone, Revision: c.revision})
+			changes.Removed = append(changes.Removed, directory.Removal{ID: c.gone, Revision: c.revision})
 		}
 	}
 	return changes
--- a/internal/follow/call.go
+++ b/internal/follow/call.go
@@ -17,7 +17,7 @@
 	// WatchStore waits for changes from the store.
 	WatchStore
 	// QueryPeer waits for changes from another balancer.
-	AskPeer
+	QueryPeer
 	// Pause waits without a request.
 	Pause
 )
@@ -92,7 +92,7 @@
 	Failed
 	// Superseded means that the call was aborted because another balancer has had
 	// a newer revision for some time.
-	Overtaken
+	Superseded
 	// TooLong means that the response would take longer than Call.Transfer.
 	TooLong
 )
--- a/internal/follow/confirmation.go
+++ b/internal/follow/confirmation.go
@@ -20,7 +20,7 @@
 // process, unless a newer confirmation is known. It reports whether to send it to waiting
 // followers, so that a confirmation passes along a chain of balancers at once and the state is
 // little staler at its end than at the balancer that polls the store.
-func (c *Confirmation) Note(now, age time.Duration) (renewed bool) {
+func (c *Confirmation) Update(now, age time.Duration) (renewed bool) {
 	at := now - age
 	if c.known && at <= c.at {
 		return false
@@ -31,7 +31,7 @@
 }
 
 // IsNewerThan reports whether this confirmation is newer, by minRenewal at least, than one of the age.
-func (c *Confirmation) Renews(now, age time.Duration) bool {
+func (c *Confirmation) IsNewerThan(now, age time.Duration) bool {
 	return c.Age(now)+minRenewal <= age
 }
 
--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -12,7 +12,7 @@
 	if age := c.Age(100 * time.Millisecond); age != neverConfirmed {
 		t.Errorf("age %v before the first confirmation, want %v", age, neverConfirmed)
 	}
-	c.Note(50*time.Millisecond, 1600*time.Millisecond)
+	c.Update(50*time.Millisecond, 1600*time.Millisecond)
 	if age := c.Age(250 * time.Millisecond); age != 1800*time.Millisecond {
 		t.Errorf("age %v, want 1.8s", age)
 	}
@@ -21,28 +21,28 @@
 // TestConfirmationIsSentOnce to waiting followers, and not after each small renewal.
 func TestConfirmationIsSentOnce(t *testing.T) {
 	var c Confirmation
-	if !c.Note(time.Second, 0) {
+	if !c.Update(time.Second, 0) {
 		t.Error("the first confirmation is not sent")
 	}
-	if c.Note(1100*time.Millisecond, 0) || c.Note(1200*time.Millisecond, 500*time.Millisecond) {
+	if c.Update(1100*time.Millisecond, 0) || c.Update(1200*time.Millisecond, 500*time.Millisecond) {
 		t.Error("a confirmation that is older, or newer by less than minRenewal, is sent")
 	}
-	if !c.Note(2*time.Second, 0) {
+	if !c.Update(2*time.Second, 0) {
 		t.Error("a newer confirmation is not sent")
 	}
-	if !c.Renews(2*time.Second, 300*time.Millisecond) || c.Renews(2*time.Second, 100*time.Millisecond) {
+	if !c.IsNewerThan(2*time.Second, 300*time.Millisecond) || c.IsNewerThan(2*time.Second, 100*time.Millisecond) {
 		t.Error("whether a confirmation is newer does not depend on the age of the other one")
 	}
 }
 
 func TestNewestConfirmationCounts(t *testing.T) {
 	var c Confirmation
-	c.Note(3*time.Second, 0)
-	c.Note(4*time.Second, 2*time.Second)
+	c.Update(3*time.Second, 0)
+	c.Update(4*time.Second, 2*time.Second)
 	if age := c.Age(5 * time.Second); age != 2*time.Second {
 		t.Errorf("age %v, want 2 s", age)
 	}
-	c.Note(5*time.Second, 500*time.Millisecond)
+	c.Update(5*time.Second, 500*time.Millisecond)
 	if age := c.Age(5 * time.Second); age != 500*time.Millisecond {
 		t.Errorf("age %v, want 0.5 s", age)
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -110,7 +110,7 @@
 	f.requestedRevision = state.Revision
 	if f.catchUp && state.Freshest.IsValid() {
 		f.catchUp = false
-		return Call{Kind: AskPeer, Peer: state.Freshest, Timeout: catchUpTimeout}
+		return Call{Kind: QueryPeer, Peer: state.Freshest, Timeout: catchUpTimeout}
 	}
 	f.catchUp = false
 	if state.Revision == 0 {
@@ -131,7 +131,7 @@
 	}
 	if state.Upstream.IsValid() && state.Revision > 0 && !f.storeNext {
 		wait := max(MaxPeerAge(f.contactBound)-max(state.UpstreamAge, 0), minPeerWait)
-		return Call{Kind: AskPeer, Peer: state.Upstream, Wait: wait, Timeout: wait + peerSlack}
+		return Call{Kind: QueryPeer, Peer: state.Upstream, Wait: wait, Timeout: wait + peerSlack}
 	}
 	f.storeNext = false
 	if f.defersToPeers(state) {
@@ -174,8 +174,8 @@
 	switch call.Kind {
 	case Pause:
 		return Unchanged
-	case AskPeer:
-		if outcome.Result == Overtaken {
+	case QueryPeer:
+		if outcome.Result == Superseded {
 			f.catchUp = true
 			return Unchanged
 		}
@@ -189,7 +189,7 @@
 	case HistoryLost:
 		f.historyLost = true
 		return Unchanged
-	case Overtaken:
+	case Superseded:
 		f.catchUp = true
 		return Unchanged
 	case TooLong:
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -107,10 +107,10 @@
 func TestUpstreamIsFollowed(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Upstream: upstream}
-	step(t, f, state, AskPeer, Outcome{Age: time.Second})
-	step(t, f, state, AskPeer, Outcome{Result: Failed})
+	step(t, f, state, QueryPeer, Outcome{Age: time.Second})
+	step(t, f, state, QueryPeer, Outcome{Result: Failed})
 	step(t, f, state, WatchStore, Outcome{})
-	step(t, f, state, AskPeer, Outcome{Age: MaxPeerAge(bound) + 1})
+	step(t, f, state, QueryPeer, Outcome{Age: MaxPeerAge(bound) + 1})
 	step(t, f, state, WatchStore, Outcome{})
 }
 
@@ -122,7 +122,7 @@
 		{MaxPeerAge(bound), minPeerWait},
 	} {
 		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamAge: test.age})
-		if call.Kind != AskPeer || call.Wait != test.wait || call.Timeout != test.wait+peerSlack {
+		if call.Kind != QueryPeer || call.Wait != test.wait || call.Timeout != test.wait+peerSlack {
 			t.Errorf("age %v: %+v, want a wait of %v", test.age, call, test.wait)
 		}
 	}
@@ -149,10 +149,10 @@
 	if contact := step(t, f, state, WatchStore, Outcome{Result: Failed}); contact != Lost {
 		t.Errorf("contact %v", contact)
 	}
-	if call := f.Next(state); call.Kind != AskPeer || call.Peer != freshest || call.Wait != 0 {
+	if call := f.Next(state); call.Kind != QueryPeer || call.Peer != freshest || call.Wait != 0 {
 		t.Errorf("call %+v", call)
 	}
-	f.Done(state, Call{Kind: AskPeer}, Outcome{Result: Failed})
+	f.Done(state, Call{Kind: QueryPeer}, Outcome{Result: Failed})
 	if calls := countStoreCalls(t, f, State{Revision: 5}, 10*maxRetry); calls < 10 || calls > 15 {
 		t.Errorf("%d requests to the store in %v, want 10 to 15", calls, 10*maxRetry)
 	}
@@ -190,7 +190,7 @@
 	step(t, f, state, WatchStore, Outcome{Result: Failed})
 	step(t, f, state, Pause, Outcome{})
 	state.Upstream = upstream
-	if contact := step(t, f, state, AskPeer, Outcome{}); contact != Regained {
+	if contact := step(t, f, state, QueryPeer, Outcome{}); contact != Regained {
 		t.Errorf("through another balancer: contact %v", contact)
 	}
 }
@@ -219,10 +219,10 @@
 func TestLaggingBalancerQueriesFreshest(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Freshest: freshest}
-	if contact := step(t, f, state, WatchStore, Outcome{Result: Overtaken}); contact != Unchanged {
+	if contact := step(t, f, state, WatchStore, Outcome{Result: Superseded}); contact != Unchanged {
 		t.Errorf("contact %v", contact)
 	}
-	if call := f.Next(state); call.Kind != AskPeer || call.Peer != freshest {
+	if call := f.Next(state); call.Kind != QueryPeer || call.Peer != freshest {
 		t.Errorf("call %+v", call)
 	}
 }
@@ -244,7 +244,7 @@
 		{800 * time.Millisecond, 8, 8, false},
 		{1500 * time.Millisecond, 8, 9, false},
 	} {
-		if got := lag.Note(moment.at, moment.own, moment.reported); got != moment.want {
+		if got := lag.Observe(moment.at, moment.own, moment.reported); got != moment.want {
 			t.Errorf("at %v: %v", moment.at, got)
 		}
 	}
@@ -257,7 +257,7 @@
 	aborted := 0
 	longest, last := time.Duration(0), time.Duration(0)
 	for now := time.Duration(0); now < 7*time.Second; now += 20 * time.Millisecond {
-		if lag.Note(now, 5, 9) {
+		if lag.Observe(now, 5, 9) {
 			aborted++
 			longest, last = max(longest, now-last), now
 		}
@@ -265,7 +265,7 @@
 	if aborted > 4 || longest < 2*time.Second {
 		t.Errorf("%d calls were aborted in 7 s, the longest after %v", aborted, longest)
 	}
-	if lag.Note(7*time.Second, 9, 10) || !lag.Note(7*time.Second+initialLagTimeout, 9, 10) {
+	if lag.Observe(7*time.Second, 9, 10) || !lag.Observe(7*time.Second+initialLagTimeout, 9, 10) {
 		t.Error("the timeout is not reset after progress")
 	}
 }
@@ -276,11 +276,11 @@
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{Result: Failed})
 	step(t, f, State{Revision: 5}, Pause, Outcome{})
-	if contact := step(t, f, state, AskPeer, Outcome{Age: 2 * MaxPeerAge(bound)}); contact != Unchanged {
+	if contact := step(t, f, state, QueryPeer, Outcome{Age: 2 * MaxPeerAge(bound)}); contact != Unchanged {
 		t.Errorf("through a stale peer: %v", contact)
 	}
 	step(t, f, state.afterRetries(), WatchStore, Outcome{Result: Failed})
-	if contact := step(t, f, state.afterRetries(), AskPeer, Outcome{}); contact != Regained {
+	if contact := step(t, f, state.afterRetries(), QueryPeer, Outcome{}); contact != Regained {
 		t.Errorf("through a fresh peer: %v", contact)
 	}
 }
@@ -311,9 +311,9 @@
 func TestDiscoversUpstreamBeforePolling(t *testing.T) {
 	f := New(bound, 0)
 	step(t, f, State{Revision: 7}, Pause, Outcome{})
-	step(t, f, State{Revision: 7, Upstream: upstream}, AskPeer, Outcome{})
+	step(t, f, State{Revision: 7, Upstream: upstream}, QueryPeer, Outcome{})
 	followed := New(bound, 0)
-	step(t, followed, State{Revision: 7, Upstream: upstream}, AskPeer, Outcome{})
+	step(t, followed, State{Revision: 7, Upstream: upstream}, QueryPeer, Outcome{})
 	step(t, followed, State{Revision: 7}, WatchStore, Outcome{})
 }
 
@@ -372,7 +372,7 @@
 		state.Now += bound / storeWaitDivisor
 	}
 	state.Upstream = upstream
-	step(t, f, state, AskPeer, Outcome{})
+	step(t, f, state, QueryPeer, Outcome{})
 }
 
 // TestFreshestIsQueriedMeanwhile: while the store is left to others, also after a long time.
@@ -384,7 +384,7 @@
 		state.Now += maxPause
 	}
 	state.Freshest = freshest
-	if call := f.Next(state); call.Kind != AskPeer || call.Peer != freshest {
+	if call := f.Next(state); call.Kind != QueryPeer || call.Peer != freshest {
 		t.Errorf("call %+v", call)
 	}
 }
@@ -446,7 +446,7 @@
 			t.Errorf("%s: lists after %v, want %v to %v", test.name, after, test.from, test.to)
 		}
 	}
-	if restart := New(bound, 0).Next(State{Revision: 5, MoreCapable: true, Upstream: upstream}); restart.Kind != AskPeer {
+	if restart := New(bound, 0).Next(State{Revision: 5, MoreCapable: true, Upstream: upstream}); restart.Kind != QueryPeer {
 		t.Errorf("with state received from a peer: %+v", restart)
 	}
 }
--- a/internal/follow/lag.go
+++ b/internal/follow/lag.go
@@ -23,7 +23,7 @@
 
 // Observe takes the own revision and one reported by another balancer. It reports whether
 // the current call should be aborted.
-func (l *Lag) Note(now time.Duration, own, reported uint64) bool {
+func (l *Lag) Observe(now time.Duration, own, reported uint64) bool {
 	if reported <= own {
 		if l.ahead && l.ownRevision != own {
 			l.ahead = false
--- a/internal/follow/listing.go
+++ b/internal/follow/listing.go
@@ -24,11 +24,11 @@
 // The steps.
 const (
 	// NextPage reads the next page.
-	ReadOn ListingStep = iota
+	NextPage ListingStep = iota
 	// WaitForPeers calls Next again after ListPoll.
-	WaitForOthers
+	WaitForPeers
 	// AbandonListing ends the listing, since another balancer has sent a newer state.
-	LeaveListing
+	AbandonListing
 )
 
 // Listing decides the steps of a paged listing of the store.
@@ -70,10 +70,10 @@
 	}
 	switch {
 	case revision > l.known:
-		return LeaveListing
+		return AbandonListing
 	case l.known > 0, l.committed, !backup, now-l.beganAt >= wait:
 		l.committed = true
-		return ReadOn
+		return NextPage
 	}
-	return WaitForOthers
+	return WaitForPeers
 }
--- a/internal/follow/listing_test.go
+++ b/internal/follow/listing_test.go
@@ -8,21 +8,21 @@
 // TestFirstListingWaitsForPeers once, and is abandoned when a peer has sent the state.
 func TestFirstListingWaitsForPeers(t *testing.T) {
 	l := NewListing(time.Second, 0)
-	if step := l.Next(time.Second, 0, true, 0); step != WaitForOthers {
+	if step := l.Next(time.Second, 0, true, 0); step != WaitForPeers {
 		t.Errorf("with a balancer of lower rank: %v", step)
 	}
-	if step := l.Next(time.Second+ListPoll, 7, true, 0); step != LeaveListing {
+	if step := l.Next(time.Second+ListPoll, 7, true, 0); step != AbandonListing {
 		t.Errorf("after that balancer has sent the state: %v", step)
 	}
 	l = NewListing(time.Second, 0)
-	if step := l.Next(time.Second, 0, false, 0); step != ReadOn {
+	if step := l.Next(time.Second, 0, false, 0); step != NextPage {
 		t.Errorf("without another balancer: %v", step)
 	}
-	if step := l.Next(time.Second+ListPoll, 0, true, 0); step != ReadOn {
+	if step := l.Next(time.Second+ListPoll, 0, true, 0); step != NextPage {
 		t.Errorf("after the first page: %v", step)
 	}
 	l = NewListing(time.Second, 0)
-	if step := l.Next(time.Second+primaryListWait, 0, true, 0); step != ReadOn {
+	if step := l.Next(time.Second+primaryListWait, 0, true, 0); step != NextPage {
 		t.Errorf("after the wait: %v", step)
 	}
 }
@@ -32,11 +32,11 @@
 func TestRepeatedListingIsAbandonedForNewerRevision(t *testing.T) {
 	l := NewListing(time.Second, 49)
 	for page := range 5 {
-		if step := l.Next(time.Second+time.Duration(page)*ListPoll, 49, true, 0); step != ReadOn {
+		if step := l.Next(time.Second+time.Duration(page)*ListPoll, 49, true, 0); step != NextPage {
 			t.Errorf("page %d: %v", page, step)
 		}
 	}
-	if step := l.Next(2*time.Second, 50, true, 0); step != LeaveListing {
+	if step := l.Next(2*time.Second, 50, true, 0); step != AbandonListing {
 		t.Errorf("after a newer revision was received: %v", step)
 	}
 }
@@ -70,9 +70,9 @@
 		after    time.Duration
 		want     ListingStep
 	}{
-		{primaryPollers - 1, primaryListWait, ReadOn},
-		{primaryPollers, primaryListWait, WaitForOthers},
-		{primaryPollers, backupListWait, ReadOn},
+		{primaryPollers - 1, primaryListWait, NextPage},
+		{primaryPollers, primaryListWait, WaitForPeers},
+		{primaryPollers, backupListWait, NextPage},
 	} {
 		l := NewListing(time.Second, 0)
 		if step := l.Next(time.Second+test.after, 0, true, test.zoneRank); step != test.want {
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -77,7 +77,7 @@
 	Address     netip.AddrPort
 	Group, Zone int
 	Slots       int
-	StartTime   directory.Birth
+	StartTime   directory.StartTime
 }
 
 // partCountFor returns the number of parts, a power of two, for a number of back ends.
@@ -100,7 +100,7 @@
 	for i := range records {
 		b := &records[i].Backend
 		encoded.Backends[i] = backend{
-			ID: uint64(b.ID), Revision: records[i].Revision, Address: b.Address, Slots: b.Slots, StartTime: b.Born,
+			ID: uint64(b.ID), Revision: records[i].Revision, Address: b.Address, Slots: b.Slots, StartTime: b.StartTime,
 			Group: groups.Index(&encoded.Groups, b.Group), Zone: zones.Index(&encoded.Zones, b.Zone),
 		}
 	}
@@ -164,7 +164,7 @@
 	records := make([]directory.Record, len(c.Backends))
 	for i, b := range c.Backends {
 		records[i] = directory.Record{Revision: b.Revision, Backend: directory.Backend{
-			ID: settings.BackendID(b.ID), Group: c.Groups[b.Group], Zone: c.Zones[b.Zone], Address: b.Address, Slots: b.Slots, Born: b.StartTime,
+			ID: settings.BackendID(b.ID), Group: c.Groups[b.Group], Zone: c.Zones[b.Zone], Address: b.Address, Slots: b.Slots, StartTime: b.StartTime,
 		}}
 	}
 	return records
--- a/internal/snapshot/codec_test.go
+++ b/internal/snapshot/codec_test.go
@@ -14,11 +14,11 @@
 func TestEncodedBytesStay(t *testing.T) {
 	records := []directory.Record{
 		{Revision: 0x1122, Backend: directory.Backend{
-			ID: 0x0102030405060708, Born: 0x1718191a1b1c1d1e, Group: "feed", Zone: "zone-a", Slots: 3,
+			ID: 0x0102030405060708, StartTime: 0x1718191a1b1c1d1e, Group: "feed", Zone: "zone-a", Slots: 3,
 			Address: netip.MustParseAddrPort("10.1.2.3:8080"),
 		}},
 		{Revision: 0x334455667788, Backend: directory.Backend{
-			ID: 0x0102030405060709, Born: -2, Group: "upload", Zone: "zone-b", Slots: 300,
+			ID: 0x0102030405060709, StartTime: -2, Group: "upload", Zone: "zone-b", Slots: 300,
 			Address: netip.MustParseAddrPort("[2001:db8::1]:443"),
 		}},
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -18,7 +18,7 @@
 	records := make([]directory.Record, count)
 	for i := range records {
 		records[i] = directory.Record{Revision: uint64(i + 1), Backend: directory.Backend{
-			ID: settings.BackendID(i + 1), Group: []string{"feed", "upload"}[i%2], Zone: fmt.Sprintf("zone-%d", i%3), Slots: 2, Born: directory.Birth(i),
+			ID: settings.BackendID(i + 1), Group: []string{"feed", "upload"}[i%2], Zone: fmt.Sprintf("zone-%d", i%3), Slots: 2, StartTime: directory.StartTime(i),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080),
 		}}
 	}
--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -41,7 +41,7 @@
 	id settings.BackendID
 	// born identifies the start of the back end that the state belongs to. Reports received before
 	// ignoreReportsUntil may refer to an earlier start.
-	born               directory.Birth
+	born               directory.StartTime
 	ignoreReportsUntil time.Duration
 	// events are not yet taken by the driver.
 	events *[]BackendEvent
@@ -129,9 +129,9 @@
 }
 
 func (s *Steerer) newState(member *directory.Member) *backendState {
-	state := &backendState{id: member.ID, born: member.Born, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
+	state := &backendState{id: member.ID, born: member.StartTime, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
 	s.backends[member.ID] = state
-	if member.Gone {
+	if member.Removed {
 		s.removed[member.ID] = state
 	}
 	return state
--- a/internal/steering/down.go
+++ b/internal/steering/down.go
@@ -74,7 +74,7 @@
 	}
 	b.reports = slices.DeleteFunc(b.reports, func(r receivedReport) bool { return now-r.receivedAt > reportLifetime })
 	// A back end whose entry was removed is not retried.
-	if !b.recentlyUnanswered(now) && !s.view.Departed(b.id) && !slices.ContainsFunc(b.reports, func(r receivedReport) bool { return r.callers > 0 }) {
+	if !b.recentlyUnanswered(now) && !s.view.IsRemoved(b.id) && !slices.ContainsFunc(b.reports, func(r receivedReport) bool { return r.callers > 0 }) {
 		return false
 	}
 	callers := len(b.unansweredCallers)
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -33,7 +33,7 @@
 // here or at two other balancers retransmit without a response, or the entry was removed. A single
 // reporter may be isolated itself, and would cause the reset of idle flows at all balancers.
 func (s *Steerer) isDownConfirmed(now time.Duration, b *backendState) bool {
-	if b.recentlyUnanswered(now) || s.view.Departed(b.id) {
+	if b.recentlyUnanswered(now) || s.view.IsRemoved(b.id) {
 		return true
 	}
 	reporters := 0
@@ -60,7 +60,7 @@
 	var removed []settings.BackendID
 	for id, b := range s.removed {
 		switch {
-		case !s.view.Knows(id):
+		case !s.view.Contains(id):
 			if b.flows == 0 {
 				delete(s.removed, id)
 				delete(s.backends, id)
--- a/internal/steering/expired.go
+++ b/internal/steering/expired.go
@@ -14,11 +14,11 @@
 // addExpired adds the expired back ends of the pool that pass the filters to the candidates.
 func (s *Steerer) addExpired(filters []filter) {
 	p := &s.placement
-	if p.now >= p.pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
+	if p.now >= p.pool.UsableUntil || s.config.Mechanisms.NoLapsed {
 		return
 	}
-	for _, member := range p.pool.Left {
-		if p.now < member.LapsedUntil {
+	for _, member := range p.pool.Removed {
+		if p.now < member.UsableUntil {
 			s.addCandidate(member, filters)
 		}
 	}
@@ -27,12 +27,12 @@
 // acceptsExpired reports whether copies of an opening packet may still go to an expired back end of
 // the pool.
 func (s *Steerer) acceptsExpired(now time.Duration, pool *directory.Pool, id settings.BackendID) bool {
-	if now >= pool.LapsedUntil || s.config.Mechanisms.NoLapsed {
+	if now >= pool.UsableUntil || s.config.Mechanisms.NoLapsed {
 		return false
 	}
-	for _, member := range pool.Left {
+	for _, member := range pool.Removed {
 		if member.ID == id {
-			return now < member.LapsedUntil
+			return now < member.UsableUntil
 		}
 	}
 	return false
--- a/internal/steering/expired_test.go
+++ b/internal/steering/expired_test.go
@@ -11,9 +11,9 @@
 // expireEntries simulates the return of the store from an outage in which the entries of feed
 // servers 2, 3 and 4 disappeared.
 func (f *fleet) expireEntries() {
-	f.directory.SetLapse(directory.LapseWithin(4*time.Second, 3*time.Second))
+	f.directory.SetExpiryBounds(directory.ExpiryBoundsFor(4*time.Second, 3*time.Second))
 	f.advance(5 * time.Second)
-	f.directory.NoteConfirmed(f.now, 0, 5*time.Second)
+	f.directory.DetectStoreReturn(f.now, 0, 5*time.Second)
 	for id := settings.BackendID(2); id <= 4; id++ {
 		f.remove(id)
 	}
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -35,10 +35,10 @@
 // filterExpired excludes back ends whose entries were removed too long ago, or expired in an outage
 // of the store and did not return in time.
 func filterExpired(s *Steerer, p *placementState, member *directory.Member, _ *backendState) bool {
-	if member.LapsedUntil > 0 && p.now >= member.LapsedUntil {
+	if member.UsableUntil > 0 && p.now >= member.UsableUntil {
 		return true
 	}
-	return p.now-member.GoneAt > s.lapseGrace(p.pool)
+	return p.now-member.RemovedAt > s.lapseGrace(p.pool)
 }
 
 // filterConnections excludes back ends that have this balancer's share of the flows that they may
@@ -79,12 +79,12 @@
 // lapseGrace returns how long a back end is still used after the removal of its entry. When all
 // entries of a group disappear at once, the store has most likely lost them in an outage.
 func (s *Steerer) lapseGrace(pool *directory.Pool) time.Duration {
-	if len(pool.Left) < 2 {
+	if len(pool.Removed) < 2 {
 		return s.config.RemovalGrace
 	}
-	first, last := pool.Left[0].GoneAt, pool.Left[0].GoneAt
-	for _, member := range pool.Left {
-		first, last = min(first, member.GoneAt), max(last, member.GoneAt)
+	first, last := pool.Removed[0].RemovedAt, pool.Removed[0].RemovedAt
+	for _, member := range pool.Removed {
+		first, last = min(first, member.RemovedAt), max(last, member.RemovedAt)
 	}
 	if last-first > massRemovalWindow {
 		return s.config.RemovalGrace
--- a/internal/steering/outlier.go
+++ b/internal/steering/outlier.go
@@ -45,7 +45,7 @@
 // classifyAnswer evaluates the answer to a flow's last request, once the next request or the end of
 // the flow shows that it is complete.
 func (s *Steerer) classifyAnswer(now time.Duration, rec *record) {
-	if s.config.Mechanisms.NoOutliers || rec.member.ColdUntil > now {
+	if s.config.Mechanisms.NoOutliers || rec.member.WarmUpUntil > now {
 		return
 	}
 	evidence := s.baselineOf(s.baselineKeyOf(rec)).add(rec.acknowledged-rec.responseStart, rec.responseLatency)
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -52,7 +52,7 @@
 
 func openMembers(pool *directory.Pool) []*directory.Member { return pool.Open }
 
-func removedMembers(pool *directory.Pool) []*directory.Member { return pool.Left }
+func removedMembers(pool *directory.Pool) []*directory.Member { return pool.Removed }
 
 // gatherCandidates collects the back ends of a tier, and reports whether there are any.
 func (s *Steerer) gatherCandidates(tier int) bool {
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -210,7 +210,7 @@
 	}
 	r.requestPending = false
 	r.responseLatency = now - r.sentAt
-	r.backend.recordAnswer(now, now-r.sentAt, r.sentAt < r.member.ColdUntil)
+	r.backend.recordAnswer(now, now-r.sentAt, r.sentAt < r.member.WarmUpUntil)
 }
 
 // sequenceAfter reports whether position a is after b, modulo 2^32.
--- a/internal/steering/rush_test.go
+++ b/internal/steering/rush_test.go
@@ -90,7 +90,7 @@
 func TestWarmUpSlowdownIsMeasured(t *testing.T) {
 	f := newFleet(t)
 	member := f.opened(0, feedAddress)
-	member.ColdUntil = f.now + time.Minute
+	member.WarmUpUntil = f.now + time.Minute
 	pool := f.steerer.poolOf("feed")
 	pool.typicalLatency = 0.050
 	other := f.steerer.poolOf("upload").warmUpSlowdown
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -26,7 +26,7 @@
 		return
 	}
 	for i := range s.candidates {
-		if c := &s.candidates[i]; p.now < c.member.ColdUntil {
+		if c := &s.candidates[i]; p.now < c.member.WarmUpUntil {
 			c.slowdown = c.state.pool.warmUpSlowdown
 		}
 	}
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -25,10 +25,10 @@
 		b, member := s.backends[id], s.view.Member(id)
 		switch {
 		case b == nil, member == nil:
-		case member.Born.Differs(b.born):
+		case member.StartTime.DiffersFrom(b.born):
 			restarted[id] = member
 		case b.born == 0:
-			b.born = member.Born
+			b.born = member.StartTime
 		}
 	}
 	if len(restarted) == 0 {
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -9,11 +9,11 @@
 )
 
 // restartAs announces a start of back end 1 with the given birth.
-func (f *fleet) restartAs(birth directory.Birth) {
+func (f *fleet) restartAs(birth directory.StartTime) {
 	f.revision++
 	backend := f.directory.View().Member(1).Backend
-	backend.Born = birth
-	f.directory.NoteCertain(f.now)
+	backend.StartTime = birth
+	f.directory.AdvanceConfirmedAt(f.now)
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: backend, Revision: f.revision}}})
 	f.steerer.SetView(f.directory.View())
 }
@@ -105,8 +105,8 @@
 	step := func(f *fleet, apply bool, change directory.Changes) {
 		f.revision++
 		change.Revision = f.revision
-		for i := range change.Gone {
-			change.Gone[i].Revision = f.revision
+		for i := range change.Removed {
+			change.Removed[i].Revision = f.revision
 		}
 		f.directory.Apply(f.now, &change)
 		if view := f.directory.View(); apply {
@@ -114,9 +114,9 @@
 		}
 	}
 	for i, id := range []settings.BackendID{2, 3, 1, 4} {
-		gone := directory.Changes{Gone: []directory.Gone{{ID: id}}}
+		gone := directory.Changes{Removed: []directory.Removal{{ID: id}}}
 		step(complete, true, gone)
-		step(skipping, i%2 == 1, directory.Changes{Gone: []directory.Gone{{ID: id}}})
+		step(skipping, i%2 == 1, directory.Changes{Removed: []directory.Removal{{ID: id}}})
 	}
 	for _, f := range []*fleet{complete, skipping} {
 		if len(f.steerer.removed) != 4 {
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -36,8 +36,8 @@
 // observations: as long as it has been known here.
 func (s *Steerer) initialSteadySpan(member *directory.Member) float64 {
 	const longest = 1 / (1 - steadyDecay)
-	if member.Since-s.startedAt < settleTime {
+	if member.StartSeenAt-s.startedAt < settleTime {
 		return longest
 	}
-	return longest * (1 - math.Pow(steadyDecay, max(s.pulse-member.Since, 0).Seconds()))
+	return longest * (1 - math.Pow(steadyDecay, max(s.pulse-member.StartSeenAt, 0).Seconds()))
 }
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -150,7 +150,7 @@
 		return
 	}
 	delete(s.removed, id)
-	if member == nil || member.Gone {
+	if member == nil || member.Removed {
 		s.removed[id] = b
 		return
 	}
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -78,7 +78,7 @@
 
 func (f *fleet) remove(id settings.BackendID) {
 	f.revision++
-	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Gone: []directory.Gone{{ID: id, Revision: f.revision}}})
+	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Removed: []directory.Removal{{ID: id, Revision: f.revision}}})
 	f.steerer.SetView(f.directory.View())
 }
 
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -64,7 +64,7 @@
 // warmUpBlocks reports whether this balancer must not send a new flow to a back end that is
 // warming up: other balancers do, or this one has just done so.
 func (s *Steerer) warmUpBlocks(now time.Duration, limit warmUp, member *directory.Member, state *backendState) bool {
-	if !limit.limited || now >= member.ColdUntil {
+	if !limit.limited || now >= member.WarmUpUntil {
 		return false
 	}
 	return limit.placers == 0 || now < state.warmUpNext || !s.isPlacerFor(member, limit.placers, now)
