--- a/internal/edge/adapter.go
+++ b/internal/edge/adapter.go
@@ -51,10 +51,10 @@
 }
 
 // SnapshotStore stores the snapshot of the back ends beside the entries that a Source reads.
-type Keeper interface {
+type SnapshotStore interface {
 	// WriteSnapshot atomically replaces all parts of a write, or none if a stored part has another revision than
 	// the write names. After an error the outcome may be unknown.
-	Keep(ctx context.Context, write *snapshot.Write) (snapshot.Outcome, error)
+	WriteSnapshot(ctx context.Context, write *snapshot.Write) (snapshot.Outcome, error)
 }
 
 // Page is a page of a full listing.
@@ -63,7 +63,7 @@
 	// pages of a listing are not read atomically.
 	directory.Listing
 	// SnapshotParts are stored parts of the snapshot.
-	Kept []snapshot.Stored
+	SnapshotParts []snapshot.Stored
 	// Next is the argument for the next page, "" after the last one.
 	Next string
 }
@@ -82,7 +82,7 @@
 	Codec  Codec
 	Source Source
 	// SnapshotStore is nil if no snapshot is stored.
-	Keeper Keeper
+	SnapshotStore SnapshotStore
 	// CallerPort is the port at which the platform accepts datagrams for callers.
 	CallerPort uint16
 }
--- a/internal/edge/client.go
+++ b/internal/edge/client.go
@@ -31,7 +31,7 @@
 // WithResponseTimeout returns a context for HTTP requests that ends unless the first byte of a response
 // arrives within firstByte, and the whole response within rest of that byte. Each further request with the
 // context has rest again. onFirstByte is called at each first byte and may be nil.
-func ExpectAnswer(ctx context.Context, firstByte, rest time.Duration, onFirstByte func()) (context.Context, context.CancelFunc) {
+func WithResponseTimeout(ctx context.Context, firstByte, rest time.Duration, onFirstByte func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(firstByte, func() { cancel(context.DeadlineExceeded) })
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -110,7 +110,7 @@
 		s.refusals--
 		return nil, errors.New("too many calls")
 	}
-	return &Page{Listing: *s.listing, Kept: s.parts}, nil
+	return &Page{Listing: *s.listing, SnapshotParts: s.parts}, nil
 }
 
 func (s *fakeSource) Changes(context.Context, uint64, time.Duration) (*directory.Changes, error) {
@@ -405,7 +405,7 @@
 		{"/silent", 50 * time.Millisecond, 10 * time.Second, false},
 		{"/stalls", 10 * time.Second, 50 * time.Millisecond, false},
 	} {
-		ctx, cancel := ExpectAnswer(context.Background(), test.first, test.rest, nil)
+		ctx, cancel := WithResponseTimeout(context.Background(), test.first, test.rest, nil)
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+test.path, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -46,7 +46,7 @@
 
 // execute makes one call and applies its result.
 func (n *Node) execute(ctx context.Context, call follow.Call) (follow.Outcome, error) {
-	ctx, cancel := ExpectAnswer(ctx, call.Timeout, max(call.Timeout, follow.TransferTimeout), func() { n.receiving.Store(true) })
+	ctx, cancel := WithResponseTimeout(ctx, call.Timeout, max(call.Timeout, follow.TransferTimeout), func() { n.receiving.Store(true) })
 	defer cancel()
 	n.overtaken.Store(false)
 	n.receiving.Store(false)
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -26,7 +26,7 @@
 	n.stateMutex.Lock()
 	n.recordConfirmation(0, false)
 	n.stateMutex.Unlock()
-	listing, parts := &page.Listing, page.Kept
+	listing, parts := &page.Listing, page.SnapshotParts
 	if page.Next != "" && n.applySummary(listing, "store") {
 		// The settings are in force already, and other goroutines read them.
 		listing.Settings, listing.Prepared = nil, nil
@@ -39,7 +39,7 @@
 			return err
 		}
 		addPage(listing, &page.Listing)
-		parts = append(parts, page.Kept...)
+		parts = append(parts, page.SnapshotParts...)
 	}
 	n.readSnapshot(listing, parts)
 	n.replace(listing, "store", 0)
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -119,7 +119,7 @@
 }
 
 func (n *Node) fetchListingOnce(ctx context.Context, control netip.AddrPort) error {
-	ctx, cancel := ExpectAnswer(ctx, firstByteTimeout, follow.TransferTimeout, nil)
+	ctx, cancel := WithResponseTimeout(ctx, firstByteTimeout, follow.TransferTimeout, nil)
 	defer cancel()
 	answer, err := (&peerSource{n, control}).list(ctx)
 	if err != nil {
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -15,7 +15,7 @@
 // maintainSnapshot writes the snapshot whenever it is this balancer's task, until ctx ends. It returns nil at
 // once if snapshots are disabled.
 func (n *Node) maintainSnapshot(ctx context.Context) error {
-	if n.adapter.Keeper == nil || !n.config().Snapshot {
+	if n.adapter.SnapshotStore == nil || !n.config().Snapshot {
 		return nil
 	}
 	ticker := time.NewTicker(snapshotPoll)
@@ -57,10 +57,10 @@
 
 // writeSnapshot sends a write to the store and records its outcome.
 func (n *Node) writeSnapshot(ctx context.Context, write *snapshot.Write) {
-	ctx, cancel := ExpectAnswer(ctx, follow.PageTimeout, follow.TransferTimeout, nil)
+	ctx, cancel := WithResponseTimeout(ctx, follow.PageTimeout, follow.TransferTimeout, nil)
 	defer cancel()
 	n.metrics.storeCalls.Inc()
-	outcome, err := n.adapter.Keeper.Keep(ctx, write)
+	outcome, err := n.adapter.SnapshotStore.WriteSnapshot(ctx, write)
 	n.stateMutex.Lock()
 	n.snapshots.Done(n.now(), *write, outcome)
 	n.stateMutex.Unlock()
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -19,7 +19,7 @@
 	calls         int
 }
 
-func (k *fakeSnapshotStore) Keep(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
+func (k *fakeSnapshotStore) WriteSnapshot(_ context.Context, write *snapshot.Write) (snapshot.Outcome, error) {
 	k.calls++
 	for _, part := range write.Parts {
 		if stored := k.parts[part.Part]; stored.Revision != part.Revision {
@@ -49,7 +49,7 @@
 func snapshotWriter(t *testing.T, store *fakeSnapshotStore, listing *directory.Listing) *Node {
 	node := newTestNode(t, &fakeSource{})
 	enableSnapshot(node)
-	node.adapter.Keeper = store
+	node.adapter.SnapshotStore = store
 	node.started = time.Now().Add(-time.Minute)
 	node.followsStore.Store(true)
 	node.replace(listing, "store", 0)
--- a/internal/edge/summary.go
+++ b/internal/edge/summary.go
@@ -68,7 +68,7 @@
 // another request.
 func (n *Node) fetchSummary(ctx context.Context, control netip.AddrPort) {
 	defer n.fetchingSummary.Store(false)
-	ctx, cancel := ExpectAnswer(ctx, firstByteTimeout, follow.TransferTimeout, nil)
+	ctx, cancel := WithResponseTimeout(ctx, firstByteTimeout, follow.TransferTimeout, nil)
 	defer cancel()
 	answer, err := (&peerSource{n, control}).get(ctx, pathSummary+"?zone="+url.QueryEscape(n.config().Zone))
 	if err == nil && answer.Listing == nil {
