--- a/internal/balancer/copy.go
+++ b/internal/balancer/copy.go
@@ -238,7 +238,7 @@
 		if partner == 0 || p.granted[partition] == partner {
 			continue
 		}
-		if !c.quorum || !c.continuity.Covers(partition, now, c.longestLifetime()) {
+		if !c.quorum || !c.continuity.HasCompleteHistory(partition, now, c.longestLifetime()) {
 			continue
 		}
 		if p.missing[partition] {
@@ -277,7 +277,7 @@
 	for partition := range membership.PartitionCount {
 		granted := grant.Partitions[partition/8]&(1<<(partition%8)) != 0
 		if granted && c.view.PairAt(partition).Partner(c.self) == from {
-			c.continuity.Grant(partition, c.view)
+			c.continuity.MarkComplete(partition, c.view)
 			// The sender of a grant holds every record itself.
 			c.copier.granted[partition] = from
 		}
--- a/internal/balancer/core.go
+++ b/internal/balancer/core.go
@@ -124,7 +124,7 @@
 		c.control.Unlock()
 	case *MachineList:
 		c.control.Lock()
-		c.detector.Listed(e.Addresses)
+		c.detector.SetMachineList(e.Addresses)
 		c.control.Unlock()
 	case *LoadReport:
 		c.registry.recordUtilization(e.Backend, e.Utilization)
@@ -166,7 +166,7 @@
 		return
 	}
 	answer := packet.Kind >= Answer
-	if answer && (pair.Owner == 0 || c.detector.Overdue(pair.Owner, now)) {
+	if answer && (pair.Owner == 0 || c.detector.IsOverdue(pair.Owner, now)) {
 		// The owner may be down. Delivering an answer needs no flow state.
 		c.deliver(packet, effects)
 		return
--- a/internal/balancer/propose.go
+++ b/internal/balancer/propose.go
@@ -53,7 +53,7 @@
 // pairUnsettled reports whether the pair is so new that its nodes may not agree on
 // it. Requests of a service that is not repeatable then wait for a retransmission.
 func (c *Core) pairUnsettled(x *exchangeContext) bool {
-	settled := c.continuity.Settled(membership.PartitionOf(x.hash), x.now)
+	settled := c.continuity.IsSettled(membership.PartitionOf(x.hash), x.now)
 	return !settled && !x.service.Repeatable && !c.config.Mechanisms.NoContinuity && c.config.Strategy == Replicated
 }
 
@@ -148,7 +148,7 @@
 		return true
 	}
 	partition := membership.PartitionOf(x.hash)
-	return c.continuity.Covers(partition, x.now, x.service.RequestLifetime) && (c.quorum || c.config.Mechanisms.NoQuorum)
+	return c.continuity.HasCompleteHistory(partition, x.now, x.service.RequestLifetime) && (c.quorum || c.config.Mechanisms.NoQuorum)
 }
 
 // decideWithoutSuccessor settles a proposal when the flow has no successor.
--- a/internal/balancer/tick.go
+++ b/internal/balancer/tick.go
@@ -128,5 +128,5 @@
 // peer confirmed it, or no node can have decided without this one.
 func (c *Core) isAuthoritative(now time.Duration, f *flow.Flow) bool {
 	partition := membership.PartitionOf(f.Hash)
-	return f.Verified || c.quorum && c.continuity.Covers(partition, now, c.longestLifetime())
+	return f.Verified || c.quorum && c.continuity.HasCompleteHistory(partition, now, c.longestLifetime())
 }
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -42,7 +42,7 @@
 func (c *Core) invalidateRecords(now time.Duration) {
 	c.invalidations++
 	c.lastInvalidation = now
-	c.continuity.Break(now, c.view)
+	c.continuity.Invalidate(now, c.view)
 	c.markUnverified()
 }
 
@@ -81,7 +81,7 @@
 // stableQuorum reports whether a majority has been reachable for quorumStableTime,
 // so that this node has received from all reachable peers and takes none for down.
 func (c *Core) stableQuorum(now time.Duration) bool {
-	if !c.detector.Quorum(now) {
+	if !c.detector.HasQuorum(now) {
 		c.quorumSince = 0
 		return false
 	}
@@ -104,7 +104,7 @@
 		effects.add(Effect{Kind: StateChanged, Subject: "membership", State: state})
 	}
 	if quorum && c.detector.Joined() {
-		c.detector.GoOn(now)
+		c.detector.MarkDecidedWithout(now)
 	}
 	live := c.detector.Live(now)
 	if slices.Equal(live, c.view.Members) {
@@ -155,7 +155,7 @@
 			Absent:         !c.detector.Joined(),
 			Leaving:        c.leave.announced,
 			Settled:        c.copier.isSettled(1),
-			DecidedWithout: target.GoneOn,
+			DecidedWithout: target.DecidedWithout,
 			Invalidations:  c.invalidations,
 			Sequence:       c.heartbeats,
 		}
@@ -180,13 +180,13 @@
 		return
 	}
 	report := membership.Report{
-		Sequence: heartbeat.Sequence,
-		Absent:   heartbeat.Absent,
-		Leaving:  heartbeat.Leaving,
-		Settled:  heartbeat.Settled,
-		Breaks:   heartbeat.Invalidations,
+		Sequence:      heartbeat.Sequence,
+		Absent:        heartbeat.Absent,
+		Leaving:       heartbeat.Leaving,
+		Settled:       heartbeat.Settled,
+		Invalidations: heartbeat.Invalidations,
 	}
-	newer, invalidated := c.detector.Heard(now, member, report)
+	newer, invalidated := c.detector.Receive(now, member, report)
 	if !newer {
 		return
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -272,7 +272,7 @@
 		source := &fakeSource{listing: listing(t, 5), paged: true}
 		node := newTestNode(t, source)
 		node.stateMutex.Lock()
-		node.peers.Heard(node.now(), &peers.Hello{Control: lower, Zone: "a", Started: 1})
+		node.peers.Receive(node.now(), &peers.Hello{Control: lower, Zone: "a", Started: 1})
 		node.stateMutex.Unlock()
 		if delivers {
 			// State that arrives before the listing begins must not end it.
@@ -369,7 +369,7 @@
 		var hello peers.Hello
 		if codec.Unmarshal(body, &hello) == nil {
 			table := peers.New(peers.Introduction{Control: netip.MustParseAddrPort("10.0.0.2:80"), Zone: "a"})
-			table.Heard(0, &hello)
+			table.Receive(0, &hello)
 			table.Round(0, 1)
 			table.Loads(0)
 		}
@@ -471,7 +471,7 @@
 	changed.PeerPort = seed.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 	changed.Seeds = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}
 	node.current.Store(&changed)
-	if wait := node.sendRound(); wait != peers.HurryInterval {
+	if wait := node.sendRound(); wait != peers.UrgentInterval {
 		t.Errorf("without state, the next round is due in %v", wait)
 	}
 	buffer := make([]byte, maxDatagram)
@@ -481,11 +481,11 @@
 		t.Fatal(err)
 	}
 	var hello peers.Hello
-	if err := msgpack.Unmarshal(buffer[1:length], &hello); err != nil || !hello.Reply {
+	if err := msgpack.Unmarshal(buffer[1:length], &hello); err != nil || !hello.ReplyRequested {
 		t.Errorf("hello %+v, %v", hello, err)
 	}
 	node.replace(listing(t, 5), "store", 0)
-	if wait := node.sendRound(); wait != peers.HurryInterval {
+	if wait := node.sendRound(); wait != peers.UrgentInterval {
 		t.Errorf("with state and before a hello is received, the next round is due in %v", wait)
 	}
 	node.receiveHello(context.Background(), &peers.Hello{Control: netip.MustParseAddrPort("127.0.0.1:10"), Zone: "a", Started: 1, Revision: 5})
@@ -595,11 +595,11 @@
 	knowing := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	second := newTestNode(t, &fakeSource{})
 	seed := netip.MustParseAddrPort("127.0.0.1:2")
-	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}}})
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}}})
 	if second.fetchingListing.Load() {
 		t.Error("a listing is requested from a balancer without state")
 	}
-	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Others: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", Knows: true}}})
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", HasView: true}}})
 	for deadline := time.Now().Add(10 * time.Second); second.revision() != 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("revision %d", second.revision())
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -110,7 +110,7 @@
 	answer, err := (&peerSource{n, call.Peer}).changes(ctx, request, staleness, call.Wait)
 	if errors.Is(err, errPeerRejected) {
 		n.stateMutex.Lock()
-		n.peers.Refused(n.now(), call.Peer)
+		n.peers.RecordRefusal(n.now(), call.Peer)
 		n.stateMutex.Unlock()
 	}
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	n.peers.Answered(n.now(), peer, answer.Age, revision)
+	n.peers.RecordAnswer(n.now(), peer, answer.Age, revision)
 }
 
 // recordSource records the upstream of a call and logs it when it changes.
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -53,8 +53,8 @@
 	hello := n.hello(now)
 	n.completeHello(now, hello)
 	interval, targets := peers.HelloInterval, []peers.Target(nil)
-	if n.peers.Hurries(now, initialized) {
-		interval, targets = peers.HurryInterval, n.peers.HurryRound()
+	if n.peers.NeedsUrgentRound(now, initialized) {
+		interval, targets = peers.UrgentInterval, n.peers.UrgentRound()
 	} else {
 		targets = n.peers.Round(now, len(hello.Loads))
 	}
@@ -65,7 +65,7 @@
 		if target.Full {
 			message = hello
 		}
-		message.Reply = target.Reply
+		message.ReplyRequested = target.ReplyRequested
 		n.sendHello(message, target.Control)
 	}
 	return interval
@@ -76,10 +76,10 @@
 func (n *Node) sendUrgentReport() {
 	n.stateMutex.Lock()
 	now := n.now()
-	hello, targets := n.hello(now), n.peers.Everyone(now)
+	hello, targets := n.hello(now), n.peers.AllLive(now)
 	n.steeringMutex.Lock()
-	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
+	hello.Suspects = n.steerer.Suspects(now, peers.MaxSuspects)
+	hello.UnresponsiveReports = n.steerer.UnresponsiveReports(now, peers.MaxUnresponsiveReports)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	n.steeringMutex.Unlock()
 	n.stateMutex.Unlock()
@@ -92,7 +92,7 @@
 func (n *Node) sendInquiries(inquiries []steering.Inquiry) {
 	n.stateMutex.Lock()
 	now := n.now()
-	hello, targets := n.hello(now), n.peers.Everyone(now)
+	hello, targets := n.hello(now), n.peers.AllLive(now)
 	n.stateMutex.Unlock()
 	hello.Inquiries = inquiries
 	for _, target := range targets {
@@ -111,7 +111,7 @@
 
 // introduceSeeds adds the seeds to the peer table while few peers are known. The state mutex must be held.
 func (n *Node) introduceSeeds(now time.Duration) {
-	if !n.peers.NeedsIntroductions(now) {
+	if !n.peers.NeedsSeeds(now) {
 		return
 	}
 	for _, seed := range n.config().Seeds {
@@ -123,15 +123,15 @@
 // must be held.
 func (n *Node) hello(now time.Duration) *peers.Hello {
 	return &peers.Hello{
-		Control:  n.config().advertised(),
-		Zone:     n.config().Zone,
-		Started:  n.started.UnixNano(),
-		Leaving:  n.leaving.Load(),
-		Failing:  n.storeFailing.Load(),
-		Revision: n.directory.Revision(),
-		Outline:  n.offersSummary(),
-		StoreAge: n.staleness(),
-		Capacity: n.config().capacity(),
+		Control:          n.config().advertised(),
+		Zone:             n.config().Zone,
+		Started:          n.started.UnixNano(),
+		Leaving:          n.leaving.Load(),
+		StoreUnavailable: n.storeFailing.Load(),
+		Revision:         n.directory.Revision(),
+		HasSummary:       n.offersSummary(),
+		StoreAge:         n.staleness(),
+		Capacity:         n.config().capacity(),
 	}
 }
 
@@ -141,10 +141,10 @@
 	n.steeringMutex.Lock()
 	defer n.steeringMutex.Unlock()
 	n.steerer.SetPeerLoads(n.peers.Loads(now))
-	n.steerer.SetMembership(n.peers.OwnPlace(now))
-	hello.Others, hello.Full = n.peers.Sample(now), true
-	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
+	n.steerer.SetMembership(n.peers.Membership(now))
+	hello.Introductions, hello.Full = n.peers.Sample(now), true
+	hello.Suspects = n.steerer.Suspects(now, peers.MaxSuspects)
+	hello.UnresponsiveReports = n.steerer.UnresponsiveReports(now, peers.MaxUnresponsiveReports)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	hello.Baselines = n.steerer.Baselines(peers.MaxBaselines)
 	hello.Loads = peers.LoadsOf(n.steerer.RecentLoad(peers.MaxLoads))
@@ -197,7 +197,7 @@
 func (n *Node) receiveHello(ctx context.Context, hello *peers.Hello) {
 	n.stateMutex.Lock()
 	now := n.now()
-	isNew := n.peers.Heard(now, hello)
+	isNew := n.peers.Receive(now, hello)
 	var loads map[directory.Tag]steering.Load
 	if len(hello.Failures) > 0 {
 		// Flows that arrive before the next round need the failures.
@@ -209,9 +209,9 @@
 		n.confirmed.Update(now, hello.StoreAge)
 	}
 	var reply *peers.Hello
-	if isNew || hello.Reply {
+	if isNew || hello.ReplyRequested {
 		reply = n.hello(now)
-		reply.Others = n.peers.ForAsker(now, hello)
+		reply.Introductions = n.peers.IntroductionsFor(now, hello)
 	}
 	behind := n.lag.Observe(now, n.directory.Revision(), hello.Revision)
 	source, found := listingSource(hello)
@@ -222,7 +222,7 @@
 		n.stopCall()
 	}
 	n.steeringMutex.Lock()
-	n.steerer.ReceiveSuspects(now, hello.Doubted)
+	n.steerer.ReceiveSuspects(now, hello.Suspects)
 	n.steerer.ReceiveBaselines(hello.Baselines)
 	if loads != nil {
 		n.steerer.SetPeerLoads(loads)
@@ -250,5 +250,5 @@
 	if hello.Revision > 0 {
 		return hello.Control, true
 	}
-	return mostCapable(hello.Others, func(other *peers.Introduction) bool { return other.Knows })
+	return mostCapable(hello.Introductions, func(other *peers.Introduction) bool { return other.HasView })
 }
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -81,8 +81,8 @@
 func (n *Node) continueListing(ctx context.Context, listing *follow.Listing) bool {
 	for ctx.Err() == nil {
 		n.stateMutex.Lock()
-		index, _, _ := n.peers.Place(n.now())
-		step := listing.Next(n.now(), n.directory.Revision(), n.peers.HasLower(n.now()), index)
+		index, _, _ := n.peers.Position(n.now())
+		step := listing.Next(n.now(), n.directory.Revision(), n.peers.HasLowerRank(n.now()), index)
 		n.stateMutex.Unlock()
 		if step != follow.WaitForPeers {
 			return step == follow.NextPage
--- a/internal/edge/observations.go
+++ b/internal/edge/observations.go
@@ -95,11 +95,11 @@
 
 // receiveUnresponsive records the reports of another balancer on unresponsive back ends.
 func (n *Node) receiveUnresponsive(now time.Duration, hello *peers.Hello) {
-	if len(hello.Stalls) == 0 {
+	if len(hello.UnresponsiveReports) == 0 {
 		return
 	}
 	n.steeringMutex.Lock()
-	n.steerer.ReceiveUnresponsive(now, hello.Control, hello.Stalls)
+	n.steerer.ReceiveUnresponsive(now, hello.Control, hello.UnresponsiveReports)
 	observed := n.takeObservations()
 	n.steeringMutex.Unlock()
 	n.handleObservations(now, &observed, make([]byte, maxDatagram))
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -107,8 +107,8 @@
 		n.log.Warn("no listing from peer", "peer", control, "error", err)
 		n.peerClient.CloseIdleConnections()
 		n.stateMutex.Lock()
-		n.peers.Refused(n.now(), control)
-		next, found := n.peers.Freshest(n.now(), 0)
+		n.peers.RecordRefusal(n.now(), control)
+		next, found := n.peers.Newest(n.now(), 0)
 		n.stateMutex.Unlock()
 		if !found || ctx.Err() != nil {
 			break
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -37,12 +37,12 @@
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	now := n.now()
-	state := snapshot.State{
-		Now: now, Age: n.staleness(), Known: now - n.initializedAt, Lower: n.peers.HasLower(now),
-		Able: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeFailing.Load(),
+	state := snapshot.Conditions{
+		Now: now, Staleness: n.staleness(), KnownFor: now - n.initializedAt, HasLowerRank: n.peers.HasLowerRank(now),
+		Eligible: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeFailing.Load(),
 	}
 	if age, known := n.directory.SinceReturn(now); known {
-		state.ReturnAge = age
+		state.SinceStoreReturn = age
 	}
 	if !n.snapshots.Due(state) {
 		return nil, false
@@ -80,16 +80,16 @@
 		return
 	}
 	n.stateMutex.Lock()
-	n.snapshots.Heard(parts)
+	n.snapshots.Observe(parts)
 	usable := n.directory.Revision() == 0 && n.snapshotUsable()
 	n.stateMutex.Unlock()
 	if !usable {
 		return
 	}
 	reading := snapshot.Read(parts)
-	if len(reading.Faults) > 0 {
-		n.metrics.snapshotFaults.Add(len(reading.Faults))
-		n.log.Warn("snapshot rejected", "parts", len(reading.Faults), "of", len(parts), "error", reading.Faults[0])
+	if len(reading.Errors) > 0 {
+		n.metrics.snapshotFaults.Add(len(reading.Errors))
+		n.log.Warn("snapshot rejected", "parts", len(reading.Errors), "of", len(parts), "error", reading.Errors[0])
 	}
 	listing.Missing = reading.Missing(listing.Records)
 	if len(listing.Missing) > 0 {
@@ -112,6 +112,6 @@
 		n.initializedAt = n.now()
 	}
 	if directory.MembershipChanged(events) {
-		n.snapshots.Changed()
+		n.snapshots.MarkChanged()
 	}
 }
--- a/internal/edge/summary.go
+++ b/internal/edge/summary.go
@@ -32,10 +32,10 @@
 // summarySource returns a balancer that offers a summary, by a hello: the sender, or one with the highest
 // capacity among those that it names.
 func summarySource(hello *peers.Hello) (control netip.AddrPort, found bool) {
-	if hello.Outline {
+	if hello.HasSummary {
 		return hello.Control, true
 	}
-	return mostCapable(hello.Others, func(other *peers.Introduction) bool { return other.Outline })
+	return mostCapable(hello.Introductions, func(other *peers.Introduction) bool { return other.HasSummary })
 }
 
 // mostCapable returns one of the balancers with the highest capacity among those that meet a condition. The choice
--- a/internal/edge/summary_test.go
+++ b/internal/edge/summary_test.go
@@ -35,7 +35,7 @@
 	}
 	hello := first.hello(first.now())
 	hello.Control = control
-	if !hello.Outline || hello.Revision != 0 {
+	if !hello.HasSummary || hello.Revision != 0 {
 		t.Errorf("hello %+v", hello)
 	}
 	second.receiveHello(context.Background(), hello)
@@ -49,7 +49,7 @@
 	first.replace(listing(t, 5), "store", 0)
 	hello = first.hello(first.now())
 	hello.Control = control
-	if hello.Outline {
+	if hello.HasSummary {
 		t.Error("a summary of a few back ends is offered")
 	}
 	second.receiveHello(context.Background(), hello)
@@ -63,8 +63,8 @@
 // highest capacity that offers one.
 func TestASummaryIsRequestedFromANamedPeer(t *testing.T) {
 	capable, other := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
-	hello := &peers.Hello{Control: other, Others: []peers.Introduction{
-		{Control: other, Outline: true}, {Control: capable, Outline: true, Capacity: peers.Able}, {Control: other, Capacity: peers.Able},
+	hello := &peers.Hello{Control: other, Introductions: []peers.Introduction{
+		{Control: other, HasSummary: true}, {Control: capable, HasSummary: true, Capacity: peers.CapacityHigh}, {Control: other, Capacity: peers.CapacityHigh},
 	}}
 	if source, found := summarySource(hello); !found || source != capable {
 		t.Errorf("%v, %v", source, found)
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -25,21 +25,21 @@
 	}
 	key := func(last byte) flow.Key { return flow.Key{Caller: address(last), Service: address(last + 1)} }
 	return &peers.Hello{
-		Control: address(1), Zone: "a", Started: 1_800_000_000_000_000_001, Leaving: true, Failing: false, Revision: 301, Outline: true,
+		Control: address(1), Zone: "a", Started: 1_800_000_000_000_000_001, Leaving: true, StoreUnavailable: false, Revision: 301, HasSummary: true,
 		StoreAge: 1_500_000_001,
-		Others: []peers.Introduction{
-			{Control: address(2), Zone: "b", Knows: true, Outline: false, Capacity: 3},
-			{Control: address(3), Zone: "c", Knows: false, Outline: true, Capacity: 4},
+		Introductions: []peers.Introduction{
+			{Control: address(2), Zone: "b", HasView: true, HasSummary: false, Capacity: 3},
+			{Control: address(3), Zone: "c", HasView: false, HasSummary: true, Capacity: 4},
 		},
-		Reply:     true,
-		Loads:     []peers.Load{{Tag: 11, Units: 12, Steady: 13, Answers: 14, Millis: 15}, {Tag: 16, Units: 17, Steady: 18, Answers: 19, Millis: 20}},
-		Failures:  []peers.Failure{{Tag: 21, Units: 22}, {Tag: 23, Units: 24}},
-		Baselines: []steering.Baseline{{Service: address(4), Length: 31, Time: 32, FailureRate: 33}, {Service: address(5), Length: 34, Time: 35, FailureRate: 36}},
-		Doubted:   []settings.BackendID{41, 42},
-		Stalls:    []steering.UnresponsiveReport{{Backend: 51, Callers: 52, Silence: 53, Down: 54}, {Backend: 55, Callers: 56, Silence: 57, Down: 58}},
-		Full:      true,
-		Capacity:  5,
-		Inquiries: []steering.Inquiry{{Flow: key(6), Acknowledged: 61, Backend: 62}, {Flow: key(8), Acknowledged: 63, Backend: 64}},
+		ReplyRequested:      true,
+		Loads:               []peers.Load{{Tag: 11, Requests: 12, Steady: 13, Answers: 14, AnswerMillis: 15}, {Tag: 16, Requests: 17, Steady: 18, Answers: 19, AnswerMillis: 20}},
+		Failures:            []peers.Failure{{Tag: 21, Count: 22}, {Tag: 23, Count: 24}},
+		Baselines:           []steering.Baseline{{Service: address(4), Length: 31, Time: 32, FailureRate: 33}, {Service: address(5), Length: 34, Time: 35, FailureRate: 36}},
+		Suspects:            []settings.BackendID{41, 42},
+		UnresponsiveReports: []steering.UnresponsiveReport{{Backend: 51, Callers: 52, Silence: 53, Down: 54}, {Backend: 55, Callers: 56, Silence: 57, Down: 58}},
+		Full:                true,
+		Capacity:            5,
+		Inquiries:           []steering.Inquiry{{Flow: key(6), Acknowledged: 61, Backend: 62}, {Flow: key(8), Acknowledged: 63, Backend: 64}},
 		Locations: []steering.Location{
 			{Flow: key(10), Backend: 71, Acknowledged: 72, Opening: true},
 			{Flow: key(12), Backend: 73, Acknowledged: 74, Opening: false},
@@ -117,7 +117,7 @@
 	checkBytes(t, "short hello", short, wantShortHello)
 	checkBytes(t, "empty hello", empty, wantEmptyHello)
 	var flags []byte
-	for _, hello := range []*peers.Hello{{Leaving: true}, {Failing: true}, {Outline: true}, {Reply: true}, {Full: true}} {
+	for _, hello := range []*peers.Hello{{Leaving: true}, {StoreUnavailable: true}, {HasSummary: true}, {ReplyRequested: true}, {Full: true}} {
 		encoded, err := encodeHello(hello)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/emulator/listing.go
+++ b/internal/emulator/listing.go
@@ -88,8 +88,8 @@
 
 // goOnListing asks a listing how it goes on after a page.
 func (n *node) goOnListing(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
-	index, _, _ := n.peers.Place(n.now())
-	switch paged.Next(n.now(), n.directory.Revision(), n.peers.HasLower(n.now()), index) {
+	index, _, _ := n.peers.Position(n.now())
+	switch paged.Next(n.now(), n.directory.Revision(), n.peers.HasLowerRank(n.now()), index) {
 	case follow.NextPage:
 		n.listPage(paged, listing, after, end)
 	case follow.WaitForPeers:
--- a/internal/emulator/mixed_test.go
+++ b/internal/emulator/mixed_test.go
@@ -32,7 +32,7 @@
 				calls, small := 0, 0
 				for _, n := range w.nodes {
 					calls += n.calls
-					if n.capacity < peers.Able {
+					if n.capacity < peers.CapacityHigh {
 						small += n.calls
 					}
 				}
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -64,7 +64,7 @@
 	return func() {
 		toAsker(func() {
 			hearReturn(asker)
-			asker.peers.Answered(asker.now(), n.control, age, listing.Revision)
+			asker.peers.RecordAnswer(asker.now(), n.control, age, listing.Revision)
 			if known {
 				asker.changed(changes, age, nil, end)
 				return
@@ -86,12 +86,12 @@
 func (n *node) sayHello() {
 	now := n.now()
 	for i := range min(seedCount, len(n.world.nodes)) {
-		if n.peers.NeedsIntroductions(now) {
+		if n.peers.NeedsSeeds(now) {
 			n.peers.Introduce(now, peers.Introduction{Control: n.world.nodes[i].control})
 		}
 	}
 	n.steerer.SetPeerLoads(n.peers.Loads(now))
-	n.steerer.SetMembership(n.peers.OwnPlace(now))
+	n.steerer.SetMembership(n.peers.Membership(now))
 	for _, target := range n.peers.Round(now, len(n.steerer.RecentLoad(peers.MaxLoads))) {
 		n.helloTo(target)
 	}
@@ -105,7 +105,7 @@
 // hello is what this balancer says of itself, without others and loads.
 func (n *node) hello() *peers.Hello {
 	return &peers.Hello{
-		Control: n.control, Zone: n.zone, Started: int64(n.startedAt) + 1, Leaving: n.leaving, Failing: n.failing,
+		Control: n.control, Zone: n.zone, Started: int64(n.startedAt) + 1, Leaving: n.leaving, StoreUnavailable: n.failing,
 		Revision: n.directory.Revision(), StoreAge: n.confirmed.Age(n.now()), Capacity: n.capacity,
 	}
 }
@@ -113,9 +113,9 @@
 func (n *node) helloTo(target peers.Target) {
 	now := n.now()
 	hello := n.hello()
-	hello.Others, hello.Reply, hello.Full = n.peers.Sample(now), target.Reply, true
-	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
+	hello.Introductions, hello.ReplyRequested, hello.Full = n.peers.Sample(now), target.ReplyRequested, true
+	hello.Suspects = n.steerer.Suspects(now, peers.MaxSuspects)
+	hello.UnresponsiveReports = n.steerer.UnresponsiveReports(now, peers.MaxUnresponsiveReports)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
 	hello.Baselines = n.steerer.Baselines(peers.MaxBaselines)
 	hello.Loads = peers.LoadsOf(n.steerer.RecentLoad(peers.MaxLoads))
@@ -155,7 +155,7 @@
 func (n *node) inquire(inquiries []steering.Inquiry) {
 	hello := n.hello()
 	hello.Inquiries = inquiries
-	targets := n.peers.Everyone(n.now())
+	targets := n.peers.AllLive(n.now())
 	for _, inquiry := range inquiries {
 		n.traceFlow(inquiry.Flow, "balancer %s asks %d others for it", n.control, len(targets))
 	}
@@ -188,10 +188,10 @@
 func (n *node) sendAlarm() {
 	now := n.now()
 	hello := n.hello()
-	hello.Doubted = n.steerer.Suspects(now, peers.MaxDoubted)
-	hello.Stalls = n.steerer.UnresponsiveReports(now, peers.MaxStalls)
+	hello.Suspects = n.steerer.Suspects(now, peers.MaxSuspects)
+	hello.UnresponsiveReports = n.steerer.UnresponsiveReports(now, peers.MaxUnresponsiveReports)
 	hello.Failures = peers.FailuresOf(n.steerer.Failures(peers.MaxFailures))
-	for _, target := range n.peers.Everyone(now) {
+	for _, target := range n.peers.AllLive(now) {
 		n.sendHello(target.Control, hello)
 	}
 }
@@ -199,16 +199,16 @@
 // helloSize is about how many bytes a hello has on the wire.
 func helloSize(hello *peers.Hello) int {
 	const head, introduction, load, doubt, stall, failure, baseline, inquiry = 60, 24, 8, 9, 18, 7, 18, 22
-	return head + introduction*len(hello.Others) + load*len(hello.Loads) + doubt*len(hello.Doubted) + stall*len(hello.Stalls) + failure*len(hello.Failures) + baseline*len(hello.Baselines) + inquiry*(len(hello.Inquiries)+len(hello.Locations))
+	return head + introduction*len(hello.Introductions) + load*len(hello.Loads) + doubt*len(hello.Suspects) + stall*len(hello.UnresponsiveReports) + failure*len(hello.Failures) + baseline*len(hello.Baselines) + inquiry*(len(hello.Inquiries)+len(hello.Locations))
 }
 
 func (n *node) heardHello(hello *peers.Hello) {
 	if n.peers == nil {
 		return
 	}
-	n.steerer.ReceiveSuspects(n.now(), hello.Doubted)
+	n.steerer.ReceiveSuspects(n.now(), hello.Suspects)
 	n.steerer.ReceiveBaselines(hello.Baselines)
-	n.steerer.ReceiveUnresponsive(n.now(), hello.Control, hello.Stalls)
+	n.steerer.ReceiveUnresponsive(n.now(), hello.Control, hello.UnresponsiveReports)
 	n.heardInquiries(hello)
 	n.actOnObservations()
 	if n.lag.Observe(n.now(), n.directory.Revision(), hello.Revision) && n.giveUp != nil {
@@ -218,13 +218,13 @@
 		n.noteConfirmed(hello.StoreAge, false)
 		n.confirmed.Update(n.now(), hello.StoreAge)
 	}
-	isNew := n.peers.Heard(n.now(), hello)
+	isNew := n.peers.Receive(n.now(), hello)
 	if len(hello.Failures) > 0 {
 		n.steerer.SetPeerLoads(n.peers.Loads(n.now()))
 	}
-	if isNew || hello.Reply {
+	if isNew || hello.ReplyRequested {
 		reply := n.hello()
-		reply.Others = n.peers.ForAsker(n.now(), hello)
+		reply.Introductions = n.peers.IntroductionsFor(n.now(), hello)
 		n.sendHello(hello.Control, reply)
 	}
 	if hello.Revision == 0 || n.learned {
--- a/internal/emulator/node_snapshot.go
+++ b/internal/emulator/node_snapshot.go
@@ -61,12 +61,12 @@
 // writeSnapshot writes it when this balancer is to.
 func (n *node) writeSnapshot() {
 	now := n.now()
-	state := snapshot.State{
-		Now: now, Age: n.confirmed.Age(now), Known: now - n.knownAt, Lower: n.peers.HasLower(now),
-		Able: n.directory.Revision() > 0 && n.asksStore && !n.leaving && !n.failing,
+	state := snapshot.Conditions{
+		Now: now, Staleness: n.confirmed.Age(now), KnownFor: now - n.knownAt, HasLowerRank: n.peers.HasLowerRank(now),
+		Eligible: n.directory.Revision() > 0 && n.asksStore && !n.leaving && !n.failing,
 	}
 	if age, known := n.directory.SinceReturn(now); known {
-		state.ReturnAge = age
+		state.SinceStoreReturn = age
 	}
 	if n.world.options.Without.Snapshot || !n.snapshots.Due(state) {
 		return
@@ -88,7 +88,7 @@
 
 // readSnapshot adds to a listing what is missing by the snapshot, where nothing was known here before.
 func (n *node) readSnapshot(listing *directory.Listing) {
-	n.snapshots.Heard(n.kept)
+	n.snapshots.Observe(n.kept)
 	young := n.failing || directory.ExpiryBoundsFor(contactBound, drainBound).EndsInTime(n.now(), contactBound)
 	if n.directory.Revision() > 0 || !young || n.world.options.Without.Snapshot {
 		return
@@ -103,6 +103,6 @@
 		n.knownAt = n.now()
 	}
 	if directory.MembershipChanged(events) {
-		n.snapshots.Changed()
+		n.snapshots.MarkChanged()
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -210,7 +210,7 @@
 func (w *world) addNode(zone string, ip netip.Addr) *node {
 	n := &node{world: w, zone: zone, control: netip.AddrPortFrom(ip, controlPort)}
 	if w.able(zone) {
-		n.capacity = peers.Able
+		n.capacity = peers.CapacityHigh
 	}
 	w.nodes = append(w.nodes, n)
 	w.routers[zone].add(n)
--- a/internal/follow/call.go
+++ b/internal/follow/call.go
@@ -67,13 +67,13 @@
 // StateOf returns the state of a balancer that is complete up to a revision, from its table of
 // peers. contactBound is the platform's bound for contact with the store.
 func StateOf(now time.Duration, revision uint64, known *peers.Table, contactBound time.Duration) State {
-	state := State{Now: now, Revision: revision, Backup: known.HasLower(now), FailingPeers: known.Failing(now)}
-	zoneRank, zoneSize, fleetSize := known.Place(now)
-	state.ZoneRank, state.ZoneSize, state.MoreCapable, state.Alone = zoneRank, zoneSize, known.HasAbler(now), fleetSize == 1
+	state := State{Now: now, Revision: revision, Backup: known.HasLowerRank(now), FailingPeers: known.CountStoreUnavailable(now)}
+	zoneRank, zoneSize, fleetSize := known.Position(now)
+	state.ZoneRank, state.ZoneSize, state.MoreCapable, state.Alone = zoneRank, zoneSize, known.HasHigherCapacity(now), fleetSize == 1
 	if peer, found := known.Upstream(now, MaxPeerAge(contactBound)); found {
-		state.Upstream, state.UpstreamAge = peer.Control, peer.Age(now)
+		state.Upstream, state.UpstreamAge = peer.Control, peer.Staleness(now)
 	}
-	if peer, found := known.Freshest(now, revision); found {
+	if peer, found := known.Newest(now, revision); found {
 		state.Freshest = peer.Control
 	}
 	return state
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -48,7 +48,7 @@
 	// Settled is set when everything that the peer holds is replicated.
 	Settled bool
 	// Invalidations counts how often the peer has stopped to attest that its records are complete.
-	Breaks uint32
+	Invalidations uint32
 }
 
 func (p *peer) alive(now time.Duration) bool {
@@ -95,7 +95,7 @@
 // of this node itself, which change nothing. A new identifier at a known address is a restarted
 // process without its predecessor's records. invalidated is set if the peer has invalidated its
 // records since its last heartbeat.
-func (d *Detector) Heard(now time.Duration, member Member, report Report) (accepted, invalidated bool) {
+func (d *Detector) Receive(now time.Duration, member Member, report Report) (accepted, invalidated bool) {
 	if member.Address == d.self.Address {
 		return false, false
 	}
@@ -103,13 +103,13 @@
 	if p.ID == member.ID && report.Sequence <= p.Sequence {
 		return false, false
 	}
-	invalidated = p.ID == member.ID && report.Breaks != p.Breaks
+	invalidated = p.ID == member.ID && report.Invalidations != p.Invalidations
 	if p.ID != member.ID {
 		p.introductionsLeft = introductionCount
 		p.invalidationsThen, p.decidedWithout = d.forgotten[member.ID]
 		delete(d.forgotten, member.ID)
 	}
-	if report.Breaks != p.invalidationsThen {
+	if report.Invalidations != p.invalidationsThen {
 		p.decidedWithout = false
 	}
 	p.Member = member
@@ -120,7 +120,7 @@
 
 // SetMachineList replaces the addresses of the machine list. The list lags: it only adds addresses
 // to send heartbeats to and members that count towards the quorum.
-func (d *Detector) Listed(addresses []netip.AddrPort) {
+func (d *Detector) SetMachineList(addresses []netip.AddrPort) {
 	for _, p := range d.peers {
 		p.listed = false
 	}
@@ -164,13 +164,13 @@
 // MarkDecidedWithout records that this node decides from now on without the peers that have been
 // out of the view for ViewSettle. If one returns, it must be told that it may lack records. The
 // caller must have a quorum.
-func (d *Detector) GoOn(now time.Duration) {
+func (d *Detector) MarkDecidedWithout(now time.Duration) {
 	for _, p := range d.peers {
 		if p.ID == 0 || p.decidedWithout || p.Leaving || now-p.lastReceived <= DeadAfter+ViewSettle {
 			continue
 		}
 		p.decidedWithout = true
-		p.invalidationsThen = p.Breaks
+		p.invalidationsThen = p.Invalidations
 	}
 }
 
@@ -191,7 +191,7 @@
 
 // HasQuorum reports whether this node receives heartbeats from a majority of the members it knows,
 // itself included. Peers that have left for good do not count.
-func (d *Detector) Quorum(now time.Duration) bool {
+func (d *Detector) HasQuorum(now time.Duration) bool {
 	known, heard := 1, 1
 	for _, p := range d.peers {
 		if p.Leaving {
@@ -217,7 +217,7 @@
 
 // IsOverdue reports whether the peer is unknown or its last heartbeat is late, before it counts as
 // dead.
-func (d *Detector) Overdue(id ID, now time.Duration) bool {
+func (d *Detector) IsOverdue(id ID, now time.Duration) bool {
 	p := d.peerByID(id)
 	return p == nil || now-p.lastReceived > ViewSettle
 }
@@ -233,7 +233,7 @@
 type Target struct {
 	Address netip.AddrPort
 	// DecidedWithout is set if the peer must be told that this node decided without it.
-	GoneOn bool
+	DecidedWithout bool
 	// Introduce is set if the heartbeat must introduce this node; otherwise its identifier is
 	// enough.
 	Introduce bool
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -57,36 +57,36 @@
 	self, other, third := member(1, "a"), member(2, "b"), member(3, "c")
 	d := NewDetector(self)
 	d.Join()
-	d.Listed([]netip.AddrPort{other.Address, third.Address})
-	if d.Quorum(0) {
+	d.SetMachineList([]netip.AddrPort{other.Address, third.Address})
+	if d.HasQuorum(0) {
 		t.Error("one of three is a quorum")
 	}
-	d.Heard(time.Second, other, Report{Sequence: 5})
-	if !d.Quorum(time.Second) || len(d.Live(time.Second)) != 2 {
+	d.Receive(time.Second, other, Report{Sequence: 5})
+	if !d.HasQuorum(time.Second) || len(d.Live(time.Second)) != 2 {
 		t.Error("two of three are no quorum")
 	}
-	if fresh, _ := d.Heard(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
+	if fresh, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
 		t.Error("an overtaken heartbeat was accepted")
 	}
 	if len(d.Live(time.Second+DeadAfter+1)) != 1 {
 		t.Error("a silent peer is alive")
 	}
 	// A peer that only listens may join and decide, and so counts towards the quorum.
-	d.Heard(3*time.Second, other, Report{Sequence: 6, Absent: true})
-	if len(d.Live(3*time.Second)) != 1 || !d.Quorum(3*time.Second) {
+	d.Receive(3*time.Second, other, Report{Sequence: 6, Absent: true})
+	if len(d.Live(3*time.Second)) != 1 || !d.HasQuorum(3*time.Second) {
 		t.Error("a listening peer is in the view, or does not count towards the quorum")
 	}
-	d.GoOn(3*time.Second + DeadAfter + ViewSettle + 1)
+	d.MarkDecidedWithout(3*time.Second + DeadAfter + ViewSettle + 1)
 	for _, target := range d.Targets(1) {
-		if target.Address == other.Address && !target.GoneOn {
+		if target.Address == other.Address && !target.DecidedWithout {
 			t.Error("DecidedWithout is not set for a peer that is out of the view")
 		}
 	}
-	if _, broke := d.Heard(6*time.Second, other, Report{Sequence: 7, Breaks: 1}); !broke {
+	if _, broke := d.Receive(6*time.Second, other, Report{Sequence: 7, Invalidations: 1}); !broke {
 		t.Error("an invalidation was not reported")
 	}
 	for _, target := range d.Targets(1) {
-		if target.GoneOn {
+		if target.DecidedWithout {
 			t.Error("DecidedWithout is still set after the peer invalidated its records")
 		}
 	}
@@ -98,20 +98,20 @@
 	const lifetime = 45 * time.Second
 	c := NewContinuity(self.ID, 0)
 	c.Change(time.Second, alone)
-	if c.Covers(0, 2*time.Second, lifetime) || !c.Covers(0, time.Minute, lifetime) {
+	if c.HasCompleteHistory(0, 2*time.Second, lifetime) || !c.HasCompleteHistory(0, time.Minute, lifetime) {
 		t.Error("the history must be complete one lifetime after the node joined the pair, not before")
 	}
 	c.Change(time.Minute, none)
 	c.Change(time.Minute, alone)
-	if c.Covers(0, time.Minute+time.Second, lifetime) {
+	if c.HasCompleteHistory(0, time.Minute+time.Second, lifetime) {
 		t.Error("the history is complete after a gap")
 	}
-	c.Grant(0, alone)
-	if !c.Covers(0, time.Minute+time.Second, lifetime) {
+	c.MarkComplete(0, alone)
+	if !c.HasCompleteHistory(0, time.Minute+time.Second, lifetime) {
 		t.Error("the history is incomplete after MarkComplete")
 	}
-	c.Break(2*time.Minute, alone)
-	if c.Covers(0, 2*time.Minute, lifetime) {
+	c.Invalidate(2*time.Minute, alone)
+	if c.HasCompleteHistory(0, 2*time.Minute, lifetime) {
 		t.Error("the history is complete after Invalidate")
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -192,12 +192,12 @@
 
 // IsSettled reports whether the partition's pair has been the same for ViewSettle, or the bootstrap
 // period lasts. A change that is only partly detected leads to no decision.
-func (c *Continuity) Settled(partition int, now time.Duration) bool {
+func (c *Continuity) IsSettled(partition int, now time.Duration) bool {
 	return now < c.bootstrapUntil || now-c.changed[partition] >= ViewSettle
 }
 
 // Invalidate discards the history of all partitions, for a node that was paused or cut off.
-func (c *Continuity) Break(now time.Duration, view *View) {
+func (c *Continuity) Invalidate(now time.Duration, view *View) {
 	for partition := range c.since {
 		c.since[partition] = never
 	}
@@ -206,7 +206,7 @@
 
 // MarkComplete records that this node has copied all records of the partition from a node with a
 // complete history.
-func (c *Continuity) Grant(partition int, view *View) {
+func (c *Continuity) MarkComplete(partition int, view *View) {
 	if view.PairAt(partition).Has(c.self) {
 		c.since[partition] = always
 	}
@@ -214,7 +214,7 @@
 
 // HasCompleteHistory reports whether this node has been one of the pair for the whole lifetime, or
 // has a complete copy.
-func (c *Continuity) Covers(partition int, now, lifetime time.Duration) bool {
+func (c *Continuity) HasCompleteHistory(partition int, now, lifetime time.Duration) bool {
 	since := c.since[partition]
 	return since == always || since != never && now-since >= lifetime
 }
--- a/internal/peers/capacity.go
+++ b/internal/peers/capacity.go
@@ -13,7 +13,7 @@
 	// CapacityMedium is for machines with processor time to spare and a narrow or unknown link.
 	CapacityMedium
 	// CapacityHigh is for machines with both processor time and bandwidth to spare.
-	Able
+	CapacityHigh
 )
 
 const (
@@ -36,7 +36,7 @@
 	case !(cores >= minMediumCores):
 		return CapacityLow
 	case cores >= minHighCores && linkMbps >= minHighLinkMbps:
-		return Able
+		return CapacityHigh
 	}
 	return CapacityMedium
 }
--- a/internal/peers/capacity_test.go
+++ b/internal/peers/capacity_test.go
@@ -15,7 +15,7 @@
 	}{
 		{0, 0, CapacityLow}, {0, 1000, CapacityLow}, {0.045, 10, CapacityLow}, {0.045, 1000, CapacityLow}, {math.NaN(), 1000, CapacityLow},
 		{0.152, 10, CapacityMedium}, {0.152, 1000, CapacityMedium}, {0.8, 10, CapacityMedium}, {0.8, 0, CapacityMedium}, {0.8, math.NaN(), CapacityMedium},
-		{0.8, 200, Able}, {4, 1000, Able},
+		{0.8, 200, CapacityHigh}, {4, 1000, CapacityHigh},
 	} {
 		if got := CapacityOf(test.cores, test.linkMbps); got != test.want {
 			t.Errorf("%v cores behind %v Mbit/s: class %d, want %d", test.cores, test.linkMbps, got, test.want)
@@ -30,14 +30,14 @@
 	for number := range count {
 		balancer := Introduction{Control: address(number), Zone: "a"}
 		if number%every == 0 {
-			balancer.Capacity = Able
+			balancer.Capacity = CapacityHigh
 		}
 		balancers = append(balancers, balancer)
 	}
 	for _, self := range balancers {
 		tables[self.Control] = New(self)
 		for _, other := range balancers {
-			tables[self.Control].Heard(0, helloFrom(other))
+			tables[self.Control].Receive(0, helloFrom(other))
 		}
 	}
 	return balancers, tables
@@ -60,7 +60,7 @@
 		for _, self := range balancers {
 			peer, found := tables[self.Control].Upstream(0, maxStaleness)
 			if !found {
-				if self.Capacity < Able {
+				if self.Capacity < CapacityHigh {
 					lowReaders++
 				}
 				continue
@@ -95,7 +95,7 @@
 		for i := range test.zones * test.perZone {
 			balancer := Introduction{Control: address(i), Zone: string(rune('a' + i%test.zones))}
 			if i/test.zones < test.ablePerZone {
-				balancer.Capacity = Able
+				balancer.Capacity = CapacityHigh
 			}
 			balancers = append(balancers, balancer)
 			tables[balancer.Control] = New(balancer)
@@ -104,24 +104,24 @@
 		for range 20 {
 			for _, self := range balancers {
 				table := tables[self.Control]
-				if table.NeedsIntroductions(now) {
+				if table.NeedsSeeds(now) {
 					for seed := range 3 {
 						table.Introduce(now, Introduction{Control: address(10 + seed)})
 					}
 				}
 				if peer, found := table.Upstream(now, maxStaleness); found {
 					// The followed peer answers calls, even if its hellos are rare.
-					table.Answered(now, peer.Control, 0, 1)
+					table.RecordAnswer(now, peer.Control, 0, 1)
 				}
 				msg := helloFrom(self)
-				msg.Others = table.Sample(now)
+				msg.Introductions = table.Sample(now)
 				for _, target := range table.Round(now, 8) {
 					other := tables[target.Control]
-					msg.Reply = target.Reply
-					if isNew := other.Heard(now, msg); isNew || target.Reply {
+					msg.ReplyRequested = target.ReplyRequested
+					if isNew := other.Receive(now, msg); isNew || target.ReplyRequested {
 						answer := helloFrom(other.self)
-						answer.Others = other.ForAsker(now, msg)
-						table.Heard(now, answer)
+						answer.Introductions = other.IntroductionsFor(now, msg)
+						table.Receive(now, answer)
 					}
 				}
 			}
@@ -149,28 +149,28 @@
 		func(table *Table, high Introduction) {
 			msg := helloFrom(high)
 			msg.Leaving = true
-			table.Heard(later, msg)
+			table.Receive(later, msg)
 		},
 		func(table *Table, high Introduction) {
 			msg := helloFrom(high)
 			msg.StoreAge = maxStaleness + 1
-			table.Heard(later, msg)
+			table.Receive(later, msg)
 		},
 		func(table *Table, high Introduction) {
-			table.Heard(later, helloFrom(high))
-			table.Refused(later, high.Control)
+			table.Receive(later, helloFrom(high))
+			table.RecordRefusal(later, high.Control)
 		},
 	} {
 		ranked := rankedAddresses(4)
-		high := Introduction{Control: ranked[3], Zone: "a", Capacity: Able}
+		high := Introduction{Control: ranked[3], Zone: "a", Capacity: CapacityHigh}
 		table := New(Introduction{Control: ranked[1], Zone: "a"})
-		table.Heard(0, helloFrom(high))
+		table.Receive(0, helloFrom(high))
 		if peer, found := table.Upstream(0, maxStaleness); !found || peer.Control != high.Control {
 			t.Fatalf("upstream %v %v, want the one of high capacity", peer, found)
 		}
 		removeHigh(table, high)
-		table.Heard(later, newHello(ranked[0], "a", 0))
-		table.Heard(later, newHello(ranked[2], "a", 0))
+		table.Receive(later, newHello(ranked[0], "a", 0))
+		table.Receive(later, newHello(ranked[2], "a", 0))
 		if peer, found := table.Upstream(later+maxStaleness/2+time.Second, maxStaleness+time.Second); !found || peer.Control != ranked[0] {
 			t.Errorf("upstream %v %v, want the first by hash", peer, found)
 		}
@@ -184,10 +184,10 @@
 	ranked := rankedAddresses(2)
 	changed, other := Introduction{Control: ranked[1], Zone: "a"}, Introduction{Control: ranked[0], Zone: "a"}
 	before := changed
-	before.Capacity = Able
+	before.Capacity = CapacityHigh
 	ofChanged, ofOther := New(changed), New(other)
-	ofChanged.Heard(0, helloFrom(other))
-	ofOther.Heard(0, helloFrom(before))
+	ofChanged.Receive(0, helloFrom(other))
+	ofOther.Receive(0, helloFrom(before))
 	_, changedFollows := ofChanged.Upstream(0, maxStaleness)
 	_, otherFollows := ofOther.Upstream(0, maxStaleness)
 	if !changedFollows || !otherFollows {
@@ -195,8 +195,8 @@
 	}
 	// Both answer each other repeatedly with the staleness of their views.
 	for now := time.Duration(0); now <= maxStaleness+HelloInterval; now += HelloInterval {
-		ofChanged.Answered(now, other.Control, now, 1)
-		ofOther.Answered(now, changed.Control, now, 1)
+		ofChanged.RecordAnswer(now, other.Control, now, 1)
+		ofOther.RecordAnswer(now, changed.Control, now, 1)
 	}
 	const late = maxStaleness + HelloInterval
 	_, changedFollows = ofChanged.Upstream(late, maxStaleness)
@@ -204,7 +204,7 @@
 	if changedFollows || otherFollows {
 		t.Error("the two still follow each other with stale views")
 	}
-	ofOther.Heard(0, helloFrom(changed))
+	ofOther.Receive(0, helloFrom(changed))
 	if _, found := ofOther.Upstream(0, maxStaleness); found {
 		t.Error("a balancer of lower capacity is followed after its hello")
 	}
@@ -217,21 +217,21 @@
 	for number := 1; number < 20; number++ {
 		table.Introduce(0, Introduction{Control: address(number), Zone: "a"})
 	}
-	table.Introduce(0, Introduction{Control: address(15), Capacity: Able})
-	if first := table.HurryRound()[0].Control; first != address(15) {
+	table.Introduce(0, Introduction{Control: address(15), Capacity: CapacityHigh})
+	if first := table.UrgentRound()[0].Control; first != address(15) {
 		t.Errorf("first target: %v", first)
 	}
 	requested := map[netip.AddrPort]bool{address(15): true}
 	for range 3 {
-		for _, target := range table.HurryRound() {
+		for _, target := range table.UrgentRound() {
 			requested[target.Control] = true
 		}
 	}
 	if len(requested) < 18 {
 		t.Errorf("%d of 19 balancers were targets", len(requested))
 	}
-	table.Heard(0, newHello(address(15), "a", 0))
-	table.Introduce(0, Introduction{Control: address(15), Capacity: Able})
+	table.Receive(0, newHello(address(15), "a", 0))
+	table.Introduce(0, Introduction{Control: address(15), Capacity: CapacityHigh})
 	if table.peers[address(15)].Capacity != CapacityLow {
 		t.Error("an introduction replaced the capacity in the balancer's own hello")
 	}
@@ -260,16 +260,16 @@
 			for i := range test.perZone {
 				balancer := Introduction{Control: address(zone*test.perZone + i), Zone: "a"}
 				if i < test.ablePerZone {
-					balancer.Capacity = Able
+					balancer.Capacity = CapacityHigh
 				}
 				balancers = append(balancers, balancer)
 			}
 			for _, self := range balancers {
 				table := New(self)
 				for _, other := range balancers {
-					table.Heard(0, helloFrom(other))
+					table.Receive(0, helloFrom(other))
 				}
-				if !table.HasAbler(0) && !table.HasLower(0) {
+				if !table.HasHigherCapacity(0) && !table.HasLowerRank(0) {
 					listing++
 				}
 			}
@@ -289,14 +289,14 @@
 		for number := range 40 {
 			other := Introduction{Control: address(number), Zone: "b", Capacity: CapacityMedium}
 			if number == high {
-				other.Capacity = Able
+				other.Capacity = CapacityHigh
 			}
-			table.Heard(0, helloFrom(other))
+			table.Receive(0, helloFrom(other))
 		}
 		if len(table.peers) != maxOtherPeers {
 			t.Errorf("%d peers of other zones", len(table.peers))
 		}
-		if peer, found := table.Upstream(0, maxStaleness); !found || peer.Control != address(high) || !table.HasAbler(0) {
+		if peer, found := table.Upstream(0, maxStaleness); !found || peer.Control != address(high) || !table.HasHigherCapacity(0) {
 			t.Errorf("the balancer of high capacity, %d, is not followed: %v", high, found)
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -116,7 +116,7 @@
 // Receive records a hello. It reports whether the sender is new or restarted, and is in the table.
 // A sender beyond the table's limits is never new, so that two balancers do not reply to each other
 // without end.
-func (t *Table) Heard(now time.Duration, hello *Hello) (isNew bool) {
+func (t *Table) Receive(now time.Duration, hello *Hello) (isNew bool) {
 	if hello.Control == t.self.Control || !hello.Control.IsValid() {
 		return false
 	}
@@ -130,7 +130,7 @@
 	if hello.Full || len(hello.Failures) > 0 {
 		known.failures, known.failuresAt = hello.Failures, now
 	}
-	for _, other := range hello.Others {
+	for _, other := range hello.Introductions {
 		t.Introduce(now, other)
 	}
 	t.trim()
@@ -160,7 +160,7 @@
 }
 
 // NeedsSeeds reports whether too few peers are alive to do without seeds.
-func (t *Table) NeedsIntroductions(now time.Duration) bool {
+func (t *Table) NeedsSeeds(now time.Duration) bool {
 	return len(t.Alive(now)) < minPeersWithoutSeeds
 }
 
@@ -178,15 +178,15 @@
 // IntroductionsFor returns live peers to introduce to the sender of a hello: peers of its zone
 // first, and of these the nearest to it by hash. If the sender has no view, peers that have one
 // come first, in order of capacity, and then peers that have a summary.
-func (t *Table) ForAsker(now time.Duration, requester *Hello) []Introduction {
+func (t *Table) IntroductionsFor(now time.Duration, requester *Hello) []Introduction {
 	hash, hasView := HashOf(requester.Control), requester.Revision > 0
 	alive := t.Alive(now)
 	slices.SortFunc(alive, func(a, b *Peer) int {
 		if aHasView, bHasView := a.Revision > 0, b.Revision > 0; !hasView && aHasView != bHasView {
 			return cmp.Compare(b.Revision, a.Revision)
 		}
-		if !hasView && a.Revision == 0 && a.Outline != b.Outline {
-			if a.Outline {
+		if !hasView && a.Revision == 0 && a.HasSummary != b.HasSummary {
+			if a.HasSummary {
 				return -1
 			}
 			return 1
@@ -205,27 +205,27 @@
 	var introductions []Introduction
 	for _, peer := range alive {
 		if peer.Control != requester.Control && len(introductions) < sampleSize {
-			introductions = append(introductions, Introduction{Control: peer.Control, Zone: peer.Zone, Knows: peer.Revision > 0, Outline: peer.Outline, Capacity: peer.Capacity})
+			introductions = append(introductions, Introduction{Control: peer.Control, Zone: peer.Zone, HasView: peer.Revision > 0, HasSummary: peer.HasSummary, Capacity: peer.Capacity})
 		}
 	}
 	return introductions
 }
 
 // Staleness returns the time since the store confirmed the peer's view.
-func (p *Peer) Age(now time.Duration) time.Duration {
+func (p *Peer) Staleness(now time.Duration) time.Duration {
 	return p.StoreAge + now - p.lastReceived
 }
 
 // RecordAnswer records that a peer answered a call, with the staleness of its view and the revision
 // up to which it is complete.
-func (t *Table) Answered(now time.Duration, control netip.AddrPort, staleness time.Duration, revision uint64) {
+func (t *Table) RecordAnswer(now time.Duration, control netip.AddrPort, staleness time.Duration, revision uint64) {
 	if peer := t.peers[control]; peer != nil && peer.receivedHello {
 		peer.lastReceived, peer.StoreAge, peer.Revision = now, staleness, revision
 	}
 }
 
 // RecordRefusal records that a peer accepts no further followers.
-func (t *Table) Refused(now time.Duration, control netip.AddrPort) {
+func (t *Table) RecordRefusal(now time.Duration, control netip.AddrPort) {
 	if peer := t.peers[control]; peer != nil {
 		peer.refusedUntil = now + refusalPeriod
 	}
@@ -243,7 +243,7 @@
 		if peer.rank().Compare(t.rank()) >= 0 {
 			break
 		}
-		if peer.Leaving || now < peer.refusedUntil || peer.Age(now) > maxStaleness {
+		if peer.Leaving || now < peer.refusedUntil || peer.Staleness(now) > maxStaleness {
 			continue
 		}
 		if anyZone || peer.Zone == t.self.Zone {
@@ -279,7 +279,7 @@
 
 // Position returns this balancer's index by rank among the known live balancers of its zone, itself
 // included, their count, and the count in all zones.
-func (t *Table) Place(now time.Duration) (index, zoneCount, fleetCount int) {
+func (t *Table) Position(now time.Duration) (index, zoneCount, fleetCount int) {
 	alive := t.Alive(now)
 	zoneCount = 1
 	for _, peer := range alive {
@@ -296,8 +296,8 @@
 
 // Membership returns what the placement of flows depends on: this balancer's position, the
 // estimated sizes of its zone and the fleet, and its neighbours.
-func (t *Table) OwnPlace(now time.Duration) steering.Membership {
-	index, zoneCount, fleetCount := t.Place(now)
+func (t *Table) Membership(now time.Duration) steering.Membership {
+	index, zoneCount, fleetCount := t.Position(now)
 	zoneSize, fleetSize := t.Sizes(now)
 	return steering.Membership{Index: index, Count: zoneCount, Fleet: fleetCount, ZoneSize: zoneSize, FleetSize: fleetSize, Neighbours: t.Neighbours(now)}
 }
@@ -313,14 +313,14 @@
 }
 
 // HasLowerRank reports whether a live peer has a lower rank.
-func (t *Table) HasLower(now time.Duration) bool {
+func (t *Table) HasLowerRank(now time.Duration) bool {
 	alive := t.Alive(now)
 	return len(alive) > 0 && alive[0].rank().Compare(t.rank()) < 0
 }
 
 // HasHigherCapacity reports whether a balancer of higher capacity is known that is alive or was
 // recently introduced.
-func (t *Table) HasAbler(now time.Duration) bool {
+func (t *Table) HasHigherCapacity(now time.Duration) bool {
 	for _, peer := range t.peers {
 		if peer.Capacity > t.self.Capacity && !peer.Leaving && now-peer.lastReceived <= aliveTimeout {
 			return true
@@ -330,10 +330,10 @@
 }
 
 // CountStoreUnavailable returns the number of live peers that get no answer from the store.
-func (t *Table) Failing(now time.Duration) int {
+func (t *Table) CountStoreUnavailable(now time.Duration) int {
 	count := 0
 	for _, peer := range t.Alive(now) {
-		if peer.Failing {
+		if peer.StoreUnavailable {
 			count++
 		}
 	}
@@ -342,7 +342,7 @@
 
 // Newest returns the live peer with the highest revision above the given one, leaving out peers
 // that refused this balancer recently.
-func (t *Table) Freshest(now time.Duration, above uint64) (*Peer, bool) {
+func (t *Table) Newest(now time.Duration, above uint64) (*Peer, bool) {
 	var newest *Peer
 	for _, peer := range t.Alive(now) {
 		if peer.Revision > above && now >= peer.refusedUntil && (newest == nil || peer.Revision > newest.Revision) {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,7 +46,7 @@
 		hellos := []*Hello{newHello(ranked[0], "a", 0), newHello(ranked[1], "a", 0), newHello(ranked[3], "a", 0)}
 		test.change(hellos)
 		for _, h := range hellos {
-			table.Heard(time.Second, h)
+			table.Receive(time.Second, h)
 		}
 		peer, found := table.Upstream(time.Second, maxStaleness)
 		if found != (test.want >= 0) || found && peer.Control != ranked[test.want] {
@@ -61,21 +61,21 @@
 	ranked := rankedAddresses(smallZone + 3)
 	self := len(ranked) - 1
 	table := New(Introduction{Control: ranked[self], Zone: "a"})
-	table.Heard(0, newHello(ranked[0], "b", 0))
+	table.Receive(0, newHello(ranked[0], "b", 0))
 	for _, control := range ranked[1:self] {
-		table.Heard(0, newHello(control, "a", 0))
+		table.Receive(0, newHello(control, "a", 0))
 	}
 	if peer, found := table.Upstream(0, maxStaleness); !found || peer.Control != ranked[1] {
 		t.Errorf("upstream %v %v", peer, found)
 	}
 	first := New(Introduction{Control: ranked[1], Zone: "a"})
 	for _, control := range ranked[2:] {
-		first.Heard(0, newHello(control, "a", 0))
+		first.Receive(0, newHello(control, "a", 0))
 	}
 	if peer, found := first.Upstream(0, maxStaleness); found {
 		t.Errorf("the lowest rank of all follows %v", peer)
 	}
-	first.Heard(0, newHello(ranked[0], "b", 0))
+	first.Receive(0, newHello(ranked[0], "b", 0))
 	if peer, found := first.Upstream(0, maxStaleness); !found || peer.Control != ranked[0] {
 		t.Errorf("the lowest rank of the zone follows %v %v", peer, found)
 	}
@@ -86,13 +86,13 @@
 func TestRefusingPeerIsSkipped(t *testing.T) {
 	ranked := rankedAddresses(3)
 	table := New(Introduction{Control: ranked[2], Zone: "a"})
-	table.Heard(0, newHello(ranked[0], "a", 0))
-	table.Heard(0, newHello(ranked[1], "a", 0))
-	table.Refused(0, ranked[0])
+	table.Receive(0, newHello(ranked[0], "a", 0))
+	table.Receive(0, newHello(ranked[1], "a", 0))
+	table.RecordRefusal(0, ranked[0])
 	if peer, found := table.Upstream(time.Second, maxStaleness); !found || peer.Control != ranked[1] {
 		t.Errorf("upstream %v %v", peer, found)
 	}
-	table.Heard(refusalPeriod, newHello(ranked[0], "a", 0))
+	table.Receive(refusalPeriod, newHello(ranked[0], "a", 0))
 	if peer, found := table.Upstream(refusalPeriod, maxStaleness); !found || peer.Control != ranked[0] {
 		t.Errorf("after refusalPeriod, upstream %v %v", peer, found)
 	}
@@ -102,8 +102,8 @@
 func TestAnswerRefreshesPeer(t *testing.T) {
 	ranked := rankedAddresses(2)
 	table := New(Introduction{Control: ranked[1], Zone: "a"})
-	table.Heard(0, newHello(ranked[0], "a", 0))
-	table.Answered(2*time.Second, ranked[0], 300*time.Millisecond, 9)
+	table.Receive(0, newHello(ranked[0], "a", 0))
+	table.RecordAnswer(2*time.Second, ranked[0], 300*time.Millisecond, 9)
 	if peer, found := table.Upstream(2*time.Second, maxStaleness); !found || peer.Revision != 9 {
 		t.Error("a peer that has just answered is not followed")
 	}
@@ -114,7 +114,7 @@
 func TestStalenessGrowsWithSilence(t *testing.T) {
 	ranked := rankedAddresses(2)
 	table := New(Introduction{Control: ranked[1], Zone: "a"})
-	table.Heard(0, newHello(ranked[0], "a", time.Second))
+	table.Receive(0, newHello(ranked[0], "a", time.Second))
 	if _, found := table.Upstream(500*time.Millisecond, maxStaleness); !found {
 		t.Error("a fresh view is not followed")
 	}
@@ -131,7 +131,7 @@
 	for number := range count {
 		table := New(Introduction{Control: address(number), Zone: "a"})
 		for other := range count {
-			table.Heard(0, newHello(address(other), "a", 0))
+			table.Receive(0, newHello(address(other), "a", 0))
 		}
 		peer, found := table.Upstream(0, maxStaleness)
 		switch {
@@ -152,26 +152,26 @@
 func TestReceiveDetectsRestart(t *testing.T) {
 	table := New(Introduction{Control: address(1), Zone: "a"})
 	first := newHello(address(2), "a", 0)
-	if !table.Heard(0, first) || table.Heard(0, first) {
+	if !table.Receive(0, first) || table.Receive(0, first) {
 		t.Error("the first hello is not new, or the second is")
 	}
 	// A restart after the clock was set back has an earlier start time.
 	restarted := *first
 	restarted.Started = 0
-	if !table.Heard(0, &restarted) {
+	if !table.Receive(0, &restarted) {
 		t.Error("a restart with an earlier start time is not detected")
 	}
-	if table.Heard(0, newHello(address(1), "a", 0)) {
+	if table.Receive(0, newHello(address(1), "a", 0)) {
 		t.Error("a balancer accepts its own hello")
 	}
-	if table.Heard(0, &Hello{}) {
+	if table.Receive(0, &Hello{}) {
 		t.Error("a hello without an address is accepted")
 	}
 }
 
 func TestSilentPeersAreForgotten(t *testing.T) {
 	table := New(Introduction{Control: address(1), Zone: "a"})
-	table.Heard(0, newHello(address(2), "a", 0))
+	table.Receive(0, newHello(address(2), "a", 0))
 	if len(table.Alive(2*aliveTimeout)) != 0 {
 		t.Error("a silent peer is alive")
 	}
@@ -183,14 +183,14 @@
 
 func TestNewestRequiresHigherRevision(t *testing.T) {
 	table := New(Introduction{Control: address(1), Zone: "a"})
-	table.Heard(0, newHello(address(2), "b", 0))
+	table.Receive(0, newHello(address(2), "b", 0))
 	newer := newHello(address(3), "a", 0)
 	newer.Revision = 9
-	table.Heard(0, newer)
-	if peer, found := table.Freshest(0, 5); !found || peer.Control != address(3) {
+	table.Receive(0, newer)
+	if peer, found := table.Newest(0, 5); !found || peer.Control != address(3) {
 		t.Errorf("newest %v %v", peer, found)
 	}
-	if _, found := table.Freshest(0, 9); found {
+	if _, found := table.Newest(0, 9); found {
 		t.Error("a peer with the same revision is returned")
 	}
 }
@@ -201,7 +201,7 @@
 	table := New(Introduction{Control: address(0), Zone: "a"})
 	for round := range 3 {
 		for other := 1; other <= 3*maxOtherPeers; other++ {
-			isNew := table.Heard(0, newHello(address(other), "b", 0))
+			isNew := table.Receive(0, newHello(address(other), "b", 0))
 			if round > 0 && isNew {
 				t.Fatalf("balancer %d is new in round %d", other, round)
 			}
@@ -214,9 +214,9 @@
 func TestIntroductionsForNamesNearestPeers(t *testing.T) {
 	table := New(Introduction{Control: address(0), Zone: "a"})
 	for other := 1; other <= 20; other++ {
-		table.Heard(0, newHello(address(other), "a", 0))
+		table.Receive(0, newHello(address(other), "a", 0))
 	}
-	nearest := table.ForAsker(0, newHello(address(99), "a", 0))
+	nearest := table.IntroductionsFor(0, newHello(address(99), "a", 0))
 	if len(nearest) != sampleSize {
 		t.Fatalf("%d introductions", len(nearest))
 	}
@@ -277,17 +277,17 @@
 	for i := 2; i < 20; i++ {
 		uninformed := newHello(address(i), "a", 0)
 		uninformed.Revision = 0
-		table.Heard(0, uninformed)
+		table.Receive(0, uninformed)
 	}
-	table.Heard(0, newHello(address(20), "b", 0))
+	table.Receive(0, newHello(address(20), "b", 0))
 	requester := newHello(address(30), "a", 0)
 	uninformed := *requester
 	uninformed.Revision = 0
-	introductions := table.ForAsker(0, &uninformed)
-	if len(introductions) != sampleSize || introductions[0].Control != address(20) || !introductions[0].Knows || introductions[1].Knows {
+	introductions := table.IntroductionsFor(0, &uninformed)
+	if len(introductions) != sampleSize || introductions[0].Control != address(20) || !introductions[0].HasView || introductions[1].HasView {
 		t.Errorf("introductions without a view: %+v", introductions)
 	}
-	for _, other := range table.ForAsker(0, requester) {
+	for _, other := range table.IntroductionsFor(0, requester) {
 		if other.Control == requester.Control {
 			t.Error("the requester is introduced to itself")
 		}
@@ -303,12 +303,12 @@
 		now           time.Duration
 		hasView, want bool
 	}{{0, false, true}, {time.Second, true, true}, {seedSearchTime, true, false}, {seedSearchTime, false, true}} {
-		if got := table.Hurries(c.now, c.hasView); got != c.want {
+		if got := table.NeedsUrgentRound(c.now, c.hasView); got != c.want {
 			t.Errorf("after %v, with a view %v: urgent %v", c.now, c.hasView, got)
 		}
 	}
-	table.Heard(time.Second, newHello(address(2), "a", 0))
-	if table.Hurries(time.Second, true) || !table.Hurries(time.Second, false) {
+	table.Receive(time.Second, newHello(address(2), "a", 0))
+	if table.NeedsUrgentRound(time.Second, true) || !table.NeedsUrgentRound(time.Second, false) {
 		t.Error("with a live peer, a round is urgent with a view or not urgent without one")
 	}
 }
@@ -324,7 +324,7 @@
 	for i, self := range ranked {
 		table := New(Introduction{Control: self, Zone: zoneOf(i)})
 		for j, other := range ranked {
-			table.Heard(0, newHello(other, zoneOf(j), 0))
+			table.Receive(0, newHello(other, zoneOf(j), 0))
 		}
 		if peer, found := table.Upstream(0, maxStaleness); found {
 			upstream[self] = peer.Control
@@ -359,33 +359,33 @@
 	}
 	deliver := func(now time.Duration, from, to *Table, reply bool, others []Introduction) {
 		msg := newHello(from.self.Control, from.self.Zone, 0)
-		msg.Reply, msg.Others = reply, others
-		isNew := to.Heard(now, msg)
+		msg.ReplyRequested, msg.Introductions = reply, others
+		isNew := to.Receive(now, msg)
 		if isNew || reply {
 			answer := newHello(to.self.Control, to.self.Zone, 0)
-			answer.Others = to.ForAsker(now, msg)
-			from.Heard(now, answer)
+			answer.Introductions = to.IntroductionsFor(now, msg)
+			from.Receive(now, answer)
 		}
 	}
 	now := time.Duration(0)
 	for range rounds {
 		for _, self := range order {
 			table := tables[self]
-			if table.NeedsIntroductions(now) {
+			if table.NeedsSeeds(now) {
 				for seed := range 3 {
 					table.Introduce(now, Introduction{Control: address(seed)})
 				}
 			}
 			sample := table.Sample(now)
 			for _, target := range table.Round(now, 8) {
-				deliver(now, table, tables[target.Control], target.Reply, sample)
+				deliver(now, table, tables[target.Control], target.ReplyRequested, sample)
 			}
 		}
 		now += HelloInterval
 	}
 	belowSmallZone := 0
 	for _, self := range order {
-		if _, count, _ := tables[self].Place(now); count < smallZone {
+		if _, count, _ := tables[self].Position(now); count < smallZone {
 			belowSmallZone++
 		}
 	}
@@ -400,14 +400,14 @@
 	const later = time.Minute
 	table := New(Introduction{Control: address(0), Zone: "a"})
 	urgent := newHello(address(1), "a", 0)
-	urgent.Full, urgent.Failures = false, []Failure{{Tag: 7, Units: uint32(1 / LoadUnit)}}
-	table.Heard(later, urgent)
+	urgent.Full, urgent.Failures = false, []Failure{{Tag: 7, Count: uint32(1 / LoadUnit)}}
+	table.Receive(later, urgent)
 	if load := table.Loads(later)[7]; load.Failures != 1 {
 		t.Errorf("load %+v", load)
 	}
 	short := newHello(address(1), "a", 0)
 	short.Full = false
-	table.Heard(later, short)
+	table.Receive(later, short)
 	if load := table.Loads(later + time.Second)[7]; load.Failures < 0.6 || load.Failures > 0.8 {
 		t.Errorf("a second later %+v", load)
 	}
@@ -418,7 +418,7 @@
 func TestNeighboursAreInOwnZone(t *testing.T) {
 	table := New(Introduction{Control: address(0), Zone: "a"})
 	for i, zone := range []string{"a", "a", "b", "a"} {
-		table.Heard(0, &Hello{Control: address(i + 1), Zone: zone, Started: 1, Leaving: i == 3})
+		table.Receive(0, &Hello{Control: address(i + 1), Zone: zone, Started: 1, Leaving: i == 3})
 	}
 	table.Introduce(0, Introduction{Control: address(9), Zone: "a"})
 	neighbours := table.Neighbours(time.Second)
@@ -429,7 +429,7 @@
 		t.Errorf("after aliveTimeout: %+v", neighbours)
 	}
 	for i := range 2 * maxZonePeers {
-		table.Heard(0, &Hello{Control: address(20 + i), Zone: "a", Started: 1})
+		table.Receive(0, &Hello{Control: address(20 + i), Zone: "a", Started: 1})
 	}
 	if neighbours = table.Neighbours(0); !neighbours.Truncated {
 		t.Errorf("zone larger than the table: %+v", neighbours)
--- a/internal/peers/round.go
+++ b/internal/peers/round.go
@@ -15,8 +15,8 @@
 const (
 	// UrgentInterval is the time between rounds while a balancer has no view or no live peer, and
 	// urgentTargets is the number of targets in such a round.
-	HurryInterval = 50 * time.Millisecond
-	urgentTargets = 6
+	UrgentInterval = 50 * time.Millisecond
+	urgentTargets  = 6
 	// seedSearchTime is how long after its start a balancer without live peers stays in urgent
 	// rounds although it has a view. After a loss of power seeds may start later, and can only
 	// introduce balancers that sent them a hello.
@@ -41,11 +41,11 @@
 	// MaxLoads is the maximum number of loads in a hello.
 	MaxLoads = 32
 	// MaxSuspects is the maximum number of suspects in a hello.
-	MaxDoubted = 16
+	MaxSuspects = 16
 	// MaxUnresponsiveReports is the maximum number of unresponsive back ends in a hello, since a
 	// quarter of a service's may fail at once. They take about 20 bytes each, and a hello at all
 	// limits fits one datagram.
-	MaxStalls = 24
+	MaxUnresponsiveReports = 24
 	// MaxFailures is the maximum number of failing back ends in a hello.
 	MaxFailures = 16
 	// MaxBaselines is the maximum number of addresses with a baseline in a hello.
@@ -60,7 +60,7 @@
 type Target struct {
 	Control netip.AddrPort
 	// ReplyRequested asks for a hello in return: the peer's table may not hold this balancer.
-	Reply bool
+	ReplyRequested bool
 	// Full is set if a full hello is due.
 	Full bool
 }
@@ -74,13 +74,13 @@
 	var targets []Target
 	for i, control := range zonePeers {
 		if len(zonePeers) <= maxPeersEveryRound || (i+t.round)%2 == 0 {
-			targets = append(targets, Target{Control: control, Reply: t.needsReply(now, control)})
+			targets = append(targets, Target{Control: control, ReplyRequested: t.needsReply(now, control)})
 		}
 	}
 	searchesZone := t.round%roundsPerZoneSearch == 0 && t.countZonePeers(t.Alive(now)) < smallZone
 	for i := range min(otherPeersPerRound, len(otherPeers)) {
 		control := otherPeers[(t.round*otherPeersPerRound+i)%len(otherPeers)]
-		targets = append(targets, Target{Control: control, Reply: searchesZone || t.needsReply(now, control)})
+		targets = append(targets, Target{Control: control, ReplyRequested: searchesZone || t.needsReply(now, control)})
 	}
 	interval := uint64(fullHelloInterval(len(targets), loads))
 	for i := range targets {
@@ -93,7 +93,7 @@
 }
 
 // AllLive returns all live peers, the recipients of urgent reports.
-func (t *Table) Everyone(now time.Duration) []Target {
+func (t *Table) AllLive(now time.Duration) []Target {
 	alive := t.Alive(now)
 	targets := make([]Target, 0, len(alive))
 	for _, peer := range alive {
@@ -130,19 +130,19 @@
 
 // NeedsUrgentRound reports whether the next round is urgent. now is the time since the balancer's
 // start; hasView is set once it has a view.
-func (t *Table) Hurries(now time.Duration, hasView bool) bool {
+func (t *Table) NeedsUrgentRound(now time.Duration, hasView bool) bool {
 	return !hasView || now < seedSearchTime && len(t.Alive(now)) == 0
 }
 
 // UrgentRound returns the recipients of an urgent round: some of the known balancers in rotation,
 // high capacity first.
-func (t *Table) HurryRound() []Target {
+func (t *Table) UrgentRound() []Target {
 	all := slices.SortedFunc(maps.Keys(t.peers), func(a, b netip.AddrPort) int {
 		return cmp.Or(cmp.Compare(t.peers[b].Capacity, t.peers[a].Capacity), a.Compare(b))
 	})
 	var targets []Target
 	for i := range min(urgentTargets, len(all)) {
-		targets = append(targets, Target{Control: all[(t.round*urgentTargets+i)%len(all)], Reply: true})
+		targets = append(targets, Target{Control: all[(t.round*urgentTargets+i)%len(all)], ReplyRequested: true})
 	}
 	t.round++
 	return targets
@@ -180,7 +180,7 @@
 	}
 	decay := steering.DecayOver(now - p.failuresAt)
 	for _, failure := range p.failures {
-		failed := steering.Load{Failures: float64(failure.Units) * LoadUnit}
+		failed := steering.Load{Failures: float64(failure.Count) * LoadUnit}
 		loads[failure.Tag] = loads[failure.Tag].Plus(failed.Decayed(decay))
 	}
 }
--- a/internal/peers/size_test.go
+++ b/internal/peers/size_test.go
@@ -11,10 +11,10 @@
 func tableWithZone(self, others int) *Table {
 	table := New(Introduction{Control: address(self), Zone: "a"})
 	for number := range others + 1 {
-		table.Heard(0, newHello(address(number), "a", 0))
+		table.Receive(0, newHello(address(number), "a", 0))
 	}
-	table.Heard(0, newHello(address(others+1), "b", 0))
-	table.Heard(0, newHello(address(others+2), "c", 0))
+	table.Receive(0, newHello(address(others+1), "b", 0))
+	table.Receive(0, newHello(address(others+2), "c", 0))
 	return table
 }
 
--- a/internal/snapshot/codec_test.go
+++ b/internal/snapshot/codec_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	reading := Read([]Stored{{part, stored, 1}})
-	if len(reading.Faults) > 0 || !slices.Equal(reading.records, records) {
-		t.Errorf("read %+v, errors %v", reading.records, reading.Faults)
+	if len(reading.Errors) > 0 || !slices.Equal(reading.records, records) {
+		t.Errorf("read %+v, errors %v", reading.records, reading.Errors)
 	}
 }
--- a/internal/snapshot/read.go
+++ b/internal/snapshot/read.go
@@ -15,7 +15,7 @@
 type Reading struct {
 	records []directory.Record
 	// Errors has one error for each rejected part.
-	Faults []error
+	Errors []error
 }
 
 // Read decodes the parts that a listing found. Where they differ in the number of parts, only those
@@ -30,7 +30,7 @@
 			err = errInvalidPart.New("part %d is stored as part %d", decoded.Part, stored.Part)
 		}
 		if err != nil {
-			reading.Faults = append(reading.Faults, err)
+			reading.Errors = append(reading.Errors, err)
 			continue
 		}
 		valid = append(valid, decoded)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -73,7 +73,7 @@
 // writeAll writes until nothing is left to write and returns the number of calls.
 func writeAll(t *testing.T, s *fakeStore, w *Writer, records []directory.Record) (calls int) {
 	t.Helper()
-	w.Changed()
+	w.MarkChanged()
 	for {
 		write := nextWrite(t, w, records)
 		if len(write.Parts) == 0 {
@@ -101,8 +101,8 @@
 	s, w := newFakeStore(), &Writer{}
 	writeAll(t, s, w, records)
 	reading := Read(s.parts())
-	if len(reading.Faults) > 0 {
-		t.Fatal(reading.Faults)
+	if len(reading.Errors) > 0 {
+		t.Fatal(reading.Errors)
 	}
 	missing := reading.Missing(nil)
 	want := slices.Delete(slices.Clone(records), 7, 8)
@@ -126,8 +126,8 @@
 	old[0] = 1
 	parts[0].Value = appendChecksum(old)
 	reading := Read(parts)
-	if len(reading.Faults) != 1 || !strings.Contains(reading.Faults[0].Error(), "unsupported format 1, want 2") || len(reading.Missing(nil)) < 5000/2 {
-		t.Errorf("read %d back ends: %v", len(reading.Missing(nil)), reading.Faults)
+	if len(reading.Errors) != 1 || !strings.Contains(reading.Errors[0].Error(), "unsupported format 1, want 2") || len(reading.Missing(nil)) < 5000/2 {
+		t.Errorf("read %d back ends: %v", len(reading.Missing(nil)), reading.Errors)
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	// A removed part is written again.
 	clear(s.stored)
-	first.Changed()
+	first.MarkChanged()
 	records[1].Backend.Draining = true
 	if writeAll(t, s, first, records); len(s.stored) != 1 {
 		t.Error("the removed part was not written again")
@@ -203,7 +203,7 @@
 	writeAll(t, s, w, records[:5000])
 	before := len(s.stored)
 	w = &Writer{}
-	w.Heard(s.parts())
+	w.Observe(s.parts())
 	write := nextWrite(t, w, records)
 	s.apply(write)
 	if write.complete || len(write.Parts) < before {
@@ -219,8 +219,8 @@
 			t.Fatalf("read %+v, written %+v", record, want)
 		}
 	}
-	if len(reading.Faults) > 0 {
-		t.Error(reading.Faults)
+	if len(reading.Errors) > 0 {
+		t.Error(reading.Errors)
 	}
 }
 
@@ -238,8 +238,8 @@
 		"another number": {1, valid, 1},
 	} {
 		reading := Read([]Stored{stored})
-		if len(reading.Faults) != 1 || len(reading.Missing(nil)) > 0 {
-			t.Errorf("%s: errors %v, %d back ends", name, reading.Faults, len(reading.Missing(nil)))
+		if len(reading.Errors) != 1 || len(reading.Missing(nil)) > 0 {
+			t.Errorf("%s: errors %v, %d back ends", name, reading.Errors, len(reading.Missing(nil)))
 		}
 	}
 }
@@ -265,22 +265,22 @@
 
 // TestDue covers the conditions of a write and the delays between writes.
 func TestDue(t *testing.T) {
-	favourable := State{Now: time.Minute, Age: time.Second, Known: time.Minute, Able: true}
+	favourable := Conditions{Now: time.Minute, Staleness: time.Second, KnownFor: time.Minute, Eligible: true}
 	for name, test := range map[string]struct {
-		change func(*State)
+		change func(*Conditions)
 		due    bool
 	}{
-		"lowest rank":                 {func(*State) {}, true},
-		"lower rank is alive":         {func(s *State) { s.Lower = true }, false},
-		"follows another balancer":    {func(s *State) { s.Able = false }, false},
-		"store does not answer":       {func(s *State) { s.Age = 3 * time.Second }, false},
-		"just started":                {func(s *State) { s.Known = time.Second }, false},
-		"store has just returned":     {func(s *State) { s.ReturnAge = time.Second }, false},
-		"entries are announced again": {func(s *State) { s.ReturnAge = 5 * time.Second }, true},
-		"last write too recent":       {func(s *State) { s.Now = time.Second }, false},
+		"lowest rank":                 {func(*Conditions) {}, true},
+		"lower rank is alive":         {func(s *Conditions) { s.HasLowerRank = true }, false},
+		"follows another balancer":    {func(s *Conditions) { s.Eligible = false }, false},
+		"store does not answer":       {func(s *Conditions) { s.Staleness = 3 * time.Second }, false},
+		"just started":                {func(s *Conditions) { s.KnownFor = time.Second }, false},
+		"store has just returned":     {func(s *Conditions) { s.SinceStoreReturn = time.Second }, false},
+		"entries are announced again": {func(s *Conditions) { s.SinceStoreReturn = 5 * time.Second }, true},
+		"last write too recent":       {func(s *Conditions) { s.Now = time.Second }, false},
 	} {
 		w, conditions := &Writer{nextAt: 2 * time.Second}, favourable
-		w.Changed()
+		w.MarkChanged()
 		test.change(&conditions)
 		if w.Due(conditions) != test.due {
 			t.Errorf("%s: due %v", name, !test.due)
@@ -320,7 +320,7 @@
 				}
 			}
 		}
-		if len(reading.Faults) > 0 && len(reading.records) > 0 {
+		if len(reading.Errors) > 0 && len(reading.records) > 0 {
 			t.Error("an invalid part was used")
 		}
 	})
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -28,17 +28,17 @@
 )
 
 // Conditions are the inputs to the decision whether this balancer writes.
-type State struct {
+type Conditions struct {
 	Now time.Duration
 	// Staleness is the time since the store last confirmed this balancer's view.
-	Age time.Duration
+	Staleness time.Duration
 	// KnownFor is the time since this balancer first had a view. SinceStoreReturn is the time since
 	// the store returned from an outage in which entries expired, 0 unless that was recent: missing
 	// entries may be back soon.
-	Known, ReturnAge time.Duration
+	KnownFor, SinceStoreReturn time.Duration
 	// HasLowerRank is set while a live balancer of lower rank is known. Eligible is set while this
 	// balancer reads the store itself and is not about to stop.
-	Lower, Able bool
+	HasLowerRank, Eligible bool
 }
 
 // Write is one call to the store, which must store all parts or none.
@@ -89,10 +89,10 @@
 }
 
 // MarkChanged records that back ends were added or removed, or that draining began or ended.
-func (w *Writer) Changed() { w.changed = true }
+func (w *Writer) MarkChanged() { w.changed = true }
 
 // Observe records the parts found by a listing or returned for a write.
-func (w *Writer) Heard(parts []Stored) {
+func (w *Writer) Observe(parts []Stored) {
 	if w.stored == nil {
 		w.stored = map[int]partState{}
 	}
@@ -102,9 +102,9 @@
 }
 
 // Due reports whether this balancer should write now.
-func (w *Writer) Due(conditions State) bool {
-	settled := conditions.Known >= minWriteInterval && (conditions.ReturnAge == 0 || conditions.ReturnAge >= minWriteInterval)
-	return w.changed && settled && conditions.Able && !conditions.Lower && conditions.Age <= maxStaleness && conditions.Now >= w.nextAt
+func (w *Writer) Due(conditions Conditions) bool {
+	settled := conditions.KnownFor >= minWriteInterval && (conditions.SinceStoreReturn == 0 || conditions.SinceStoreReturn >= minWriteInterval)
+	return w.changed && settled && conditions.Eligible && !conditions.HasLowerRank && conditions.Staleness <= maxStaleness && conditions.Now >= w.nextAt
 }
 
 // Next returns the parts that differ from the stored ones, as many as fit one call; there may be
@@ -178,7 +178,7 @@
 	if outcome.Revision > 0 {
 		w.failures = 0
 		for _, put := range write.Parts {
-			w.Heard([]Stored{{put.Part, put.Value, outcome.Revision}})
+			w.Observe([]Stored{{put.Part, put.Value, outcome.Revision}})
 			known := w.stored[put.Part]
 			known.partCount, known.digest = put.partCount, put.digest
 			w.stored[put.Part] = known
@@ -192,7 +192,7 @@
 		for _, put := range write.Parts {
 			delete(w.stored, put.Part)
 		}
-		w.Heard(outcome.Current)
+		w.Observe(outcome.Current)
 	}
 	w.nextAt = now + min(minWriteInterval<<max(w.failures-1, 0), maxWriteInterval)
 }
