--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,10 +1,9 @@
-// Package codec reads the msgpack that other balancers sent.
+// Package codec decodes msgpack from untrusted peers.
 //
-// The msgpack library allocates a list as long as its header announces before it reads
-// the first element, so that a datagram of a few bytes could take all memory of a process.
-// This package walks through a message first and decodes it only when all that is
-// announced is there. The memory of a decoded message is then bounded by its length
-// times the size of its largest element.
+// The msgpack library allocates a list with the length that its header declares before
+// it reads the first element, so a datagram of a few bytes could exhaust the memory.
+// This package scans a message first and decodes it only if it is complete. That bounds
+// the memory of a decoded message to its length times the size of its largest element.
 //
 // # Usage
 //
@@ -21,23 +20,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Unmarshal decodes one msgpack value into the value that into points to. Bytes after the
-// value are ignored. Errors are the library's; into may then be half filled.
+// Unmarshal decodes one msgpack value into the value that into points to. It ignores bytes
+// after the value. Errors are the library's; after one, into may be partly filled.
 func Unmarshal(data []byte, into any) error {
 	return unmarshal(bytes.NewReader(data), into)
 }
 
-// UnmarshalInPieces is Unmarshal that calls pause after each piece of data of some bytes, so
-// that a long message does not keep the processor from other work.
-func UnmarshalInPieces(data []byte, into any, piece int, pause func()) error {
-	return unmarshal(&piecewise{Reader: bytes.NewReader(data), piece: piece, left: piece, pause: pause}, into)
+// UnmarshalInPieces is like Unmarshal and calls pause after each pieceSize bytes that it
+// reads, so that other work can run during a long message. It reads the message twice.
+func UnmarshalInPieces(data []byte, into any, pieceSize int, pause func()) error {
+	return unmarshal(&pausingReader{Reader: bytes.NewReader(data), pieceSize: pieceSize, remaining: pieceSize, pause: pause}, into)
 }
 
+// source is the input of a msgpack decoder.
 type source interface {
 	io.ReadSeeker
 	io.ByteScanner
 }
 
+// unmarshal skips over the value, which fails if it is truncated, and then decodes it.
 func unmarshal(data source, into any) error {
 	decoder := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(decoder)
@@ -53,28 +54,29 @@
 	return decoder.Decode(into)
 }
 
-// piecewise pauses after each piece that was read.
-type piecewise struct {
+// pausingReader calls pause after each pieceSize bytes read. remaining is the number of
+// bytes until the next call.
+type pausingReader struct {
 	*bytes.Reader
-	piece, left int
-	pause       func()
+	pieceSize, remaining int
+	pause                func()
 }
 
-func (p *piecewise) Read(b []byte) (int, error) {
+func (p *pausingReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
-	p.read(n)
+	p.advance(n)
 	return n, err
 }
 
-func (p *piecewise) ReadByte() (byte, error) {
+func (p *pausingReader) ReadByte() (byte, error) {
 	b, err := p.Reader.ReadByte()
-	p.read(1)
+	p.advance(1)
 	return b, err
 }
 
-func (p *piecewise) read(n int) {
-	if p.left -= n; p.left <= 0 {
-		p.left = p.piece
+func (p *pausingReader) advance(n int) {
+	if p.remaining -= n; p.remaining <= 0 {
+		p.remaining = p.pieceSize
 		p.pause()
 	}
 }
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -19,26 +19,26 @@
 }
 
 const (
-	// most bounds what a message without content may allocate, in bytes.
-	most = 1 << 16
-	// mostForText is the same for a text: the library grows a buffer by a megabyte at a
-	// time, and takes twice as much under the race detector.
-	mostForText = 2<<20 + most
+	// maxAllocated is the most that a truncated message may allocate, in bytes.
+	maxAllocated = 1 << 16
+	// maxAllocatedForString is the same for a string: the library grows its buffer by
+	// 1 MiB at a time, and the race detector doubles that.
+	maxAllocatedForString = 2<<20 + maxAllocated
 )
 
-// TestWhatIsAnnouncedButMissingIsNotAllocated hands over headers of a million elements
-// with nothing behind them.
-func TestWhatIsAnnouncedButMissingIsNotAllocated(t *testing.T) {
+// TestDeclaredLengthIsNotAllocated guards against memory exhaustion by headers that
+// declare a million elements without content.
+func TestDeclaredLengthIsNotAllocated(t *testing.T) {
 	million := []byte{0x00, 0x10, 0x00, 0x00}
 	for _, c := range []struct {
 		name   string
 		header []byte
-		most   uint64
+		limit  uint64
 	}{
-		{"list of structures", []byte{0x93, 0xdd}, most},
-		{"list of texts", []byte{0x93, 0xc0, 0xdd}, most},
-		{"table", []byte{0x93, 0xc0, 0xc0, 0xdf}, most},
-		{"text", []byte{0x93, 0xc0, 0x91, 0xdb}, mostForText},
+		{"list of structs", []byte{0x93, 0xdd}, maxAllocated},
+		{"list of strings", []byte{0x93, 0xc0, 0xdd}, maxAllocated},
+		{"map", []byte{0x93, 0xc0, 0xc0, 0xdf}, maxAllocated},
+		{"string", []byte{0x93, 0xc0, 0x91, 0xdb}, maxAllocatedForString},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var before, after runtime.MemStats
@@ -46,16 +46,16 @@
 			err := Unmarshal(append(c.header, million...), &message{})
 			runtime.ReadMemStats(&after)
 			if err == nil {
-				t.Error("accepted")
+				t.Error("a truncated message was decoded")
 			}
-			if taken := after.TotalAlloc - before.TotalAlloc; taken > c.most {
-				t.Errorf("%d bytes allocated", taken)
+			if allocated := after.TotalAlloc - before.TotalAlloc; allocated > c.limit {
+				t.Errorf("%d bytes allocated", allocated)
 			}
 		})
 	}
 }
 
-func TestUnmarshalReturnsWhatWasMarshalled(t *testing.T) {
+func TestUnmarshalRoundTrip(t *testing.T) {
 	sent := message{Elements: []element{{Name: "a"}, {Name: "b"}}, Names: []string{"c"}}
 	data, err := msgpack.Marshal(&sent)
 	if err != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestALongMessageIsReadInPieces: it pauses as often as there are pieces, in both passes.
-func TestALongMessageIsReadInPieces(t *testing.T) {
+// TestUnmarshalInPiecesPauses checks that both passes over a message pause after each piece.
+func TestUnmarshalInPiecesPauses(t *testing.T) {
 	sent := message{Elements: make([]element, 1000), Names: []string{"last"}}
 	data, err := msgpack.Marshal(&sent)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err := UnmarshalInPieces(data, &got, piece, func() { pauses++ }); err != nil {
 		t.Fatal(err)
 	}
-	if least := 2 * (len(data)/piece - 1); pauses < least || len(got.Elements) != 1000 || got.Names[0] != "last" {
-		t.Errorf("%d pauses in %d bytes, want %d", pauses, len(data), least)
+	if minPauses := 2 * (len(data)/piece - 1); pauses < minPauses || len(got.Elements) != 1000 || got.Names[0] != "last" {
+		t.Errorf("%d pauses in %d bytes, want at least %d", pauses, len(data), minPauses)
 	}
 }
--- a/internal/codec/names.go
+++ b/internal/codec/names.go
@@ -1,16 +1,16 @@
 package codec
 
-// Names gives each name of a list its index, so that messages which repeat a few names have each of them once.
-// Make one beside each list.
+// NameTable maps the names in a list to their indexes. A message that repeats few names then holds each
+// once. Each list needs its own table.
 type Names map[string]int
 
-// Index returns where the name stands in the list, at the end of it from now on if it did not.
+// Index returns the index of the name in list. It appends the name if the table does not have it.
 func (n Names) Index(list *[]string, name string) int {
-	at, known := n[name]
+	index, known := n[name]
 	if !known {
-		at = len(*list)
-		n[name] = at
+		index = len(*list)
+		n[name] = index
 		*list = append(*list, name)
 	}
-	return at
+	return index
 }
--- a/internal/datapath/admin.go
+++ b/internal/datapath/admin.go
@@ -14,7 +14,7 @@
 )
 
 // maxPush bounds the size of a tree that an operator's command hands in, in bytes.
-const maxPush = 16 << 20
+const maxPushSize = 16 << 20
 
 // Push is a tree that the store has accepted, as the operators' command hands
 // it to a balancer, so that it comes into force even if the store fails next.
@@ -56,7 +56,7 @@
 
 func (n *Node) handlePush(w http.ResponseWriter, r *http.Request) {
 	var push Push
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPush)).Decode(&push); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPushSize)).Decode(&push); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/datapath/config.go
+++ b/internal/datapath/config.go
@@ -112,7 +112,7 @@
 	}},
 }
 
-func setAddress(into *netip.AddrPort, text string) error {
+func setAddress(target *netip.AddrPort, text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return err
@@ -120,11 +120,11 @@
 	if address.Port() == 0 {
 		return fmt.Errorf("port 0")
 	}
-	*into = address
+	*target = address
 	return nil
 }
 
-func setURL(into *string, text string) error {
+func setURL(target *string, text string) error {
 	parsed, err := url.Parse(text)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 	if parsed.Scheme != "http" || parsed.Host == "" {
 		return fmt.Errorf("not an http URL")
 	}
-	*into = text
+	*target = text
 	return nil
 }
 
@@ -147,23 +147,23 @@
 // the value, and what is allowed.
 func LoadConfig(file string, flags []Flag) (Config, []error) {
 	config := Config{Workers: defaultWorkers, LogFormat: "text", Cell: discovery.DefaultCell}
-	given := map[string]bool{}
-	var faults []error
+	present := map[string]bool{}
+	var errs []error
 	if file != "" {
-		faults = config.readFile(file, given)
+		errs = config.readFile(file, present)
 	}
 	for _, flag := range flags {
-		given[flag.Name] = true
+		present[flag.Name] = true
 		if err := config.set(flag.Name, flag.Value); err != nil {
-			faults = append(faults, fmt.Errorf("--%w", err))
+			errs = append(errs, fmt.Errorf("--%w", err))
 		}
 	}
 	for _, option := range Options {
-		if option.Required && !given[option.Name] {
-			faults = append(faults, fmt.Errorf("--%s: missing; allowed: %s", option.Name, option.Allowed))
+		if option.Required && !present[option.Name] {
+			errs = append(errs, fmt.Errorf("--%s: missing; allowed: %s", option.Name, option.Allowed))
 		}
 	}
-	return config, faults
+	return config, errs
 }
 
 func (c *Config) set(name, value string) error {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (c *Config) readFile(file string, given map[string]bool) []error {
+func (c *Config) readFile(file string, present map[string]bool) []error {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return []error{err}
@@ -193,13 +193,13 @@
 	if root.Kind != yaml.MappingNode {
 		return []error{fmt.Errorf("%s:%d: wants a mapping of settings", file, root.Line)}
 	}
-	var faults []error
+	var errs []error
 	for i := 0; i+1 < len(root.Content); i += 2 {
 		name, value := root.Content[i], root.Content[i+1]
 		if err := c.set(name.Value, value.Value); err != nil {
-			faults = append(faults, fmt.Errorf("%s:%d: %w", file, name.Line, err))
+			errs = append(errs, fmt.Errorf("%s:%d: %w", file, name.Line, err))
 		}
-		given[name.Value] = true
+		present[name.Value] = true
 	}
-	return faults
+	return errs
 }
--- a/internal/datapath/datapath_bench_test.go
+++ b/internal/datapath/datapath_bench_test.go
@@ -70,7 +70,7 @@
 	return buffer[:len(header)+length]
 }
 
-func requestOf(b testing.TB, key flow.Key, messageID int32) []byte {
+func newRequest(b testing.TB, key flow.Key, messageID int32) []byte {
 	header, err := wire.RequestHeader(key)
 	if err != nil {
 		b.Fatal(err)
@@ -81,7 +81,7 @@
 // open passes the first datagram of a flow.
 func open(b *testing.B, core *balancer.Core, decoder *wire.Decoder, key flow.Key) {
 	var packet balancer.Packet
-	if err := decoder.Decode(requestOf(b, key, 1), &packet); err != nil {
+	if err := decoder.Decode(newRequest(b, key, 1), &packet); err != nil {
 		b.Fatal(err)
 	}
 	var effects balancer.Effects
--- a/internal/datapath/fuzz_test.go
+++ b/internal/datapath/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestOversizedIsDropped guards the max_datagram setting (4 KiB by default).
-func TestOversizedIsDropped(t *testing.T) {
+func TestOversizedDatagramIsDropped(t *testing.T) {
 	core := benchCore(t)
 	for _, c := range []struct{ length, dropped int }{{4 << 10, 0}, {4<<10 + 1, 1}} {
 		packet := &balancer.Packet{Kind: balancer.Request, Flow: benchKey(c.length), Data: make([]byte, c.length)}
@@ -26,7 +26,7 @@
 // FuzzPeerMessage hands what decodes to a core: no peer message may stop it.
 func FuzzPeerMessage(f *testing.F) {
 	key := benchKey(1)
-	request := requestOf(f, key, 3)
+	request := newRequest(f, key, 3)
 	const peer = 9
 	messages := []*balancer.Message{
 		{From: peer, Heartbeat: &balancer.Heartbeat{Sequence: 1, Revision: 9, Introduction: &balancer.Introduction{Address: benchBackend, Zone: "b"}}},
@@ -37,8 +37,8 @@
 		{From: peer, Grant: &balancer.Grant{Partitions: []byte{1}}},
 	}
 	for kind := balancer.RelayToOwner; kind <= balancer.RelayAmbiguous; kind++ {
-		for _, backend := range []balancer.Relay{{Backend: benchBackend}, {Error: errkind.SlotsFull}, {}} {
-			relay := backend
+		for _, variant := range []balancer.Relay{{Backend: benchBackend}, {Error: errkind.SlotsFull}, {}} {
+			relay := variant
 			relay.Kind, relay.Data = kind, request
 			messages = append(messages, &balancer.Message{From: peer, Relay: &relay})
 		}
@@ -53,10 +53,10 @@
 	}
 	fuzzinput.Add(f, datagrams...)
 	core, decoder := benchCore(f), wire.NewDecoder()
-	greet := messages[0]
+	heartbeat := messages[0]
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var effects balancer.Effects
-		core.Step(benchNow, &balancer.PeerMessage{Message: greet}, &effects)
+		core.Step(benchNow, &balancer.PeerMessage{Message: heartbeat}, &effects)
 		if message, _, err := decoder.DecodeMessage(data); err == nil {
 			core.Step(benchNow+time.Millisecond, &balancer.PeerMessage{Message: message}, &effects)
 		}
--- a/internal/datapath/node.go
+++ b/internal/datapath/node.go
@@ -23,11 +23,11 @@
 const (
 	// bootstrapTime is how long after its start a bootstrapping node may assume
 	// that no balancer ran before.
-	bootstrapTime = 10 * time.Second
+	bootstrapPeriod = 10 * time.Second
 	// socketBuffer is the size of socket buffers asked for, in bytes.
-	socketBuffer = 4 << 20
+	socketBufferSize = 4 << 20
 	// shutdownTime bounds the end of the HTTP server.
-	shutdownTime = time.Second
+	shutdownTimeout = time.Second
 )
 
 // Node is one running balancer.
@@ -42,7 +42,7 @@
 	started time.Time
 	// messageID numbers answers in messages of their own.
 	messageID atomic.Uint32
-	leaving   chan struct{}
+	leave     chan struct{}
 }
 
 // New opens the node's sockets.
@@ -65,7 +65,7 @@
 		Measure: wire.Measure,
 	}
 	if config.Bootstrap {
-		core.BootstrapUntil = bootstrapTime
+		core.BootstrapUntil = bootstrapPeriod
 	}
 	return &Node{
 		config:  config,
@@ -76,7 +76,7 @@
 		data:    data,
 		peer:    peer,
 		started: started,
-		leaving: make(chan struct{}, 1),
+		leave:   make(chan struct{}, 1),
 	}, nil
 }
 
@@ -86,8 +86,8 @@
 		return nil, err
 	}
 	// The kernel may grant less; that is no fault.
-	_ = connection.SetReadBuffer(socketBuffer)
-	_ = connection.SetWriteBuffer(socketBuffer)
+	_ = connection.SetReadBuffer(socketBufferSize)
+	_ = connection.SetWriteBuffer(socketBufferSize)
 	return connection, nil
 }
 
@@ -99,7 +99,7 @@
 // Leave starts a planned stop; Run returns when it is over.
 func (n *Node) Leave() {
 	select {
-	case n.leaving <- struct{}{}:
+	case n.leave <- struct{}{}:
 	default:
 	}
 }
@@ -142,7 +142,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.leaving:
+		case <-n.leave:
 			n.step(&balancer.Leave{}, &effects)
 		case <-ticker.C:
 			n.step(&balancer.Tick{}, &effects)
@@ -162,13 +162,13 @@
 
 // decode reads one datagram into the worker's own event or a new one; it returns
 // nil for a datagram that was counted and dropped.
-type decode func(data []byte, own *balancer.Datagram) balancer.Event
+type decodeFunc func(data []byte, reused *balancer.Datagram) balancer.Event
 
 // receive is one worker: receive, decode, step, perform. Its memory is reused
 // for each datagram.
-func (n *Node) receive(ctx context.Context, socket *net.UDPConn, decode decode) error {
+func (n *Node) receive(ctx context.Context, socket *net.UDPConn, decode decodeFunc) error {
 	buffer := make([]byte, wire.MaxDatagram)
-	own := &balancer.Datagram{Packet: &balancer.Packet{}}
+	reused := &balancer.Datagram{Packet: &balancer.Packet{}}
 	var effects balancer.Effects
 	for {
 		length, _, err := socket.ReadFromUDPAddrPort(buffer)
@@ -179,18 +179,18 @@
 			// An earlier send met a closed port; the socket itself is sound.
 			continue
 		}
-		if event := decode(buffer[:length], own); event != nil {
+		if event := decode(buffer[:length], reused); event != nil {
 			n.step(event, &effects)
 		}
 	}
 }
 
-func (n *Node) decodeData(data []byte, own *balancer.Datagram) balancer.Event {
-	if err := n.decoder.Decode(data, own.Packet); err != nil {
+func (n *Node) decodeData(data []byte, reused *balancer.Datagram) balancer.Event {
+	if err := n.decoder.Decode(data, reused.Packet); err != nil {
 		n.core.Counters.Drop(errkind.Malformed)
 		return nil
 	}
-	return own
+	return reused
 }
 
 func (n *Node) decodePeer(data []byte, _ *balancer.Datagram) balancer.Event {
@@ -242,11 +242,11 @@
 
 // serveAdmin serves operators until ctx ends.
 func (n *Node) serveAdmin(ctx context.Context) error {
-	server := &http.Server{Addr: n.config.Admin.String(), Handler: n.adminHandler(), ReadHeaderTimeout: shutdownTime}
+	server := &http.Server{Addr: n.config.Admin.String(), Handler: n.adminHandler(), ReadHeaderTimeout: shutdownTimeout}
 	stop := context.AfterFunc(ctx, func() {
-		closing, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		shutdownContext, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(closing)
+		_ = server.Shutdown(shutdownContext)
 	})
 	defer stop()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/datapath/sources.go
+++ b/internal/datapath/sources.go
@@ -14,13 +14,13 @@
 
 const (
 	// storeRetry is the wait after a failed call to the store.
-	storeRetry = 500 * time.Millisecond
+	storeRetryDelay = 500 * time.Millisecond
 	// machineInterval is the time between two reads of the machine list.
 	machineInterval = time.Second
 	// loadInterval is the time between two reads of the load endpoints.
 	loadInterval = time.Second
 	// loadReaders bounds concurrent reads of load endpoints.
-	loadReaders = 8
+	maxLoadRequests = 8
 )
 
 // pause waits, or returns false when ctx ends first.
@@ -45,7 +45,7 @@
 			reachable = false
 			n.log.Warn("state", "subject", "store", "state", "unreachable", "error", err)
 		}
-		pause(ctx, storeRetry)
+		pause(ctx, storeRetryDelay)
 	}
 	return ctx.Err()
 }
@@ -97,7 +97,7 @@
 func (n *Node) pollLoad(ctx context.Context) error {
 	for pause(ctx, loadInterval) {
 		group := errgroup.Group{}
-		group.SetLimit(loadReaders)
+		group.SetLimit(maxLoadRequests)
 		for _, backend := range n.core.Snapshot().Backends {
 			if !backend.LoadAddress.IsValid() {
 				continue
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -8,10 +8,9 @@
 	"gaugeyard/internal/settings"
 )
 
-// Commit writes next in place of the state it was made from, whole or not at
-// all. It returns ErrConflict when another edit was accepted first. When the
-// reply is lost, the error is of class Unavailable, and Settle tells what became
-// of the edit.
+// Commit atomically replaces the state from by the tree next. It returns ErrConflict
+// if another edit was accepted since from was read. If the response is lost, the
+// error is of class Unavailable, and WasAccepted reports the outcome.
 func (s *Client) Commit(ctx context.Context, from *State, next settings.Tree, edit Edit) error {
 	head, err := json.Marshal(Head{Revision: edit.Revision, EditID: edit.EditID})
 	if err != nil {
@@ -22,7 +21,7 @@
 		return err
 	}
 	request := transaction{
-		Compare: []compare{{Key: []byte(headKey), Target: "MOD", Result: "EQUAL", ModRevision: int64Text(from.headVersion)}},
+		Compare: []compare{{Key: []byte(headKey), Target: "MOD", Result: "EQUAL", ModRevision: int64String(from.headModRevision)}},
 		Success: []operation{
 			putOperation(headKey, head),
 			putOperation(historyKey(edit.Revision), record),
@@ -47,7 +46,7 @@
 	return operation{Put: &putRequest{Key: []byte(key), Value: value}}
 }
 
-// nodeOperations lists the writes that turn one tree into another.
+// nodeOperations returns the writes that change one tree into the other.
 func nodeOperations(from, next settings.Tree) ([]operation, error) {
 	changed := settings.Tree{}
 	for _, change := range settings.Diff(from, next) {
@@ -83,8 +82,8 @@
 	return fmt.Sprintf("%s%020d", historyPrefix, revision)
 }
 
-// Settle tells whether the edit was accepted, by reading back. It is for a
-// write whose reply was lost.
+// WasAccepted reports whether the edit is in the history. It resolves a Commit whose
+// response was lost.
 func (s *Client) Settle(ctx context.Context, edit Edit) (accepted bool, err error) {
 	var response rangeResponse
 	if err := s.post(ctx, "/v3/kv/range", rangeRequest{Key: []byte(historyKey(edit.Revision))}, &response); err != nil {
@@ -93,14 +92,14 @@
 	if len(response.KVs) == 0 {
 		return false, nil
 	}
-	var found Edit
-	if err := json.Unmarshal(response.KVs[0].Value, &found); err != nil {
+	var stored Edit
+	if err := json.Unmarshal(response.KVs[0].Value, &stored); err != nil {
 		return false, err
 	}
-	return found.EditID == edit.EditID, nil
+	return stored.EditID == edit.EditID, nil
 }
 
-// History returns the newest edits, newest first.
+// History returns the newest edits, at most limit, newest first.
 func (s *Client) History(ctx context.Context, limit int) ([]Edit, error) {
 	var response rangeResponse
 	request := rangeRequest{Key: []byte(historyPrefix), RangeEnd: prefixEnd(historyPrefix), Limit: int64(limit), SortOrder: "DESCEND", SortTarget: "KEY"}
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// int64Text is a 64-bit number, which the API writes as a string.
-type int64Text int64
+// int64String is a 64-bit integer, which the API encodes as a JSON string.
+type int64String int64
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (n *int64Text) UnmarshalJSON(data []byte) error {
+func (n *int64String) UnmarshalJSON(data []byte) error {
 	value, err := strconv.ParseInt(strings.Trim(string(data), `"`), 10, 64)
-	*n = int64Text(value)
+	*n = int64String(value)
 	return err
 }
 
 // MarshalJSON implements json.Marshaler.
-func (n int64Text) MarshalJSON() ([]byte, error) {
+func (n int64String) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(strconv.FormatInt(int64(n), 10))), nil
 }
 
 type keyValue struct {
-	Key         []byte    `json:"key"`
-	Value       []byte    `json:"value,omitempty"`
-	ModRevision int64Text `json:"mod_revision,omitempty"`
+	Key         []byte      `json:"key"`
+	Value       []byte      `json:"value,omitempty"`
+	ModRevision int64String `json:"mod_revision,omitempty"`
 }
 
 type responseHeader struct {
-	Revision int64Text `json:"revision"`
+	Revision int64String `json:"revision"`
 }
 
 type rangeRequest struct {
@@ -44,10 +44,10 @@
 }
 
 type compare struct {
-	Key         []byte    `json:"key"`
-	Target      string    `json:"target"`
-	Result      string    `json:"result"`
-	ModRevision int64Text `json:"mod_revision"`
+	Key         []byte      `json:"key"`
+	Target      string      `json:"target"`
+	Result      string      `json:"result"`
+	ModRevision int64String `json:"mod_revision"`
 }
 
 type putRequest struct {
@@ -78,9 +78,9 @@
 }
 
 type watchCreate struct {
-	Key           []byte    `json:"key"`
-	RangeEnd      []byte    `json:"range_end"`
-	StartRevision int64Text `json:"start_revision"`
+	Key           []byte      `json:"key"`
+	RangeEnd      []byte      `json:"range_end"`
+	StartRevision int64String `json:"start_revision"`
 }
 
 type watchEvent struct {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store is the client of the key-value service that holds the operators'
-// tree: reads, commits by compare-and-swap, history and watches.
+// Package store is a client of the key-value service that stores the settings
+// tree. It reads and watches the tree, commits edits by compare-and-swap and reads
+// their history.
 package store
 
 import (
@@ -18,8 +19,8 @@
 	"gaugeyard/internal/settings"
 )
 
-// Keys in the store. The tree is stored as one key for each node, so that an
-// edit writes only what changed, and a head that each edit compares and swaps.
+// Keys in the store. The tree has one key for each node, so that an edit writes
+// only changed nodes, and a head key that each edit compares and swaps.
 const (
 	keyPrefix     = "gaugeyard/"
 	headKey       = keyPrefix + "tree/head"
@@ -28,25 +29,25 @@
 	historyPrefix = keyPrefix + "history/"
 )
 
-// callTimeout bounds one call to the store; watches have no bound.
+// callTimeout is the timeout of a call to the store. Watches have none.
 const callTimeout = 3 * time.Second
 
 // Errors of the store.
 var (
-	// Unavailable wraps every failure to reach the store or to have an answer;
-	// a write may have taken effect all the same.
+	// Unavailable wraps every failure to send a request or receive its response.
+	// A write that fails with it may have taken effect.
 	Unavailable = errs.Class("store unavailable")
 	// ErrConflict means that another edit was accepted first.
 	ErrConflict = errors.New("the settings were changed by another edit")
 )
 
-// Head is the newest accepted edit.
+// Head identifies the newest accepted edit.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	EditID   string `json:"edit_id"`
 }
 
-// Edit is one accepted change of the tree, as history keeps it.
+// Edit is an edit of the tree as stored in the history.
 type Edit struct {
 	Revision uint64            `json:"revision"`
 	EditID   string            `json:"edit_id"`
@@ -55,18 +56,19 @@
 	Changes  []settings.Change `json:"changes"`
 }
 
-// State is the tree as the store holds it.
+// State is the content of the store.
 type State struct {
 	Head Head
 	Tree settings.Tree
-	// headVersion is the store's own revision of the head key; 0 when there is none.
-	headVersion int64
-	// storeRevision is the store's revision at which the state was read.
+	// headModRevision is the store's modification revision of the head key, 0 if the
+	// key does not exist.
+	headModRevision int64
+	// storeRevision is the store's revision of this state, from which Watch continues.
 	storeRevision int64
 }
 
-// Client is a client of the key-value service: the JSON form of the etcd v3 API.
-// Safe for concurrent use.
+// Client is a client of the key-value service. It uses the JSON gateway of the etcd
+// v3 API and is safe for concurrent use.
 type Client struct {
 	endpoint string
 	client   *http.Client
@@ -77,11 +79,11 @@
 	return &Client{endpoint: strings.TrimSuffix(endpoint, "/"), client: &http.Client{}}
 }
 
-// post calls one method of the API.
+// post calls a method of the API and decodes its response.
 func (s *Client) post(ctx context.Context, method string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	body, err := s.open(ctx, method, request)
+	body, err := s.send(ctx, method, request)
 	if err != nil {
 		return err
 	}
@@ -89,35 +91,37 @@
 	return Unavailable.Wrap(json.NewDecoder(body).Decode(response))
 }
 
-func (s *Client) open(ctx context.Context, method string, request any) (io.ReadCloser, error) {
+// send sends a request and returns the body of the response, which the caller closes.
+func (s *Client) send(ctx context.Context, method string, request any) (io.ReadCloser, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, s.endpoint+method, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, s.endpoint+method, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	call.Header.Set("Content-Type", "application/json")
-	reply, err := s.client.Do(call)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	httpResponse, err := s.client.Do(httpRequest)
 	if err != nil {
 		return nil, Unavailable.Wrap(err)
 	}
-	if reply.StatusCode != http.StatusOK {
-		reply.Body.Close()
-		return nil, Unavailable.New("%s answered %s", method, reply.Status)
+	if httpResponse.StatusCode != http.StatusOK {
+		httpResponse.Body.Close()
+		return nil, Unavailable.New("%s answered %s", method, httpResponse.Status)
 	}
-	return reply.Body, nil
+	return httpResponse.Body, nil
 }
 
-// prefixEnd returns the first key after all keys that begin with prefix.
+// prefixEnd returns the first key after all keys with the prefix. The last byte of
+// prefix must not be 0xff.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	end[len(end)-1]++
 	return end
 }
 
-// Load reads the tree.
+// Load reads the tree. The tree of an empty store has an empty root.
 func (s *Client) Load(ctx context.Context) (*State, error) {
 	var response rangeResponse
 	request := rangeRequest{Key: []byte(treePrefix), RangeEnd: prefixEnd(treePrefix)}
@@ -126,18 +130,18 @@
 	}
 	state := &State{Tree: settings.Tree{"": settings.Values{}}, storeRevision: int64(response.Header.Revision)}
 	for _, pair := range response.KVs {
-		if err := state.put(pair); err != nil {
+		if err := state.applyKey(pair); err != nil {
 			return nil, err
 		}
 	}
 	return state, nil
 }
 
-// put takes over one key of the store.
-func (state *State) put(pair keyValue) error {
+// applyKey sets the head or a node from a key of the store and ignores other keys.
+func (state *State) applyKey(pair keyValue) error {
 	key := string(pair.Key)
 	if key == headKey {
-		state.headVersion = int64(pair.ModRevision)
+		state.headModRevision = int64(pair.ModRevision)
 		return json.Unmarshal(pair.Value, &state.Head)
 	}
 	path, isNode := strings.CutPrefix(key, nodePrefix)
@@ -152,15 +156,15 @@
 	return nil
 }
 
-// Watch calls changed with the tree after every accepted edit, until ctx ends
-// or the store fails. It starts from a state that Load returned.
-func (s *Client) Watch(ctx context.Context, state *State, changed func(*State)) error {
+// Watch calls onChange with the state after every accepted edit, until ctx ends or
+// the store fails; it always returns an error. state is one that Load returned.
+func (s *Client) Watch(ctx context.Context, state *State, onChange func(*State)) error {
 	request := watchRequest{Create: watchCreate{
 		Key:           []byte(treePrefix),
 		RangeEnd:      prefixEnd(treePrefix),
-		StartRevision: int64Text(state.storeRevision + 1),
+		StartRevision: int64String(state.storeRevision + 1),
 	}}
-	body, err := s.open(ctx, "/v3/watch", request)
+	body, err := s.send(ctx, "/v3/watch", request)
 	if err != nil {
 		return err
 	}
@@ -177,25 +181,26 @@
 		if len(response.Result.Events) == 0 {
 			continue
 		}
-		next, err := state.after(response.Result.Events)
+		next, err := state.applyEvents(response.Result.Events)
 		if err != nil {
 			return err
 		}
 		next.storeRevision = int64(response.Result.Header.Revision)
 		state = next
-		changed(next)
+		onChange(next)
 	}
 }
 
-// after returns the state after the events of one transaction.
-func (state *State) after(events []watchEvent) (*State, error) {
-	next := &State{Head: state.Head, Tree: state.Tree.Clone(), headVersion: state.headVersion}
+// applyEvents returns the state after the events of a transaction, without its
+// storeRevision. The receiver is not changed.
+func (state *State) applyEvents(events []watchEvent) (*State, error) {
+	next := &State{Head: state.Head, Tree: state.Tree.Clone(), headModRevision: state.headModRevision}
 	for _, event := range events {
 		if event.Type == "DELETE" {
 			delete(next.Tree, settings.Path(strings.TrimPrefix(string(event.KV.Key), nodePrefix)))
 			continue
 		}
-		if err := next.put(event.KV); err != nil {
+		if err := next.applyKey(event.KV); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -13,10 +13,11 @@
 	"gaugeyard/internal/errkind"
 )
 
-// maxAnswer is room enough for every answer that a balancer writes, in bytes.
-const maxAnswer = 128
+// maxAnswerLength exceeds the length of every answer that a balancer encodes, in
+// bytes without the PROXY header.
+const maxAnswerLength = 128
 
-// replyCodes has the CoAP response code of each reply; codes.Empty means that no
+// replyCodes maps each reply to its CoAP response code. codes.Empty means that no
 // answer is sent.
 var replyCodes = map[errkind.Reply]codes.Code{
 	errkind.Silent:      codes.Empty,
@@ -24,10 +25,11 @@
 	errkind.Timeout:     codes.GatewayTimeout,
 }
 
-// EncodeAnswer returns the datagram, header included, that tells a caller how
-// its request failed; nil when the kind is not answered. A request that is
-// still unacknowledged is answered in its acknowledgement, another one in a
-// message of its own with messageID.
+// EncodeAnswer returns the datagram, with its header, that answers a failed
+// request, or nil if the kind is not answered. If packet.Confirmable is set, the
+// request is still unacknowledged and is answered in its acknowledgement, otherwise
+// in a separate message with messageID. If the kind has a retry time, retry is sent
+// as Max-Age, rounded up to seconds.
 func EncodeAnswer(packet *balancer.Packet, kind errkind.Kind, retry time.Duration, messageID uint16) ([]byte, error) {
 	row := kind.Answer()
 	code := replyCodes[row.Reply]
@@ -56,7 +58,7 @@
 			return nil, err
 		}
 	}
-	datagram := make([]byte, len(header)+maxAnswer)
+	datagram := make([]byte, len(header)+maxAnswerLength)
 	copy(datagram, header)
 	length, err := coder.DefaultCoder.Encode(answer, datagram[len(header):])
 	if err != nil {
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -10,11 +10,11 @@
 	"gaugeyard/internal/errkind"
 )
 
-// PeerVersion is the version of the protocol between balancers: the first byte
-// of each datagram.
+// PeerVersion is the version of the protocol between balancers. It is the first
+// byte of each datagram.
 const PeerVersion = 1
 
-// EncodeMessage returns the datagram of a message to a peer.
+// EncodeMessage encodes a message to a peer as a datagram.
 func EncodeMessage(message *balancer.Message) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.WriteByte(PeerVersion)
@@ -29,7 +29,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Measure returns the length of the datagram of a message, in bytes.
+// EncodedSize returns the length of a message's datagram in bytes, or MaxDatagram
+// if the message cannot be encoded.
 func Measure(message *balancer.Message) int {
 	datagram, err := EncodeMessage(message)
 	if err != nil {
@@ -38,20 +39,20 @@
 	return len(datagram)
 }
 
-// DecodeMessage reads a datagram from a peer. Errors are of kind WrongVersion
-// or Malformed.
+// DecodeMessage decodes a datagram from a peer, with the packet of a relay. The
+// returned kind is that of the error: WrongVersion, Malformed, or None.
 func (d *Decoder) DecodeMessage(data []byte) (*balancer.Message, errkind.Kind, error) {
 	if len(data) == 0 || data[0] != PeerVersion {
-		return nil, errkind.WrongVersion, errkind.New(errkind.WrongVersion, "peer protocol version")
+		return nil, errkind.WrongVersion, errkind.New(errkind.WrongVersion, "unsupported peer protocol version")
 	}
 	message := &balancer.Message{}
 	if err := codec.Unmarshal(data[1:], message); err != nil {
 		return nil, errkind.Malformed, errkind.New(errkind.Malformed, "peer message: %v", err)
 	}
-	if bodies(message) != 1 {
-		return nil, errkind.Malformed, errkind.New(errkind.Malformed, "peer message with %d bodies", bodies(message))
+	if countBodies(message) != 1 {
+		return nil, errkind.Malformed, errkind.New(errkind.Malformed, "peer message with %d bodies", countBodies(message))
 	}
-	if !sound(message) {
+	if !isValid(message) {
 		return nil, errkind.Malformed, errkind.New(errkind.Malformed, "peer message with values out of range")
 	}
 	if message.Relay == nil {
@@ -64,20 +65,21 @@
 	return message, errkind.None, nil
 }
 
-// sound tells whether the values of a message are ones that a peer can mean.
-func sound(m *balancer.Message) bool {
+// isValid reports whether the address of an introduction and all error kinds in a
+// message are valid.
+func isValid(m *balancer.Message) bool {
 	if m.Heartbeat != nil && m.Heartbeat.Introduction != nil {
 		return m.Heartbeat.Introduction.Address.IsValid()
 	}
 	if m.Relay != nil {
-		return m.Relay.Error.Valid() && soundRefusals(m.Relay.Refusals)
+		return m.Relay.Error.Valid() && validRefusals(m.Relay.Refusals)
 	}
 	if m.Copy == nil {
 		return true
 	}
 	for _, record := range m.Copy.Records {
 		for _, refused := range record.Refused {
-			if !soundRefusals(refused.Refusals) {
+			if !validRefusals(refused.Refusals) {
 				return false
 			}
 		}
@@ -85,7 +87,7 @@
 	return true
 }
 
-func soundRefusals(refusals []balancer.Refusal) bool {
+func validRefusals(refusals []balancer.Refusal) bool {
 	for _, refusal := range refusals {
 		if !refusal.Kind.Valid() {
 			return false
@@ -94,8 +96,8 @@
 	return true
 }
 
-// bodies counts the pointers of the message that are set.
-func bodies(m *balancer.Message) int {
+// countBodies returns the number of pointers that are set; a valid message has one.
+func countBodies(m *balancer.Message) int {
 	count := 0
 	for _, set := range []bool{
 		m.Relay != nil, m.Heartbeat != nil, m.SettingsRequest != nil, m.SettingsPart != nil,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire decodes and encodes datagrams: CoAP (RFC 7252) behind a PROXY
-// protocol v2 header towards fabric and back ends, and msgpack between
-// balancers. All formats come from libraries.
+// Package wire encodes and decodes datagrams. Callers and back ends use CoAP
+// (RFC 7252) behind a PROXY protocol v2 header; balancers use msgpack.
 package wire
 
 import (
@@ -23,51 +22,52 @@
 const (
 	// MaxDatagram is the largest datagram read from any socket, in bytes.
 	MaxDatagram = 64 << 10
-	// typeBackend is the PROXY protocol TLV that names the back end of an
-	// answer; its value is netip.AddrPort in binary form. It is from the range
-	// that the protocol leaves to applications.
-	typeBackend = proxyproto.PP2_TYPE_MIN_CUSTOM
-	// fixedHeader is the length of a v2 header before its addresses, in bytes.
-	fixedHeader = 16
-	// maxOptions is how many CoAP options a datagram may have.
+	// backendTLV is the PROXY protocol TLV that identifies the back end of an
+	// answer. Its value is a netip.AddrPort in binary form. The type is from the
+	// protocol's range for applications.
+	backendTLV = proxyproto.PP2_TYPE_MIN_CUSTOM
+	// fixedHeaderLength is the length of a v2 header before its addresses, in bytes.
+	fixedHeaderLength = 16
+	// maxOptions is the maximum number of CoAP options of a datagram.
 	maxOptions = 64
-	// firstResponse is the lowest CoAP code of a response.
-	firstResponse = codes.Code(2 << 5)
+	// minResponseCode is the lowest CoAP code of a response.
+	minResponseCode = codes.Code(2 << 5)
 )
 
-// Header is what a PROXY header says: the flow, and for an answer its back end.
+// Header is the content of a PROXY header: the flow, and for an answer the back
+// end. Backend is the zero value in front of a caller's datagram.
 type Header struct {
 	Flow    flow.Key
 	Backend netip.AddrPort
 }
 
-// cacheLimit bounds the decoded headers kept by a Decoder.
-const cacheLimit = 1 << 16
+// maxCachedHeaders is the maximum number of decoded headers that a Decoder caches.
+const maxCachedHeaders = 1 << 16
 
-// maxCachedHeader is the longest header that is kept, in bytes.
-const maxCachedHeader = 64
+// maxCachedLength is the length of the longest header that is cached, in bytes.
+const maxCachedLength = 64
 
-// Decoder turns datagrams into packets. Decoded headers are kept, because every
-// datagram of a flow begins with the same bytes. Safe for use by many workers.
+// Decoder decodes datagrams into packets. It caches decoded headers, because all
+// datagrams of a flow begin with the same bytes. It is safe for concurrent use.
 type Decoder struct {
 	mutex    sync.RWMutex
-	headers  map[[maxCachedHeader]byte]Header
+	headers  map[[maxCachedLength]byte]Header
 	messages sync.Pool
 }
 
 // NewDecoder returns an empty decoder.
 func NewDecoder() *Decoder {
-	decoder := &Decoder{headers: map[[maxCachedHeader]byte]Header{}}
+	decoder := &Decoder{headers: map[[maxCachedLength]byte]Header{}}
 	decoder.messages.New = func() any {
 		return &message.Message{Options: make(message.Options, 0, maxOptions)}
 	}
 	return decoder
 }
 
-// Decode reads one datagram into packet, which then refers to data. Errors are
-// of kind Malformed.
+// Decode decodes one datagram into packet, whose Data then aliases data. Errors
+// are of kind Malformed.
 func (d *Decoder) Decode(data []byte, packet *balancer.Packet) error {
-	header, length, err := d.header(data)
+	header, length, err := d.cachedHeader(data)
 	if err != nil {
 		return err
 	}
@@ -82,52 +82,56 @@
 		Backend:     header.Backend,
 		MessageID:   uint16(decoded.MessageID),
 		Confirmable: decoded.Type == message.Confirmable,
-		Continues:   laterBlock(decoded.Options, message.Block1) || laterBlock(decoded.Options, message.Block2),
+		Continues:   isLaterBlock(decoded.Options, message.Block1) || isLaterBlock(decoded.Options, message.Block2),
 		Observe:     decoded.Options.HasOption(message.Observe),
 		Data:        data,
 	}
 	packet.Token.Length = uint8(copy(packet.Token.Bytes[:], decoded.Token))
 	fromBackend := packet.Kind >= balancer.Answer
 	if fromBackend != header.Backend.IsValid() {
-		return errkind.New(errkind.Malformed, "code %v from the wrong side", decoded.Code)
+		return errkind.New(errkind.Malformed, "code %v is not allowed in this direction", decoded.Code)
 	}
 	return nil
 }
 
+// kindOf returns the kind of a packet with the code, sent by a back end or a caller.
 func kindOf(code codes.Code, fromBackend bool) balancer.PacketKind {
 	switch {
 	case code == codes.Empty && fromBackend:
 		return balancer.Acknowledge
 	case code == codes.Empty:
 		return balancer.Control
-	case code >= firstResponse:
+	case code >= minResponseCode:
 		return balancer.Answer
 	}
 	return balancer.Request
 }
 
-// blockNumberShift is where the block number starts in a block option (RFC 7959).
+// blockNumberShift is the offset of the block number in a block option, in bits
+// (RFC 7959).
 const blockNumberShift = 4
 
-func laterBlock(options message.Options, id message.OptionID) bool {
+// isLaterBlock reports whether the block option id is present and its block is not
+// the first.
+func isLaterBlock(options message.Options, id message.OptionID) bool {
 	value, err := options.GetUint32(id)
 	return err == nil && value>>blockNumberShift > 0
 }
 
-// header returns the PROXY header and its length.
-func (d *Decoder) header(data []byte) (Header, int, error) {
-	if len(data) < fixedHeader {
-		return Header{}, 0, errkind.New(errkind.Malformed, "shorter than a PROXY header")
+// cachedHeader returns the PROXY header of a datagram and its length in bytes.
+func (d *Decoder) cachedHeader(data []byte) (Header, int, error) {
+	if len(data) < fixedHeaderLength {
+		return Header{}, 0, errkind.New(errkind.Malformed, "datagram is shorter than a PROXY header")
 	}
-	length := fixedHeader + int(data[14])<<8 + int(data[15])
+	length := fixedHeaderLength + int(data[14])<<8 + int(data[15])
 	if length > len(data) {
 		return Header{}, 0, errkind.New(errkind.Malformed, "truncated PROXY header")
 	}
-	if length > maxCachedHeader {
+	if length > maxCachedLength {
 		header, err := ReadHeader(data[:length])
 		return header, length, err
 	}
-	var key [maxCachedHeader]byte
+	var key [maxCachedLength]byte
 	copy(key[:], data[:length])
 	d.mutex.RLock()
 	header, known := d.headers[key]
@@ -141,14 +145,14 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if len(d.headers) >= cacheLimit {
+	if len(d.headers) >= maxCachedHeaders {
 		clear(d.headers)
 	}
 	d.headers[key] = header
 	return header, length, nil
 }
 
-// ReadHeader decodes a PROXY header.
+// ReadHeader decodes a PROXY header. Errors are of kind Malformed.
 func ReadHeader(data []byte) (Header, error) {
 	decoded, err := proxyproto.Read(bufio.NewReader(bytes.NewReader(data)))
 	if err != nil {
@@ -160,25 +164,26 @@
 	}
 	from, to := unmapped(source), unmapped(destination)
 	if !from.IsValid() || !to.IsValid() || from.Port() == 0 || to.Port() == 0 {
-		return Header{}, errkind.New(errkind.Malformed, "PROXY header without addresses")
+		return Header{}, errkind.New(errkind.Malformed, "PROXY header has no addresses")
 	}
 	records, err := decoded.TLVs()
 	if err != nil {
 		return Header{}, errkind.New(errkind.Malformed, "PROXY header: %v", err)
 	}
 	for _, record := range records {
-		if record.Type != typeBackend {
+		if record.Type != backendTLV {
 			continue
 		}
 		header := Header{Flow: flow.Key{Caller: to, Service: from}}
 		if err := header.Backend.UnmarshalBinary(record.Value); err != nil || !header.Backend.IsValid() {
-			return Header{}, errkind.New(errkind.Malformed, "back end of an answer is not an address")
+			return Header{}, errkind.New(errkind.Malformed, "PROXY header: the back end of an answer is not an address")
 		}
 		return header, nil
 	}
 	return Header{Flow: flow.Key{Caller: from, Service: to}}, nil
 }
 
+// unmapped returns the address with an IPv4-mapped IPv6 address as IPv4.
 func unmapped(address *net.UDPAddr) netip.AddrPort {
 	decoded := address.AddrPort()
 	return netip.AddrPortFrom(decoded.Addr().Unmap(), decoded.Port())
@@ -189,8 +194,8 @@
 	return formatHeader(key.Caller, key.Service, nil)
 }
 
-// AnswerHeader returns the header in front of an answer. A valid back end is
-// named in it; an answer of a balancer has none.
+// AnswerHeader returns the header in front of an answer. It identifies the back
+// end if that is valid; an answer of a balancer has none.
 func AnswerHeader(key flow.Key, backend netip.AddrPort) ([]byte, error) {
 	if !backend.IsValid() {
 		return formatHeader(key.Service, key.Caller, nil)
@@ -199,7 +204,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return formatHeader(key.Service, key.Caller, []proxyproto.TLV{{Type: typeBackend, Value: value}})
+	return formatHeader(key.Service, key.Caller, []proxyproto.TLV{{Type: backendTLV, Value: value}})
 }
 
 func formatHeader(from, to netip.AddrPort, records []proxyproto.TLV) ([]byte, error) {
@@ -210,15 +215,16 @@
 	return header.Format()
 }
 
-// HeaderLength returns the length of the PROXY header in front of a datagram
-// that was decoded before.
+// HeaderLength returns the length of a datagram's PROXY header in bytes. The
+// datagram must have been decoded without error.
 func HeaderLength(data []byte) int {
-	return fixedHeader + int(data[14])<<8 + int(data[15])
+	return fixedHeaderLength + int(data[14])<<8 + int(data[15])
 }
 
-// Split returns a datagram's PROXY header and what follows it.
+// Split returns a datagram's PROXY header and the bytes after it. Errors are of
+// kind Malformed.
 func Split(data []byte) (Header, []byte, error) {
-	if len(data) < fixedHeader || HeaderLength(data) > len(data) {
+	if len(data) < fixedHeaderLength || HeaderLength(data) > len(data) {
 		return Header{}, nil, errkind.New(errkind.Malformed, "truncated PROXY header")
 	}
 	length := HeaderLength(data)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -34,15 +34,15 @@
 	return buffer[:len(header)+length]
 }
 
-func TestDecodeClassifiesBothDirections(t *testing.T) {
+func TestDecodeDirections(t *testing.T) {
 	request, _ := RequestHeader(testFlow)
 	answer, _ := AnswerHeader(testFlow, testBackend)
 	cases := []struct {
-		name    string
-		header  []byte
-		code    codes.Code
-		kind    balancer.PacketKind
-		refused bool
+		name      string
+		header    []byte
+		code      codes.Code
+		kind      balancer.PacketKind
+		wantError bool
 	}{
 		{"a request", request, codes.GET, balancer.Request, false},
 		{"an acknowledgement of a notification", request, codes.Empty, balancer.Control, false},
@@ -56,17 +56,17 @@
 		data := datagram(t, c.header, message.Message{Code: c.code, Type: message.Confirmable, MessageID: 7, Token: []byte{1, 2}})
 		var packet balancer.Packet
 		err := decoder.Decode(data, &packet)
-		if (err != nil) != c.refused {
+		if (err != nil) != c.wantError {
 			t.Errorf("%s: error %v", c.name, err)
 			continue
 		}
-		if !c.refused && (packet.Kind != c.kind || packet.Flow != testFlow || packet.MessageID != 7 || packet.Token.Length != 2) {
+		if !c.wantError && (packet.Kind != c.kind || packet.Flow != testFlow || packet.MessageID != 7 || packet.Token.Length != 2) {
 			t.Errorf("%s: decoded %+v", c.name, packet)
 		}
 	}
 }
 
-func TestPeerMessageKeepsItsDatagram(t *testing.T) {
+func TestRelayRoundTrip(t *testing.T) {
 	header, _ := RequestHeader(testFlow)
 	data := datagram(t, header, message.Message{Code: codes.POST, Type: message.Confirmable, MessageID: 9})
 	sent := &balancer.Message{From: 5, Relay: &balancer.Relay{Kind: balancer.RelayPropose, Hops: 2, OwnerHistoryComplete: true, Backend: testBackend, Data: data,
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestEncodeAnswerSetsMaxAge(t *testing.T) {
 	packet := &balancer.Packet{Kind: balancer.Request, Flow: testFlow, MessageID: 77, Confirmable: true, Token: flow.Token{Bytes: [8]byte{4}, Length: 1}}
 	data, err := EncodeAnswer(packet, errkind.SlotsFull, 1500*time.Millisecond, 1)
 	if err != nil {
