--- a/internal/datapath/admin.go
+++ b/internal/datapath/admin.go
@@ -8,16 +8,15 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"gaugeyard/internal/balancer"
-	"gaugeyard/internal/store"
-
 	"gaugeyard/internal/settings"
+	"gaugeyard/internal/store"
 )
 
-// maxPush bounds the size of a tree that an operator's command hands in, in bytes.
+// maxPushSize is the maximum size of a pushed tree, in bytes.
 const maxPushSize = 16 << 20
 
-// Push is a tree that the store has accepted, as the operators' command hands
-// it to a balancer, so that it comes into force even if the store fails next.
+// Push is a tree that the store has accepted. An operator's command sends it to the
+// balancers, so that it takes effect even if the store fails afterwards.
 type Push struct {
 	Head store.Head    `json:"head"`
 	Tree settings.Tree `json:"tree"`
@@ -35,7 +34,7 @@
 	return mux
 }
 
-// handleHealth answers 200 while the fabric should send datagrams here.
+// handleHealth answers 200 while the fabric should send datagrams to this node, else 503.
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if !n.core.Ready() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
@@ -48,12 +47,13 @@
 	writeJSON(w, n.core.Status(n.now()))
 }
 
-// handleSettings returns the tree in force, also while the store is down.
+// handleSettings returns the active tree, also while the store is down.
 func (n *Node) handleSettings(w http.ResponseWriter, _ *http.Request) {
 	snapshot := n.core.Snapshot()
 	writeJSON(w, Push{Head: store.Head{Revision: snapshot.Revision}, Tree: snapshot.Tree})
 }
 
+// handlePush applies a pushed tree and returns the active revision.
 func (n *Node) handlePush(w http.ResponseWriter, r *http.Request) {
 	var push Push
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxPushSize)).Decode(&push); err != nil {
@@ -72,7 +72,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// apply validates a tree and hands it to the core.
+// apply validates a tree and passes it to the core.
 func (n *Node) apply(revision uint64, tree settings.Tree) error {
 	checked, err := settings.Checked(tree)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// metricSet exposes the core's counters and gauges.
+// metricSet returns the metrics of the core's counters and gauges.
 func (n *Node) metricSet() *metrics.Set {
 	set := metrics.NewSet()
 	for _, counter := range n.core.Counters.List() {
--- a/internal/datapath/config.go
+++ b/internal/datapath/config.go
@@ -1,5 +1,6 @@
-// Package datapath is the balancer process: sockets, worker pool, clients of
-// the platform and the operators' HTTP port, around the core of package balancer.
+// Package datapath is the balancer process: sockets, workers, clients of the
+// platform's services and the operators' HTTP port, around the core of package
+// balancer.
 package datapath
 
 import (
@@ -16,37 +17,38 @@
 	"gaugeyard/internal/discovery"
 )
 
-// Config is what a balancer process is started with.
+// Config is the configuration of a balancer process.
 type Config struct {
 	Zone string
-	// Cell names the balancers that this one shares flows with.
+	// Cell identifies the group of balancers that share flows with this one.
 	Cell string
-	// Data receives datagrams from the fabric; Peer those of other balancers.
+	// Data receives datagrams from the fabric, Peer those of other balancers.
 	Data, Peer netip.AddrPort
 	// Admin is the HTTP port for operators; it must be on loopback.
 	Admin netip.AddrPort
-	// Deliver is where the fabric takes answers to callers.
+	// Deliver is the fabric's address for answers to callers.
 	Deliver netip.AddrPort
 	// Store and Machines are the URLs of the platform's services.
 	Store, Machines string
-	// Peers are other balancers to greet besides those of the machine list.
+	// Peers are balancers to contact in addition to those in the machine list.
 	Peers []netip.AddrPort
 	// Workers is the number of workers on each socket.
 	Workers int
-	// LogFormat is text or json.
+	// LogFormat is "text" or "json".
 	LogFormat string
 	// Bootstrap states that no balancer of this fleet has run before.
 	Bootstrap bool
 }
 
-// Option is one setting of the process, given by flag or in the settings file.
+// Option is a setting of the process, set by a flag or in the settings file.
 type Option struct {
+	// Allowed describes the allowed values.
 	Name, Allowed string
 	Required      bool
 	set           func(*Config, string) error
 }
 
-// maxWorkers bounds the workers of one socket.
+// maxWorkers is the maximum number of workers on each socket.
 const maxWorkers = 256
 
 // Options lists the settings of the process.
@@ -100,7 +102,7 @@
 	}},
 	{"log-format", "text or json", false, func(c *Config, text string) error {
 		if text != "text" && text != "json" {
-			return fmt.Errorf("not one of the words")
+			return fmt.Errorf("not one of the allowed values")
 		}
 		c.LogFormat = text
 		return nil
@@ -136,15 +138,15 @@
 	return nil
 }
 
-// defaultWorkers is the number of workers on each socket when none is given.
+// defaultWorkers is the default number of workers on each socket.
 const defaultWorkers = 4
 
-// Flag is one value given on the command line.
+// Flag is a flag set on the command line.
 type Flag struct{ Name, Value string }
 
-// LoadConfig reads the settings file, if one is named, and then the flags,
-// which win. It returns every fault, each with file and line or with its flag,
-// the value, and what is allowed.
+// LoadConfig reads the settings file, unless file is empty, and then the flags,
+// which take precedence. It returns all errors, each with file and line or with
+// its flag, the value and the allowed values.
 func LoadConfig(file string, flags []Flag) (Config, []error) {
 	config := Config{Workers: defaultWorkers, LogFormat: "text", Cell: discovery.DefaultCell}
 	present := map[string]bool{}
@@ -166,6 +168,7 @@
 	return config, errs
 }
 
+// set sets the option with the name.
 func (c *Config) set(name, value string) error {
 	index := slices.IndexFunc(Options, func(o Option) bool { return o.Name == name })
 	if index < 0 {
@@ -177,6 +180,7 @@
 	return nil
 }
 
+// readFile sets the options in a YAML file and marks their names as present.
 func (c *Config) readFile(file string, present map[string]bool) []error {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -191,7 +195,7 @@
 	}
 	root := document.Content[0]
 	if root.Kind != yaml.MappingNode {
-		return []error{fmt.Errorf("%s:%d: wants a mapping of settings", file, root.Line)}
+		return []error{fmt.Errorf("%s:%d: expected a mapping of settings", file, root.Line)}
 	}
 	var errs []error
 	for i := 0; i+1 < len(root.Content); i += 2 {
--- a/internal/datapath/datapath_bench_test.go
+++ b/internal/datapath/datapath_bench_test.go
@@ -23,7 +23,7 @@
 	benchBackend = netip.MustParseAddrPort("127.0.0.1:5801")
 )
 
-// benchCore returns a core that serves the Litera settings alone.
+// benchCore returns a core without peers that serves the Litera example settings.
 func benchCore(b testing.TB) *balancer.Core {
 	b.Helper()
 	document, err := examples.Files.ReadFile("litera.yaml")
@@ -34,7 +34,7 @@
 	if len(faults) > 0 {
 		b.Fatal(faults)
 	}
-	// The bench is about speed, not about limits.
+	// The connection limit must not refuse flows of the benchmarks.
 	if err := tree.Set("", settings.KeyConnections, "1000000"); err != nil {
 		b.Fatal(err)
 	}
@@ -52,6 +52,7 @@
 	return core
 }
 
+// benchNow is the time of the benchmarks' events, after the core's start.
 const benchNow = 3 * time.Second
 
 func benchKey(number int) flow.Key {
@@ -78,7 +79,7 @@
 	return encode(b, header, message.Message{Code: codes.GET, Type: message.Confirmable, MessageID: messageID, Token: []byte{1}})
 }
 
-// open passes the first datagram of a flow.
+// open opens a flow by its first datagram and closes that request.
 func open(b *testing.B, core *balancer.Core, decoder *wire.Decoder, key flow.Key) {
 	var packet balancer.Packet
 	if err := decoder.Decode(newRequest(b, key, 1), &packet); err != nil {
@@ -89,7 +90,7 @@
 	if len(effects.List) != 1 || effects.List[0].Kind != balancer.ForwardToBackend {
 		b.Fatalf("first datagram: %+v", effects.List)
 	}
-	// The answer closes the request, so that the flow is at rest.
+	// The answer closes the request, so that the flow has none pending.
 	answer := packet
 	answer.Kind = balancer.Answer
 	answer.Backend = effects.List[0].To
@@ -97,8 +98,8 @@
 	core.Step(benchNow, &balancer.Datagram{Packet: &answer}, &effects)
 }
 
-// BenchmarkEstablished measures decode, own, admit and forward for an
-// acknowledgement of an established flow.
+// BenchmarkEstablished measures decoding, ownership, admission and forwarding of
+// an acknowledgement of an established flow.
 func BenchmarkEstablished(b *testing.B) {
 	core, decoder := benchCore(b), wire.NewDecoder()
 	const flows = 1000
@@ -127,7 +128,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "datagrams/s")
 }
 
-// BenchmarkNotification measures decode, own and deliver for a notification.
+// BenchmarkNotification measures decoding, ownership and delivery of a notification.
 func BenchmarkNotification(b *testing.B) {
 	core, decoder := benchCore(b), wire.NewDecoder()
 	key := benchKey(1)
@@ -163,8 +164,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "flows/s")
 }
 
-// BenchmarkHold opens 300,000 flows and reports the memory of one, and the
-// processor time of one second of ticks over them.
+// BenchmarkHold opens 300,000 flows and reports the memory per flow, and the time
+// that the ticks of one second take.
 func BenchmarkHold(b *testing.B) {
 	const flows = 300_000
 	for range b.N {
@@ -186,7 +187,7 @@
 		}
 		b.ReportMetric(float64(time.Since(started).Microseconds()), "µs/tick-second")
 		if core.FlowCount() != flows {
-			b.Fatalf("%d flows held", core.FlowCount())
+			b.Fatalf("%d flows stored", core.FlowCount())
 		}
 	}
 }
--- a/internal/datapath/fuzz_test.go
+++ b/internal/datapath/fuzz_test.go
@@ -18,12 +18,12 @@
 		packet := &balancer.Packet{Kind: balancer.Request, Flow: benchKey(c.length), Data: make([]byte, c.length)}
 		core.Step(benchNow, &balancer.Datagram{Packet: packet}, &balancer.Effects{})
 		if got := core.Counters.Dropped[errkind.Oversized].Load(); got != uint64(c.dropped) {
-			t.Errorf("%d bytes: %d dropped, not %d", c.length, got, c.dropped)
+			t.Errorf("%d bytes: %d dropped, want %d", c.length, got, c.dropped)
 		}
 	}
 }
 
-// FuzzPeerMessage hands what decodes to a core: no peer message may stop it.
+// FuzzPeerMessage guards against panics of the core on any message that decodes.
 func FuzzPeerMessage(f *testing.F) {
 	key := benchKey(1)
 	request := newRequest(f, key, 3)
--- a/internal/datapath/node.go
+++ b/internal/datapath/node.go
@@ -16,21 +16,21 @@
 	"gaugeyard/internal/errkind"
 	"gaugeyard/internal/membership"
 	"gaugeyard/internal/store"
-
 	"gaugeyard/internal/wire"
 )
 
 const (
-	// bootstrapTime is how long after its start a bootstrapping node may assume
-	// that no balancer ran before.
+	// bootstrapPeriod is the time after its start in which a bootstrapping node may
+	// assume that no balancer ran before.
 	bootstrapPeriod = 10 * time.Second
-	// socketBuffer is the size of socket buffers asked for, in bytes.
+	// socketBufferSize is the requested size of socket buffers, in bytes.
 	socketBufferSize = 4 << 20
-	// shutdownTime bounds the end of the HTTP server.
+	// shutdownTimeout is the timeout of the HTTP server's shutdown and of reading a
+	// request's header.
 	shutdownTimeout = time.Second
 )
 
-// Node is one running balancer.
+// Node is a running balancer.
 type Node struct {
 	config  Config
 	log     hclog.Logger
@@ -40,12 +40,13 @@
 	data    *net.UDPConn
 	peer    *net.UDPConn
 	started time.Time
-	// messageID numbers answers in messages of their own.
+	// messageID is the ID of the last answer in a separate message.
 	messageID atomic.Uint32
-	leave     chan struct{}
+	// leave holds at most one request for a graceful shutdown.
+	leave chan struct{}
 }
 
-// New opens the node's sockets.
+// New returns a node with its sockets open. Run starts it.
 func New(config Config, log hclog.Logger) (*Node, error) {
 	data, err := listen(config.Data)
 	if err != nil {
@@ -85,18 +86,18 @@
 	if err != nil {
 		return nil, err
 	}
-	// The kernel may grant less; that is no fault.
+	// The kernel may grant smaller buffers, which is acceptable.
 	_ = connection.SetReadBuffer(socketBufferSize)
 	_ = connection.SetWriteBuffer(socketBufferSize)
 	return connection, nil
 }
 
-// now is the time of the core: how long this process runs, by the monotonic clock.
+// now returns the time that the core uses: the monotonic time since the node's start.
 func (n *Node) now() time.Duration {
 	return time.Since(n.started)
 }
 
-// Leave starts a planned stop; Run returns when it is over.
+// Leave starts a graceful shutdown. Run returns when it is complete.
 func (n *Node) Leave() {
 	select {
 	case n.leave <- struct{}{}:
@@ -104,7 +105,7 @@
 	}
 }
 
-// Run serves until a planned stop is over or ctx ends.
+// Run serves until a graceful shutdown is complete or ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -133,7 +134,8 @@
 	return err
 }
 
-// tick lets time pass in the core until a planned stop is over.
+// tick sends Tick and Leave events to the core until a graceful shutdown is complete
+// or ctx ends.
 func (n *Node) tick(ctx context.Context) error {
 	ticker := time.NewTicker(balancer.TickInterval)
 	defer ticker.Stop()
@@ -151,7 +153,8 @@
 	return nil
 }
 
-// step hands one event to the core and performs what follows.
+// step passes an event to the core and performs the resulting effects. It overwrites
+// effects.
 func (n *Node) step(event balancer.Event, effects *balancer.Effects) {
 	effects.Reset()
 	n.core.Step(n.now(), event, effects)
@@ -160,12 +163,12 @@
 	}
 }
 
-// decode reads one datagram into the worker's own event or a new one; it returns
-// nil for a datagram that was counted and dropped.
+// decodeFunc decodes a datagram into the worker's reused event or a new one. If it
+// cannot, it counts the datagram as dropped and returns nil.
 type decodeFunc func(data []byte, reused *balancer.Datagram) balancer.Event
 
-// receive is one worker: receive, decode, step, perform. Its memory is reused
-// for each datagram.
+// receive is the loop of one worker: it receives, decodes and handles datagrams. It
+// reuses its memory for each datagram.
 func (n *Node) receive(ctx context.Context, socket *net.UDPConn, decode decodeFunc) error {
 	buffer := make([]byte, wire.MaxDatagram)
 	reused := &balancer.Datagram{Packet: &balancer.Packet{}}
@@ -176,7 +179,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			// An earlier send met a closed port; the socket itself is sound.
+			// The error is of an earlier send to a closed port. The socket remains usable.
 			continue
 		}
 		if event := decode(buffer[:length], reused); event != nil {
@@ -202,8 +205,8 @@
 	return &balancer.PeerMessage{Message: message}
 }
 
-// perform carries out one effect. A datagram that cannot be sent is lost as on
-// any network; the protocols above repeat it.
+// perform carries out one effect. Failed sends are ignored: the protocols above
+// retransmit.
 func (n *Node) perform(effect *balancer.Effect) {
 	switch effect.Kind {
 	case balancer.ForwardToBackend:
@@ -224,6 +227,7 @@
 	}
 }
 
+// sendAnswer answers a failed request, unless its error kind has no answer.
 func (n *Node) sendAnswer(effect *balancer.Effect) {
 	messageID := uint16(n.messageID.Add(1))
 	datagram, err := wire.EncodeAnswer(effect.Packet, effect.Error, effect.RetryAfter, messageID)
@@ -240,7 +244,7 @@
 	_, _ = socket.WriteToUDPAddrPort(datagram, to)
 }
 
-// serveAdmin serves operators until ctx ends.
+// serveAdmin serves the operators' HTTP port until ctx ends.
 func (n *Node) serveAdmin(ctx context.Context) error {
 	server := &http.Server{Addr: n.config.Admin.String(), Handler: n.adminHandler(), ReadHeaderTimeout: shutdownTimeout}
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/datapath/sources.go
+++ b/internal/datapath/sources.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// storeRetry is the wait after a failed call to the store.
+	// storeRetryDelay is the delay after a failed call to the store.
 	storeRetryDelay = 500 * time.Millisecond
-	// machineInterval is the time between two reads of the machine list.
+	// machineInterval is the interval between requests for the machine list.
 	machineInterval = time.Second
-	// loadInterval is the time between two reads of the load endpoints.
+	// loadInterval is the interval between requests to the load endpoints.
 	loadInterval = time.Second
-	// loadReaders bounds concurrent reads of load endpoints.
+	// maxLoadRequests is the maximum number of concurrent requests to load endpoints.
 	maxLoadRequests = 8
 )
 
-// pause waits, or returns false when ctx ends first.
+// pause waits and reports whether the wait elapsed before ctx ended.
 func pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -35,8 +35,8 @@
 	}
 }
 
-// watchSettings keeps the core at the store's newest revision. While the store
-// is down the core gets settings from its peers.
+// watchSettings passes each new revision from the store to the core until ctx ends.
+// While the store is down, the core receives settings from its peers.
 func (n *Node) watchSettings(ctx context.Context) error {
 	reachable := true
 	for ctx.Err() == nil {
@@ -50,6 +50,7 @@
 	return ctx.Err()
 }
 
+// followStore loads the tree and watches it until the store fails or ctx ends.
 func (n *Node) followStore(ctx context.Context, reachable *bool) error {
 	state, err := n.store.Load(ctx)
 	if err != nil {
@@ -63,6 +64,7 @@
 	return n.store.Watch(ctx, state, n.applyState)
 }
 
+// applyState applies the tree of the store, unless the store is empty.
 func (n *Node) applyState(state *store.State) {
 	if state.Head.Revision == 0 {
 		return
@@ -72,8 +74,8 @@
 	}
 }
 
-// pollMachines keeps the core's list of balancers up to date. Without the
-// machine list the last one stays.
+// pollMachines updates the core's list of balancers. While the machine list is
+// unavailable, the last one remains in use.
 func (n *Node) pollMachines(ctx context.Context) error {
 	var effects balancer.Effects
 	addresses := n.config.Peers
@@ -93,7 +95,8 @@
 	}
 }
 
-// pollLoad reads the load that back ends report.
+// pollLoad requests the load of the back ends and passes it to the core. A failed
+// request is ignored until the next interval.
 func (n *Node) pollLoad(ctx context.Context) error {
 	for pause(ctx, loadInterval) {
 		group := errgroup.Group{}
