--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -77,13 +77,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const piece = 4096
+	const pieceSize = 4096
 	var got message
 	pauses := 0
-	if err := UnmarshalInPieces(data, &got, piece, func() { pauses++ }); err != nil {
+	if err := UnmarshalInPieces(data, &got, pieceSize, func() { pauses++ }); err != nil {
 		t.Fatal(err)
 	}
-	if minPauses := 2 * (len(data)/piece - 1); pauses < minPauses || len(got.Elements) != 1000 || got.Names[0] != "last" {
+	if minPauses := 2 * (len(data)/pieceSize - 1); pauses < minPauses || len(got.Elements) != 1000 || got.Names[0] != "last" {
 		t.Errorf("%d pauses in %d bytes, want at least %d", pauses, len(data), minPauses)
 	}
 }
--- a/internal/datapath/datapath_bench_test.go
+++ b/internal/datapath/datapath_bench_test.go
@@ -30,9 +30,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	tree, faults := settings.Parse(document)
-	if len(faults) > 0 {
-		b.Fatal(faults)
+	tree, errs := settings.Parse(document)
+	if len(errs) > 0 {
+		b.Fatal(errs)
 	}
 	// The connection limit must not refuse flows of the benchmarks.
 	if err := tree.Set("", settings.KeyConnections, "1000000"); err != nil {
