--- a/internal/wire/wire_format_test.go
+++ b/internal/wire/wire_format_test.go
@@ -149,3 +149,26 @@
 		}
 	}
 }
+
+// TestHeartbeatFlagBytes guards against heartbeats whose flags have changed places,
+// which a heartbeat with all flags set does not show.
+func TestHeartbeatFlagBytes(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		heartbeat balancer.Heartbeat
+		want      string
+	}{
+		{"absent", balancer.Heartbeat{Absent: true}, "019801c09800c3c2c2c200c000c0c0c0c0c0"},
+		{"leaving", balancer.Heartbeat{Leaving: true}, "019801c09800c2c3c2c200c000c0c0c0c0c0"},
+		{"settled", balancer.Heartbeat{Settled: true}, "019801c09800c2c2c3c200c000c0c0c0c0c0"},
+		{"decided without", balancer.Heartbeat{DecidedWithout: true}, "019801c09800c2c2c2c300c000c0c0c0c0c0"},
+	} {
+		encoded, err := EncodeMessage(&balancer.Message{From: 1, Heartbeat: &c.heartbeat})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := hex.EncodeToString(encoded); got != c.want {
+			t.Errorf("%s: encoded as %s, want %s", c.name, got, c.want)
+		}
+	}
+}
