--- a/internal/datapath/config.go
+++ b/internal/datapath/config.go
@@ -1,5 +1,6 @@
-// Package datapath is the balancer process: sockets, worker pool, clients of
-// the platform and the operators' HTTP port, around the core of package balancer.
+// Package datapath is the balancer process: sockets, workers, clients of the
+// platform's services and the operators' HTTP port, around the core of package
+// balancer.
 package datapath
 
 import (
@@ -16,37 +17,38 @@
 	"gaugeyard/internal/discovery"
 )
 
-// Config is what a balancer process is started with.
+// Config is the configuration of a balancer process.
 type Config struct {
 	Zone string
-	// Cell names the balancers that this one shares flows with.
+	// Cell identifies the group of balancers that share flows with this one.
 	Cell string
-	// Data receives datagrams from the fabric; Peer those of other balancers.
+	// Data receives datagrams from the fabric, Peer those of other balancers.
 	Data, Peer netip.AddrPort
 	// Admin is the HTTP port for operators; it must be on loopback.
 	Admin netip.AddrPort
-	// Deliver is where the fabric takes answers to callers.
+	// Deliver is the fabric's address for answers to callers.
 	Deliver netip.AddrPort
 	// Store and Machines are the URLs of the platform's services.
 	Store, Machines string
-	// Peers are other balancers to greet besides those of the machine list.
+	// Peers are balancers to contact in addition to those in the machine list.
 	Peers []netip.AddrPort
 	// Workers is the number of workers on each socket.
 	Workers int
-	// LogFormat is text or json.
+	// LogFormat is "text" or "json".
 	LogFormat string
 	// Bootstrap states that no balancer of this fleet has run before.
 	Bootstrap bool
 }
 
-// Option is one setting of the process, given by flag or in the settings file.
+// Option is a setting of the process, set by a flag or in the settings file.
 type Option struct {
+	// Allowed describes the allowed values.
 	Name, Allowed string
 	Required      bool
 	set           func(*Config, string) error
 }
 
-// maxWorkers bounds the workers of one socket.
+// maxWorkers is the maximum number of workers on each socket.
 const maxWorkers = 256
 
 // Options lists the settings of the process.
@@ -100,7 +102,7 @@
 	}},
 	{"log-format", "text or json", false, func(c *Config, text string) error {
 		if text != "text" && text != "json" {
-			return fmt.Errorf("not one of the words")
+			return fmt.Errorf("not one of the allowed values")
 		}
 		c.LogFormat = text
 		return nil
@@ -112,7 +114,7 @@
 	}},
 }
 
-func setAddress(into *netip.AddrPort, text string) error {
+func setAddress(target *netip.AddrPort, text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return err
@@ -120,11 +122,11 @@
 	if address.Port() == 0 {
 		return fmt.Errorf("port 0")
 	}
-	*into = address
+	*target = address
 	return nil
 }
 
-func setURL(into *string, text string) error {
+func setURL(target *string, text string) error {
 	parsed, err := url.Parse(text)
 	if err != nil {
 		return err
@@ -132,40 +134,41 @@
 	if parsed.Scheme != "http" || parsed.Host == "" {
 		return fmt.Errorf("not an http URL")
 	}
-	*into = text
+	*target = text
 	return nil
 }
 
-// defaultWorkers is the number of workers on each socket when none is given.
+// defaultWorkers is the default number of workers on each socket.
 const defaultWorkers = 4
 
-// Flag is one value given on the command line.
+// Flag is a flag set on the command line.
 type Flag struct{ Name, Value string }
 
-// LoadConfig reads the settings file, if one is named, and then the flags,
-// which win. It returns every fault, each with file and line or with its flag,
-// the value, and what is allowed.
+// LoadConfig reads the settings file, unless file is empty, and then the flags,
+// which take precedence. It returns all errors, each with file and line or with
+// its flag, the value and the allowed values.
 func LoadConfig(file string, flags []Flag) (Config, []error) {
 	config := Config{Workers: defaultWorkers, LogFormat: "text", Cell: discovery.DefaultCell}
-	given := map[string]bool{}
-	var faults []error
+	present := map[string]bool{}
+	var errs []error
 	if file != "" {
-		faults = config.readFile(file, given)
+		errs = config.readFile(file, present)
 	}
 	for _, flag := range flags {
-		given[flag.Name] = true
+		present[flag.Name] = true
 		if err := config.set(flag.Name, flag.Value); err != nil {
-			faults = append(faults, fmt.Errorf("--%w", err))
+			errs = append(errs, fmt.Errorf("--%w", err))
 		}
 	}
 	for _, option := range Options {
-		if option.Required && !given[option.Name] {
-			faults = append(faults, fmt.Errorf("--%s: missing; allowed: %s", option.Name, option.Allowed))
+		if option.Required && !present[option.Name] {
+			errs = append(errs, fmt.Errorf("--%s: missing; allowed: %s", option.Name, option.Allowed))
 		}
 	}
-	return config, faults
+	return config, errs
 }
 
+// set sets the option with the name.
 func (c *Config) set(name, value string) error {
 	index := slices.IndexFunc(Options, func(o Option) bool { return o.Name == name })
 	if index < 0 {
@@ -177,7 +180,8 @@
 	return nil
 }
 
-func (c *Config) readFile(file string, given map[string]bool) []error {
+// readFile sets the options in a YAML file and marks their names as present.
+func (c *Config) readFile(file string, present map[string]bool) []error {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return []error{err}
@@ -191,15 +195,15 @@
 	}
 	root := document.Content[0]
 	if root.Kind != yaml.MappingNode {
-		return []error{fmt.Errorf("%s:%d: wants a mapping of settings", file, root.Line)}
+		return []error{fmt.Errorf("%s:%d: expected a mapping of settings", file, root.Line)}
 	}
-	var faults []error
+	var errs []error
 	for i := 0; i+1 < len(root.Content); i += 2 {
 		name, value := root.Content[i], root.Content[i+1]
 		if err := c.set(name.Value, value.Value); err != nil {
-			faults = append(faults, fmt.Errorf("%s:%d: %w", file, name.Line, err))
+			errs = append(errs, fmt.Errorf("%s:%d: %w", file, name.Line, err))
 		}
-		given[name.Value] = true
+		present[name.Value] = true
 	}
-	return faults
+	return errs
 }
