--- a/cmd/gaugeyard-platform/main.go
+++ b/cmd/gaugeyard-platform/main.go
@@ -1,4 +1,4 @@
-// Command gaugeyard-platform runs a balancer on the platform of its users.
+// Command gaugeyard-platform runs a balancer on the users' platform.
 package main
 
 import (
--- a/cmd/gaugeyard-sim/main.go
+++ b/cmd/gaugeyard-sim/main.go
@@ -1,4 +1,5 @@
-// Command gaugeyard-sim runs fleets on a virtual clock and prints what it measured.
+// Command gaugeyard-sim simulates fleets of balancers on a virtual clock and prints
+// measurements.
 package main
 
 import (
--- a/cmd/gaugeyard-soak/main.go
+++ b/cmd/gaugeyard-soak/main.go
@@ -1,4 +1,4 @@
-// Command gaugeyard-soak runs balancers as real processes and lets things fail.
+// Command gaugeyard-soak runs balancers as processes and injects failures.
 package main
 
 import (
--- a/cmd/gaugeyard-standin/main.go
+++ b/cmd/gaugeyard-standin/main.go
@@ -1,5 +1,5 @@
-// Command gaugeyard-standin runs the small stand-ins for what surrounds
-// gaugeyard: store, machine list, fabric, back ends and callers.
+// Command gaugeyard-standin runs test doubles of the systems around gaugeyard:
+// store, machine list, fabric, back ends and callers.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli parses the command line of gaugeyard and runs what it names.
+// Package cli parses the command line of gaugeyard and runs the command.
 package cli
 
 import (
@@ -17,8 +17,8 @@
 	"gaugeyard/internal/operator"
 )
 
-// balancerCommand has the flags of a balancer; all are checked by
-// datapath.LoadConfig, so that every fault is named at once.
+// balancerCommand holds the flags of a balancer. They are strings because
+// datapath.LoadConfig validates them and reports all errors at once.
 type balancerCommand struct {
 	Config    string  `arg:"--config" help:"settings file (YAML) with the same names as the flags"`
 	Zone      *string `arg:"--zone" help:"zone of this machine"`
@@ -35,6 +35,7 @@
 	Bootstrap *string `arg:"--bootstrap" help:"true when no balancer of this fleet has run before"`
 }
 
+// flags returns the flags that were given.
 func (c *balancerCommand) flags() []datapath.Flag {
 	var flags []datapath.Flag
 	for _, flag := range []struct {
@@ -101,22 +102,22 @@
 	case parsed.Timeline != nil:
 		return parsed.Timeline.run(stdin, out, errOut)
 	}
-	command, chosen := parser.Subcommand().(operator.Command)
-	if !chosen {
+	command, ok := parser.Subcommand().(operator.Command)
+	if !ok {
 		parser.WriteHelp(errOut)
 		return operator.ExitInvalid
 	}
 	return operator.Execute(command, out, errOut)
 }
 
-// runBalancer runs a balancer until SIGTERM or SIGINT has led to the end of a
-// planned stop. A second signal ends it at once.
+// runBalancer runs a balancer. SIGTERM or SIGINT starts a graceful shutdown; a
+// second signal stops it immediately.
 func runBalancer(command *balancerCommand, errOut io.Writer) int {
-	config, faults := datapath.LoadConfig(command.Config, command.flags())
-	for _, fault := range faults {
-		fmt.Fprintln(errOut, fault)
+	config, configErrs := datapath.LoadConfig(command.Config, command.flags())
+	for _, configErr := range configErrs {
+		fmt.Fprintln(errOut, configErr)
 	}
-	if len(faults) > 0 {
+	if len(configErrs) > 0 {
 		return operator.ExitInvalid
 	}
 	log := hclog.New(&hclog.LoggerOptions{Name: "gaugeyard", Output: errOut, JSONFormat: config.LogFormat == "json"})
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -13,7 +13,7 @@
 	"gaugeyard/internal/operator"
 )
 
-// explainCommand tells what became of a flow, from logs.
+// explainCommand reconstructs the history of a flow from logs.
 type explainCommand struct {
 	Caller  string        `arg:"--caller" help:"the caller's address:port"`
 	Backend string        `arg:"--backend" help:"identifier of the back end, where the caller is not known"`
@@ -24,7 +24,7 @@
 	Files   []string      `arg:"positional" help:"logs of balancers, plain or gzip; none or - is standard input"`
 }
 
-// timelineCommand draws a day from logs.
+// timelineCommand reconstructs from logs what balancers observed over time.
 type timelineCommand struct {
 	JSON  bool     `arg:"--json" help:"print JSON"`
 	Plot  string   `arg:"--plot" help:"draw a picture into this file (.svg, .png or .pdf)"`
@@ -33,20 +33,20 @@
 
 func (c *explainCommand) run(in io.Reader, out, errOut io.Writer) int {
 	if c.Caller == "" && c.At == "" {
-		fmt.Fprintln(errOut, "explain: give --caller, or --at, alone or with --backend or --balancer")
+		fmt.Fprintln(errOut, "explain: --caller or --at is required; --at may be combined with --backend or --balancer")
 		return operator.ExitInvalid
 	}
 	lines, status := readLogs(c.Files, in, errOut)
 	if status != operator.ExitOK {
 		return status
 	}
-	at, err := timeOf(c.At, lines)
+	at, err := parseTime(c.At, lines)
 	if err != nil {
 		fmt.Fprintf(errOut, "explain: --at: %v\n", err)
 		return operator.ExitInvalid
 	}
-	story := explain.Explain(lines, explain.Query{Caller: c.Caller, Backend: c.Backend, Node: c.Node, At: at, Window: c.Window})
-	return report(c.JSON, &story, story.WriteText, out, errOut)
+	explanation := explain.Explain(lines, explain.Query{Caller: c.Caller, Backend: c.Backend, Node: c.Node, At: at, Window: c.Window})
+	return writeResult(c.JSON, &explanation, explanation.WriteText, out, errOut)
 }
 
 func (c *timelineCommand) run(in io.Reader, out, errOut io.Writer) int {
@@ -54,17 +54,18 @@
 	if status != operator.ExitOK {
 		return status
 	}
-	day := timeline.Of(lines)
+	view := timeline.Of(lines)
 	if c.Plot != "" {
-		if err := day.Draw(c.Plot); err != nil {
+		if err := view.Draw(c.Plot); err != nil {
 			fmt.Fprintln(errOut, err)
 			return operator.ExitFailed
 		}
 	}
-	return report(c.JSON, &day, day.WriteText, out, errOut)
+	return writeResult(c.JSON, &view, view.WriteText, out, errOut)
 }
 
-// readLogs reads the files and says what it left out.
+// readLogs reads the files and reports the number of skipped lines. It returns an exit status
+// other than ExitOK if it read no lines.
 func readLogs(files []string, in io.Reader, errOut io.Writer) ([]logs.Line, int) {
 	lines, skipped, err := logs.ReadFiles(files, in)
 	if err != nil {
@@ -72,17 +73,18 @@
 		return nil, operator.ExitFailed
 	}
 	if skipped > 0 {
-		fmt.Fprintf(errOut, "%d lines are not of a balancer and were skipped\n", skipped)
+		fmt.Fprintf(errOut, "skipped %d lines that are not balancer logs\n", skipped)
 	}
 	if len(lines) == 0 {
-		fmt.Fprintln(errOut, "there are no lines of a balancer")
+		fmt.Fprintln(errOut, "no balancer logs found")
 		return nil, operator.ExitInvalid
 	}
 	return lines, operator.ExitOK
 }
 
-// timeOf reads a time, or a duration after the first line; the empty text is no time.
-func timeOf(text string, lines []logs.Line) (time.Time, error) {
+// parseTime parses an RFC 3339 time, or a duration relative to the first of the lines, of which
+// there must be one. For an empty text it returns the zero time.
+func parseTime(text string, lines []logs.Line) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
@@ -96,8 +98,8 @@
 	return at, nil
 }
 
-// report writes a result as JSON or as text.
-func report(asJSON bool, result any, writeText func(io.Writer) error, out, errOut io.Writer) int {
+// writeResult writes a result as JSON or as text and returns the exit status.
+func writeResult(asJSON bool, result any, writeText func(io.Writer) error, out, errOut io.Writer) int {
 	var err error
 	if asJSON {
 		encoder := json.NewEncoder(out)
@@ -113,5 +115,5 @@
 	return operator.ExitOK
 }
 
-// stdin is where logs come from when no file is named.
+// stdin is read when no log file is given.
 var stdin io.Reader = os.Stdin
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -1,37 +1,37 @@
-// Package edit is the protocol by which an operator's edit is accepted once or
-// not at all, also when replies of the store are lost. It is pure: a driver
-// makes the calls that it asks for and tells it the replies.
+// Package edit implements the protocol by which an operator's edit is accepted at
+// most once, even if replies of the store are lost. It does no input or output: a
+// driver makes the calls that it returns and passes it the replies.
 package edit
 
-// Call is what a driver must do next.
+// Call is the next call that the driver must make.
 type Call int
 
 // The calls.
 const (
-	// Commit writes the edit if the tree is still the one it was made from.
+	// Commit writes the edit if the stored tree is still the one that the edit was made from.
 	Commit Call = iota
-	// Settle reads back whether the edit is in the history.
-	Settle
-	// PauseThenSettle waits a moment before Settle.
+	// Verify reads back whether the edit is in the history.
+	Verify
+	// PauseThenVerify is Verify after a short wait.
 	PauseThenSettle
-	// PauseThenCommit waits a moment before Commit.
+	// PauseThenCommit is Commit after a short wait.
 	PauseThenCommit
-	// Done ends the protocol; Result tells how.
+	// Done ends the protocol; Machine.Result has the outcome.
 	Done
 )
 
-// Result is how an edit ended.
+// Result is the outcome of an edit.
 type Result int
 
 // The results.
 const (
-	// Pending means that the protocol goes on.
+	// Pending means that the protocol has not ended.
 	Pending Result = iota
-	// Accepted means that the edit is in the history, once.
+	// Accepted means that the edit is in the history exactly once.
 	Accepted
-	// Conflict means that another edit was accepted first; this one never will be.
+	// Conflict means that another edit was accepted first. This one will never be accepted.
 	Conflict
-	// Unknown means that the store could not be asked often enough.
+	// Unknown means that the outcome was not determined within the limit of calls.
 	Unknown
 )
 
@@ -44,20 +44,20 @@
 	Yes Reply = iota
 	// No: the comparison failed, or the edit is not in the history.
 	No
-	// Lost: there was no reply; a commit may have taken effect.
+	// NoReply: there was no reply; a commit may have taken effect.
 	Lost
 )
 
-// maxAttempts bounds the calls of one edit.
+// maxAttempts limits the repeated calls of one edit.
 const maxAttempts = 20
 
-// Machine is one edit on its way.
+// Machine is the state machine of one edit. Its zero value is ready for Start.
 type Machine struct {
 	// Result is Pending until the protocol is Done.
 	Result   Result
 	attempts int
-	// refused is set once the store has said that the comparison failed.
-	refused bool
+	// rejected is set once the store has replied that the comparison failed.
+	rejected bool
 }
 
 // Start returns the first call.
@@ -65,41 +65,41 @@
 	return Commit
 }
 
-// Committed takes the reply to Commit.
+// HandleCommit processes the reply to Commit and returns the next call.
 func (m *Machine) Committed(reply Reply) Call {
 	switch reply {
 	case Yes:
-		return m.end(Accepted)
+		return m.finish(Accepted)
 	case No:
-		// The comparison also fails when an earlier try of this edit took effect.
-		m.refused = true
-		return m.again(Settle)
+		// The comparison also fails if an earlier attempt of this edit took effect.
+		m.rejected = true
+		return m.retry(Verify)
 	}
-	return m.again(PauseThenSettle)
+	return m.retry(PauseThenSettle)
 }
 
-// Settled takes the reply to Settle.
+// HandleVerify processes the reply to Verify and returns the next call.
 func (m *Machine) Settled(reply Reply) Call {
 	switch {
 	case reply == Yes:
-		return m.end(Accepted)
-	case reply == No && m.refused:
-		return m.end(Conflict)
+		return m.finish(Accepted)
+	case reply == No && m.rejected:
+		return m.finish(Conflict)
 	case reply == No:
-		return m.again(PauseThenCommit)
+		return m.retry(PauseThenCommit)
 	}
-	return m.again(PauseThenSettle)
+	return m.retry(PauseThenSettle)
 }
 
-func (m *Machine) end(result Result) Call {
+func (m *Machine) finish(result Result) Call {
 	m.Result = result
 	return Done
 }
 
-func (m *Machine) again(call Call) Call {
+func (m *Machine) retry(call Call) Call {
 	m.attempts++
 	if m.attempts > maxAttempts {
-		return m.end(Unknown)
+		return m.finish(Unknown)
 	}
 	return call
 }
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -2,21 +2,22 @@
 
 import "testing"
 
-// TestProtocol guards that every way through lost replies ends in the truth.
+// TestProtocol checks that each sequence of replies, with lost ones among them, ends with the
+// correct result.
 func TestProtocol(t *testing.T) {
 	cases := []struct {
-		guards string
-		// replies to Commit and Settle in the order of the calls.
+		name string
+		// replies to Commit and Verify in the order of the calls.
 		replies []Reply
 		result  Result
 	}{
 		{"a plain edit", []Reply{Yes}, Accepted},
 		{"another edit came first", []Reply{No, No}, Conflict},
 		{"the reply was lost, the write took effect", []Reply{Lost, Yes}, Accepted},
-		{"the write was lost and is made again", []Reply{Lost, No, Yes}, Accepted},
-		{"the write took effect after the reading back", []Reply{Lost, No, No, Yes}, Accepted},
+		{"the write was lost and is repeated", []Reply{Lost, No, Yes}, Accepted},
+		{"the write took effect after verification", []Reply{Lost, No, No, Yes}, Accepted},
 		{"lost, then another edit came first", []Reply{Lost, No, No, No}, Conflict},
-		{"the reading back is lost too", []Reply{Lost, Lost, Yes}, Accepted},
+		{"the reply to verification is lost too", []Reply{Lost, Lost, Yes}, Accepted},
 	}
 	for _, c := range cases {
 		m := Machine{}
@@ -29,7 +30,7 @@
 			}
 		}
 		if call != Done || m.Result != c.result {
-			t.Errorf("%s: call %v, result %v", c.guards, call, m.Result)
+			t.Errorf("%s: call %v, result %v", c.name, call, m.Result)
 		}
 	}
 	m := Machine{}
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,5 +1,5 @@
-// Package errkind is the closed list of ways a request or datagram can fail,
-// and the one table from a failure kind to the answer its caller receives.
+// Package errkind defines the closed list of kinds of failure of a request or
+// datagram, and the table that maps each kind to the answer its caller receives.
 package errkind
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/zeebo/errs"
 )
 
-// Kind names one way a request or datagram can fail.
+// Kind is a kind of failure of a request or datagram.
 type Kind uint8
 
-// The closed list of kinds. Add a row to table for each new one.
+// The kinds of failure. Each needs a row in table.
 const (
 	// None means that nothing failed.
 	None Kind = iota
 	// Malformed is a datagram that no decoder accepts.
 	Malformed
-	// Oversized is a datagram above the service's max_datagram setting.
+	// Oversized is a datagram larger than the service's max_datagram setting.
 	Oversized
-	// WrongVersion is a peer datagram of a protocol version this node does not speak.
+	// WrongVersion is a peer datagram of a protocol version that this balancer does not support.
 	WrongVersion
-	// UnknownService is a datagram to an address that no service has.
+	// UnknownService is a datagram to an address that belongs to no service.
 	UnknownService
-	// NoBackend means that no back end may take a new flow.
+	// NoBackend means that no back end is eligible for a new flow.
 	NoBackend
-	// ConnectionsFull means that every back end holds its limit of flows.
+	// ConnectionsFull means that every back end has reached its limit of flows.
 	ConnectionsFull
-	// SlotsFull means that the flow's back end has its limit of requests in flight.
+	// SlotsFull means that the flow's back end has reached its limit of requests in flight.
 	SlotsFull
 	// DeadlineTooShort means that the request could not finish before its deadline.
 	DeadlineTooShort
@@ -38,99 +38,99 @@
 	OutcomeUnknown
 	// DeadlineExceeded means that a forwarded request was not answered in time.
 	DeadlineExceeded
-	// NoOwner means that no balancer could be found to own the flow within the hop limit.
+	// NoOwner means that no balancer that owns the flow was found within the hop limit.
 	NoOwner
-	// Undecided means that the balancers do not agree yet on who owns the flow;
-	// the request's next copy is handled.
+	// Undecided means that the balancers do not agree yet on the flow's owner.
+	// The caller's retransmission is handled.
 	Undecided
-	// NoRoute is an opening packet for an address that the newest known settings
-	// do not have.
+	// NoRoute is an opening packet for an address that is not in the newest known
+	// settings.
 	NoRoute
-	// NotReady is an opening packet that arrived before any settings are known.
+	// NotReady is an opening packet that arrived before any settings were known.
 	NotReady
-	// UnknownTag is a packet whose tag names no back end that this node knows.
+	// UnknownTag is a packet whose tag names a back end that this balancer does not know.
 	UnknownTag
-	// Stale is an opening packet that waited too long here while the process stood still.
+	// Stale is an opening packet that waited too long in this process, such as while it was suspended.
 	Stale
-	// BackendLost is a request on an established flow whose back end answers nobody any more.
+	// BackendLost is a request on an established flow whose back end is down.
 	BackendLost
-	// Unexpected is a well-formed packet that a caller never sends.
+	// Unexpected is a well-formed packet of a type that callers do not send.
 	Unexpected
-	// Incomplete is a part of the desired state that lacks a field, or has one that means nothing here.
+	// Incomplete is a part of the desired state with a missing or invalid field.
 	Incomplete
 
 	kindCount
 )
 
-// Ran tells whether a failed request ran at a back end.
+// Ran is what an answer states about whether a failed request ran at a back end.
 type Ran uint8
 
-// The three truths that an answer can state about a failed request.
+// The possible statements.
 const (
 	// RanNo states that the request did not run and never will.
 	RanNo Ran = iota
 	// RanUnknown states that the request may have run.
 	RanUnknown
-	// RanNotTold is used where no answer is sent at all.
-	RanNotTold
+	// RanUnstated applies where no answer is sent.
+	RanUnstated
 )
 
-// String returns the word used in documents and logs.
+// String returns the text used in documents and logs.
 func (r Ran) String() string {
 	return [...]string{"no", "unknown", "not told"}[r]
 }
 
-// Reply is the form of what a caller is told, free of any protocol; each
-// protocol's codec has one table from a Reply to its own code.
+// Reply is the protocol-independent type of an answer to a caller. Each protocol's
+// codec maps it to a response code.
 type Reply uint8
 
-// The closed list of replies.
+// The types of answers.
 const (
 	// Silent means that no answer is sent.
 	Silent Reply = iota
-	// Unavailable tells that the request was not taken.
+	// Unavailable reports that the request was not accepted.
 	Unavailable
-	// Timeout tells that the outcome of the request is not known.
+	// Timeout reports that the outcome of the request is unknown.
 	Timeout
 )
 
-// Answer is what the caller is told for one kind.
+// Answer describes the answer to the caller for one kind.
 type Answer struct {
-	// Name is the counter label and log word of the kind.
+	// Name identifies the kind in counter labels and logs.
 	Name string
-	// Reply is the form of the answer.
+	// Reply is the type of the answer.
 	Reply Reply
 	// Ran is what the answer states about the request.
 	Ran Ran
-	// Retry tells whether the answer carries Max-Age, the seconds to wait before a new request.
+	// HasMaxAge reports whether the answer carries Max-Age, the seconds to wait before a new request.
 	Retry bool
 }
 
 var table = [kindCount]Answer{
-	None:             {"none", Silent, RanNotTold, false},
-	Malformed:        {"malformed", Silent, RanNotTold, false},
-	Oversized:        {"oversized", Silent, RanNotTold, false},
-	WrongVersion:     {"wrong_version", Silent, RanNotTold, false},
-	UnknownService:   {"unknown_service", Silent, RanNotTold, false},
+	None:             {"none", Silent, RanUnstated, false},
+	Malformed:        {"malformed", Silent, RanUnstated, false},
+	Oversized:        {"oversized", Silent, RanUnstated, false},
+	WrongVersion:     {"wrong_version", Silent, RanUnstated, false},
+	UnknownService:   {"unknown_service", Silent, RanUnstated, false},
 	NoBackend:        {"no_backend", Unavailable, RanNo, true},
 	ConnectionsFull:  {"connections_full", Unavailable, RanNo, true},
 	SlotsFull:        {"slots_full", Unavailable, RanNo, true},
 	DeadlineTooShort: {"deadline_too_short", Unavailable, RanNo, true},
-	RetryBudgetSpent: {"retry_budget_spent", Silent, RanNotTold, false},
+	RetryBudgetSpent: {"retry_budget_spent", Silent, RanUnstated, false},
 	OutcomeUnknown:   {"outcome_unknown", Timeout, RanUnknown, true},
 	DeadlineExceeded: {"deadline_exceeded", Timeout, RanUnknown, false},
-	Undecided:        {"undecided", Silent, RanNotTold, false},
-	NoOwner:          {"no_owner", Silent, RanNotTold, false},
+	Undecided:        {"undecided", Silent, RanUnstated, false},
+	NoOwner:          {"no_owner", Silent, RanUnstated, false},
 	NoRoute:          {"no_route", Unavailable, RanNo, true},
-	NotReady:         {"not_ready", Silent, RanNotTold, false},
-	UnknownTag:       {"unknown_tag", Silent, RanNotTold, false},
-	Stale:            {"stale", Silent, RanNotTold, false},
+	NotReady:         {"not_ready", Silent, RanUnstated, false},
+	UnknownTag:       {"unknown_tag", Silent, RanUnstated, false},
+	Stale:            {"stale", Silent, RanUnstated, false},
 	BackendLost:      {"backend_lost", Timeout, RanUnknown, true},
-	Unexpected:       {"unexpected", Silent, RanNotTold, false},
-	Incomplete:       {"incomplete", Silent, RanNotTold, false},
+	Unexpected:       {"unexpected", Silent, RanUnstated, false},
+	Incomplete:       {"incomplete", Silent, RanUnstated, false},
 }
 
-// Answer returns the table row of the kind; an unknown kind has the row of OutcomeUnknown.
+// Answer returns the answer for the kind; an unknown kind has that of OutcomeUnknown.
 func (k Kind) Answer() Answer {
 	if k >= kindCount {
 		return table[OutcomeUnknown]
@@ -138,7 +138,7 @@
 	return table[k]
 }
 
-// Valid tells whether the kind is in the list; what comes from a peer may not be.
+// Valid reports whether the kind is in the list; one received from a peer may not be.
 func (k Kind) Valid() bool {
 	return k < kindCount
 }
@@ -157,15 +157,15 @@
 	return kinds
 }
 
-// Class is the zeebo/errs class of errors that carry a Kind.
+// Class is the class of errors that carry a Kind.
 var Class = errs.Class("gaugeyard")
 
-// New returns an error of the kind with a reason in the manner of fmt.Sprintf.
+// New returns an error of the kind with a reason formatted as by fmt.Sprintf.
 func New(kind Kind, format string, arguments ...any) error {
 	return Class.Wrap(&kindError{kind: kind, reason: fmt.Sprintf(format, arguments...)})
 }
 
-// Of returns the kind that an error carries, None where it carries none.
+// Of returns the kind that an error carries, or None if it carries none.
 func Of(err error) Kind {
 	var carried *kindError
 	if errors.As(err, &carried) {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -18,13 +18,13 @@
 	ExitConflict = 3
 )
 
-// historyLimit is how many edits are read for a conflict or listed by default.
+// historyLimit is the number of edits read to describe a conflict or an evacuation.
 const historyLimit = 100
 
-// commandTimeout bounds one command.
+// commandTimeout limits the duration of one command.
 const commandTimeout = 30 * time.Second
 
-// Access are the flags by which a command finds the platform.
+// Access holds the flags for access to the platform's services.
 type Access struct {
 	Store    string `arg:"--store,env:GAUGEYARD_STORE" help:"URL of the key-value service"`
 	Machines string `arg:"--machines,env:GAUGEYARD_MACHINES" help:"URL of the machine list"`
@@ -32,7 +32,7 @@
 	JSON     bool   `arg:"--json" help:"print JSON"`
 }
 
-// GetCommand prints effective values, with the node that each comes from.
+// GetCommand prints effective values and the node that sets each.
 type GetCommand struct {
 	Access
 	Path string `arg:"positional" default:"/" help:"service/zone/group/backend; / is the root"`
@@ -40,7 +40,7 @@
 	YAML bool   `arg:"--yaml" help:"print the whole tree as a file for apply"`
 }
 
-// SetCommand gives a node values of its own.
+// SetCommand sets values on a node.
 type SetCommand struct {
 	Access
 	Base   uint64   `arg:"--base" help:"refuse the edit unless this revision is the newest"`
@@ -48,7 +48,7 @@
 	Values []string `arg:"positional,required" placeholder:"KEY=VALUE"`
 }
 
-// UnsetCommand removes a node's own values, so that it inherits, or a node.
+// UnsetCommand removes a node's own values, so that it inherits them, or removes the node.
 type UnsetCommand struct {
 	Access
 	Base uint64   `arg:"--base" help:"refuse the edit unless this revision is the newest"`
@@ -56,14 +56,14 @@
 	Keys []string `arg:"positional" help:"settings; none removes the node and everything below it"`
 }
 
-// ApplyCommand replaces the tree by a file.
+// ApplyCommand replaces the tree by the contents of a file.
 type ApplyCommand struct {
 	Access
 	Base uint64 `arg:"--base" help:"refuse the edit unless this revision is the newest"`
 	File string `arg:"positional,required"`
 }
 
-// DiffCommand prints what apply would change.
+// DiffCommand prints the changes that ApplyCommand would make.
 type DiffCommand struct {
 	Access
 	File string `arg:"positional,required"`
@@ -75,22 +75,22 @@
 	Limit int `arg:"--limit" default:"20"`
 }
 
-// ValidateCommand checks a file without the store.
+// ValidateCommand checks a file without access to the store.
 type ValidateCommand struct {
 	JSON bool   `arg:"--json" help:"print JSON"`
 	File string `arg:"positional,required"`
 }
 
-// DrainCommand ends new flows to a back end, and UndrainCommand lets them in again.
+// DrainCommand stops new flows to a back end; UndrainCommand allows them again.
 type DrainCommand struct {
 	Access
 	Path string `arg:"positional,required" help:"service/zone/group/backend"`
 }
 
-// RepublishCommand writes what is in force back to a store that lost it.
+// RepublishCommand writes the settings in force back to a store that lost them.
 type RepublishCommand struct{ Access }
 
-// Command is one operators' command.
+// Command is an operators' command.
 type Command interface {
 	// Run executes the command and prints to out.
 	Run(ctx context.Context, out io.Writer) error
@@ -103,7 +103,7 @@
 	return newSession(a), nil
 }
 
-// Execute runs a command, prints its error and returns the exit status.
+// Execute runs a command, prints its error if any, and returns the exit status.
 func Execute(command Command, out, errOut io.Writer) int {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 	return ExitFailed
 }
 
-// print writes value as JSON, or calls text.
+// print writes value as JSON if --json is set, else calls text to write it as a table.
 func (a Access) print(out io.Writer, value any, text func(io.Writer)) error {
 	return printAs(a.JSON, out, value, text)
 }
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -1,4 +1,4 @@
-// Package operator holds the operators' commands on the settings tree and on
+// Package operator implements the operators' commands on the settings tree and
 // the running balancers.
 package operator
 
@@ -22,38 +22,39 @@
 	"gaugeyard/internal/settings"
 )
 
-// Invalid is the class of errors in what the operator gave.
+// Invalid is the class of errors in the operator's input.
 var Invalid = errs.Class("invalid")
 
 // ConflictError means that another edit was accepted first.
 type ConflictError struct {
-	// Base is the revision that the edit was made from, and Now the newest.
-	Base, Now uint64
+	// Base is the revision that the edit was made from, and Current the newest one.
+	Base, Current uint64
 	// Changes lead from the base to the newest revision.
 	Changes []settings.Change
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("conflict: the edit was made from revision %d, but revision %d is in force", e.Base, e.Now)
+	return fmt.Sprintf("conflict: the edit was made from revision %d, but revision %d is in force", e.Base, e.Current)
 }
 
 const (
-	// settlePause is the wait before a lost reply is settled by reading back.
-	settlePause = 300 * time.Millisecond
-	// pushTimeout bounds handing an accepted tree to one balancer.
+	// retryDelay is the wait before the next call after a lost reply.
+	retryDelay = 300 * time.Millisecond
+	// pushTimeout limits the request that pushes an accepted tree to one balancer.
 	pushTimeout = time.Second
-	// inForceAsked is how many balancers are asked what they have in force.
-	inForceAsked = 3
-	// pushTargets is how many balancers are handed an accepted tree; they tell the rest.
+	// maxSettingsQueries is the number of balancers queried for the settings in force.
+	maxSettingsQueries = 3
+	// pushTargets is the number of balancers that an accepted tree is pushed to; they send it
+	// to the others.
 	pushTargets = 2
 )
 
 // Session is one operator's access to the platform.
 type Session struct {
 	Store *store.Client
-	// Machines is the URL of the machine list; empty skips handing accepted
-	// edits to balancers directly.
+	// Machines is the URL of the machine list. If it is empty, balancers are neither
+	// queried for the settings in force nor sent accepted edits.
 	Machines string
 	Author   string
 }
@@ -63,14 +64,14 @@
 	Revision uint64            `json:"revision"`
 	EditID   string            `json:"edit_id"`
 	Changes  []settings.Change `json:"changes"`
-	// Pushed is the number of balancers that confirmed the revision at once.
+	// Pushed is the number of balancers that confirmed the pushed revision.
 	Pushed int `json:"pushed"`
 }
 
-// Edit changes the tree: mutate is applied to a copy, and the result is
-// accepted whole or not at all. With base other than 0 the edit is refused
-// unless base is the newest revision. Errors are of class Invalid or
-// store.Unavailable, or a *ConflictError.
+// Edit changes the tree: it applies mutate to a copy and commits the result
+// atomically. If base is not 0, it rejects the edit unless base is the newest
+// revision. Errors are of class Invalid or store.Unavailable, ErrStoreBehind, or
+// a *ConflictError.
 func (s *Session) Edit(ctx context.Context, base uint64, mutate func(settings.Tree) error) (Accepted, error) {
 	state, err := s.Store.Load(ctx)
 	if err != nil {
@@ -86,8 +87,8 @@
 	if err := mutate(next); err != nil {
 		return Accepted{}, Invalid.Wrap(err)
 	}
-	if faults := next.Validate(); len(faults) > 0 {
-		return Accepted{}, Invalid.Wrap(errors.Join(faults...))
+	if validationErrs := next.Validate(); len(validationErrs) > 0 {
+		return Accepted{}, Invalid.Wrap(errors.Join(validationErrs...))
 	}
 	changes := settings.Diff(state.Tree, next)
 	if len(changes) == 0 {
@@ -96,12 +97,12 @@
 	return s.accept(ctx, state, next, state.Head.Revision+1)
 }
 
-// ErrStoreBehind means that the store came back from an older state: balancers
-// have a newer revision in force, and would ignore an edit made on the old one.
+// ErrStoreBehind means that the store was restored to an older state. Balancers
+// have a newer revision in force and would ignore an edit based on the old one.
 var ErrStoreBehind = errors.New("the store is behind the balancers")
 
-// Republish writes the newest tree that a balancer has in force back to a store
-// that came back from an older state.
+// Republish writes the newest tree that a queried balancer has in force back to a
+// store that was restored to an older state. If the store is not behind, it does nothing.
 func (s *Session) Republish(ctx context.Context) (Accepted, error) {
 	state, err := s.Store.Load(ctx)
 	if err != nil {
@@ -114,8 +115,8 @@
 	return s.accept(ctx, state, tree, inForce+1)
 }
 
-// newestInForce returns the newest tree that one of a few balancers has in force,
-// and its revision; 0 when none can be asked.
+// newestInForce queries a few balancers and returns the newest tree that one of them
+// has in force, and its revision; nil and 0 if none replies.
 func (s *Session) newestInForce(ctx context.Context) (settings.Tree, uint64) {
 	if s.Machines == "" {
 		return nil, 0
@@ -125,64 +126,64 @@
 		return nil, 0
 	}
 	newest := datapath.Push{}
-	for _, machine := range machines[:min(len(machines), inForceAsked)] {
+	for _, machine := range machines[:min(len(machines), maxSettingsQueries)] {
 		var push datapath.Push
-		if askJSON(ctx, machine, "/settings", &push) == nil && push.Head.Revision > newest.Head.Revision {
+		if getJSON(ctx, machine, "/settings", &push) == nil && push.Head.Revision > newest.Head.Revision {
 			newest = push
 		}
 	}
 	return newest.Tree, newest.Head.Revision
 }
 
-// accept takes a tree through the protocol and hands it to balancers.
+// accept commits a tree to the store and pushes it to balancers.
 func (s *Session) accept(ctx context.Context, state *store.State, next settings.Tree, revision uint64) (Accepted, error) {
 	changes := settings.Diff(state.Tree, next)
-	change := store.Edit{
+	newEdit := store.Edit{
 		Revision: revision,
 		EditID:   rand.Text(),
 		Author:   s.Author,
 		Time:     time.Now().UTC(),
 		Changes:  changes,
 	}
-	if err := s.commit(ctx, state, next, change); err != nil {
+	if err := s.commit(ctx, state, next, newEdit); err != nil {
 		return Accepted{}, err
 	}
-	head := store.Head{Revision: change.Revision, EditID: change.EditID}
+	head := store.Head{Revision: newEdit.Revision, EditID: newEdit.EditID}
 	pushed := s.push(ctx, datapath.Push{Head: head, Tree: next})
-	return Accepted{Revision: change.Revision, EditID: change.EditID, Changes: changes, Pushed: pushed}, nil
+	return Accepted{Revision: newEdit.Revision, EditID: newEdit.EditID, Changes: changes, Pushed: pushed}, nil
 }
 
-// commit takes the edit through its protocol.
-func (s *Session) commit(ctx context.Context, state *store.State, next settings.Tree, change store.Edit) error {
-	machine := &edit.Machine{}
-	var lost error
-	call := machine.Start()
+// commit runs the edit protocol against the store.
+func (s *Session) commit(ctx context.Context, state *store.State, next settings.Tree, newEdit store.Edit) error {
+	protocol := &edit.Machine{}
+	var lastErr error
+	call := protocol.Start()
 	for call != edit.Done {
 		if call == edit.PauseThenSettle || call == edit.PauseThenCommit {
-			time.Sleep(settlePause)
+			time.Sleep(retryDelay)
 		}
 		var reply edit.Reply
 		var err error
 		switch call {
 		case edit.Commit, edit.PauseThenCommit:
-			reply, err = commitReply(s.Store.Commit(ctx, state, next, change))
-			call = machine.Committed(reply)
+			reply, err = commitReply(s.Store.Commit(ctx, state, next, newEdit))
+			call = protocol.Committed(reply)
 		default:
-			reply, err = settleReply(s.Store.Settle(ctx, change))
-			call = machine.Settled(reply)
+			reply, err = verifyReply(s.Store.Settle(ctx, newEdit))
+			call = protocol.Settled(reply)
 		}
 		if err != nil && reply != edit.Lost {
 			return err
 		}
 		if err != nil {
-			lost = err
+			lastErr = err
 		}
 	}
-	switch machine.Result {
+	switch protocol.Result {
 	case edit.Conflict:
 		return s.conflict(ctx, state.Head.Revision, nil)
 	case edit.Unknown:
-		return fmt.Errorf("it is not known whether edit %s was accepted; see history: %w", change.EditID, lost)
+		return fmt.Errorf("edit %s may or may not have been accepted; check the history: %w", newEdit.EditID, lastErr)
 	}
 	return nil
 }
@@ -199,7 +200,7 @@
 	return edit.No, err
 }
 
-func settleReply(accepted bool, err error) (edit.Reply, error) {
+func verifyReply(accepted bool, err error) (edit.Reply, error) {
 	switch {
 	case err != nil:
 		return edit.Lost, err
@@ -209,7 +210,8 @@
 	return edit.No, nil
 }
 
-// conflict describes what happened since base.
+// conflict returns a *ConflictError with the changes since base. A nil state is loaded
+// from the store.
 func (s *Session) conflict(ctx context.Context, base uint64, state *store.State) error {
 	if state == nil {
 		var err error
@@ -217,7 +219,7 @@
 			return err
 		}
 	}
-	conflict := &ConflictError{Base: base, Now: state.Head.Revision}
+	conflict := &ConflictError{Base: base, Current: state.Head.Revision}
 	edits, err := s.Store.History(ctx, historyLimit)
 	if err != nil {
 		return err
@@ -230,8 +232,8 @@
 	return conflict
 }
 
-// push hands an accepted tree to balancers, so that it comes into force even
-// if the store fails before they read it. It returns how many confirmed.
+// push sends an accepted tree to balancers, so that it takes effect even if the
+// store fails before they read it. It returns the number that confirmed.
 func (s *Session) push(ctx context.Context, push datapath.Push) int {
 	if s.Machines == "" {
 		return 0
--- a/internal/operator/evacuate.go
+++ b/internal/operator/evacuate.go
@@ -12,13 +12,13 @@
 	"gaugeyard/internal/store"
 )
 
-// EvacuateCommand ends new flows to all back ends of a zone, in one edit.
+// EvacuateCommand stops new flows to all back ends of a zone, in one edit.
 type EvacuateCommand struct {
 	Access
 	Zone string `arg:"positional,required" help:"name of the zone, in all services that have it"`
 }
 
-// RestoreCommand lets new flows to the back ends of a zone again.
+// RestoreCommand allows new flows to the back ends of a zone again.
 type RestoreCommand struct{ EvacuateCommand }
 
 // Run implements Command.
@@ -31,8 +31,8 @@
 	return c.edit(ctx, out, 0, func(tree settings.Tree) error { return setEvacuated(tree, c.Zone, false) })
 }
 
-// setEvacuated evacuates the zone in every service that has it, or takes it back. Back ends keep their
-// own state, so that one that was drained before stays so after.
+// setEvacuated marks the zone as evacuated in every service that has it, or removes the mark. It does
+// not change the state of back ends, so that drained ones stay drained after the zone is restored.
 func setEvacuated(tree settings.Tree, zone string, evacuated bool) error {
 	found := false
 	for path := range tree {
@@ -57,13 +57,13 @@
 // EvacuatedZone is a zone that takes no new flows.
 type EvacuatedZone struct {
 	Zone string `json:"zone"`
-	// Author and Since are of the edit that evacuated it, empty where it is older than the history.
+	// Author and Since are those of the edit that evacuated the zone; empty if the history lacks it.
 	Author string    `json:"author,omitempty"`
 	Since  time.Time `json:"since,omitzero"`
 }
 
-// evacuatedZones lists the zones that are evacuated in a tree, in order of name, with the newest edit
-// that did so; edits are newest first.
+// evacuatedZones returns the evacuated zones of a tree, ordered by name, with the newest edit that
+// evacuated each. The edits must be ordered newest first.
 func evacuatedZones(tree settings.Tree, edits []store.Edit) []EvacuatedZone {
 	var zones []EvacuatedZone
 	for path, values := range tree {
@@ -74,13 +74,13 @@
 	}
 	slices.SortFunc(zones, func(a, b EvacuatedZone) int { return cmp.Compare(a.Zone, b.Zone) })
 	for i := range zones {
-		zones[i].by(edits)
+		zones[i].setAuthor(edits)
 	}
 	return zones
 }
 
-// by fills in who evacuated the zone, and when.
-func (z *EvacuatedZone) by(edits []store.Edit) {
+// setAuthor sets Author and Since from the newest edit that evacuated the zone.
+func (z *EvacuatedZone) setAuthor(edits []store.Edit) {
 	for _, edit := range edits {
 		for _, change := range edit.Changes {
 			if change.Key == settings.KeyEvacuated && change.Path.Name() == z.Zone && change.After == "true" {
--- a/internal/operator/evacuate_test.go
+++ b/internal/operator/evacuate_test.go
@@ -10,7 +10,7 @@
 
 func twoServices(t *testing.T) settings.Tree {
 	t.Helper()
-	tree, faults := settings.Parse([]byte(`
+	tree, parseErrs := settings.Parse([]byte(`
 services:
   feeds:
     address: 192.0.2.1:5683
@@ -22,13 +22,13 @@
     zones:
       za: {groups: {main: {backends: {b4: {address: "192.0.2.14:1"}}}}}
 `))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	if len(parseErrs) > 0 {
+		t.Fatal(parseErrs)
 	}
 	return tree
 }
 
-// draining counts the back ends that get no new flow.
+// draining counts the back ends that get no new flows.
 func draining(tree settings.Tree) int {
 	count := 0
 	for _, backend := range settings.Resolve(tree, 1).Backends {
@@ -39,31 +39,32 @@
 	return count
 }
 
-// TestAZoneIsEvacuatedInAllServices and taken back; a back end that was drained by itself stays so.
-func TestAZoneIsEvacuatedInAllServices(t *testing.T) {
+// TestEvacuateAndRestoreZone checks that both apply to all services with the zone, and that a back
+// end drained on its own stays drained.
+func TestEvacuateAndRestoreZone(t *testing.T) {
 	tree := twoServices(t)
 	if err := setEvacuated(tree, "za", true); err != nil {
 		t.Fatal(err)
 	}
 	if got := draining(tree); got != 3 {
-		t.Errorf("%d back ends get no new flow, want 3", got)
+		t.Errorf("%d back ends get no new flows, want 3", got)
 	}
 	if err := setEvacuated(tree, "za", false); err != nil {
 		t.Fatal(err)
 	}
 	if got := draining(tree); got != 1 {
-		t.Errorf("once the zone is back %d back ends get no new flow, want 1", got)
+		t.Errorf("after the restore %d back ends get no new flows, want 1", got)
 	}
 	if changes := settings.Diff(twoServices(t), tree); len(changes) > 0 {
-		t.Errorf("what is left of it: %v", changes)
+		t.Errorf("changes left after the restore: %v", changes)
 	}
 	if err := setEvacuated(tree, "zc", true); err == nil {
-		t.Error("a zone that nobody has is evacuated")
+		t.Error("evacuating a zone that no service has succeeded")
 	}
 }
 
-// TestStatusNamesWhoEvacuatedAZone by the newest edit that did so.
-func TestStatusNamesWhoEvacuatedAZone(t *testing.T) {
+// TestStatusNamesAuthorOfEvacuation checks that it is the author of the newest such edit.
+func TestStatusNamesAuthorOfEvacuation(t *testing.T) {
 	before := twoServices(t)
 	tree := before.Clone()
 	if err := setEvacuated(tree, "za", true); err != nil {
@@ -74,9 +75,9 @@
 	edits := []store.Edit{{Author: "ben"}, {Author: "ana", Time: since, Changes: changes}, {Author: "old", Changes: changes}}
 	zones := evacuatedZones(tree, edits)
 	if len(zones) != 1 || zones[0] != (EvacuatedZone{"za", "ana", since}) {
-		t.Errorf("evacuated are %+v", zones)
+		t.Errorf("evacuated zones: %+v", zones)
 	}
 	if zones = evacuatedZones(tree, nil); len(zones) != 1 || zones[0].Author != "" {
-		t.Errorf("without a history: %+v", zones)
+		t.Errorf("evacuated zones without a history: %+v", zones)
 	}
 }
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -12,11 +12,11 @@
 	"gaugeyard/internal/settings"
 )
 
-// Value is one effective value as get prints it.
+// Value is one effective value, as GetCommand prints it.
 type Value struct {
 	Key   settings.Key `json:"key"`
 	Value string       `json:"value"`
-	// From is the path that gives the value, or default.
+	// From is the path of the node that sets the value, or "default".
 	From string `json:"from"`
 }
 
@@ -63,27 +63,27 @@
 	var values []Value
 	for _, field := range settings.Fields {
 		value, from := tree.Effective(path, field.Key)
-		if value != "" && path.Level() <= field.Last && (path.Level() >= field.First || from != "default") {
+		if value != "" && path.Level() <= field.MaxLevel && (path.Level() >= field.MinLevel || from != "default") {
 			values = append(values, Value{field.Key, value, from})
 		}
 	}
 	return values
 }
 
-// readTree reads and checks a file; errors name file and line.
+// readTree reads and validates a file. Errors name the file, and the line where it is known.
 func readTree(file string) (settings.Tree, error) {
 	document, err := os.ReadFile(file)
 	if err != nil {
 		return nil, Invalid.Wrap(err)
 	}
-	tree, faults := settings.Parse(document)
-	if len(faults) == 0 {
+	tree, parseErrs := settings.Parse(document)
+	if len(parseErrs) == 0 {
 		return tree, nil
 	}
-	for i, fault := range faults {
-		faults[i] = fmt.Errorf("%s: %w", file, fault)
+	for i, parseErr := range parseErrs {
+		parseErrs[i] = fmt.Errorf("%s: %w", file, parseErr)
 	}
-	return nil, Invalid.Wrap(errors.Join(faults...))
+	return nil, Invalid.Wrap(errors.Join(parseErrs...))
 }
 
 // Run implements Command.
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -18,32 +18,32 @@
 	Access
 }
 
-// FleetStatus is what status prints.
+// FleetStatus is the output of StatusCommand.
 type FleetStatus struct {
-	// Newest is the newest accepted revision, 0 when the store is unreachable.
+	// Newest is the newest accepted revision, 0 if the store is unreachable.
 	Newest    uint64             `json:"newest_revision"`
 	Store     string             `json:"store"`
 	Balancers []BalancerStatus   `json:"balancers"`
 	Backends  []BackendAggregate `json:"backends"`
-	// Evacuated are the zones that take no new flows.
+	// Evacuated lists the zones that take no new flows.
 	Evacuated []EvacuatedZone `json:"evacuated,omitempty"`
-	// Imbalance is the largest number of flows of an active back end over the mean
-	// of its service's back ends, for the service where it is worst.
+	// Imbalance is the maximum number of flows of an active back end divided by the
+	// mean of its service's active back ends, for the service with the highest ratio.
 	Imbalance float64 `json:"imbalance"`
 }
 
-// BalancerStatus is one balancer's status, or why there is none.
+// BalancerStatus is one balancer's status, or the error that prevented reading it.
 type BalancerStatus struct {
 	balancer.Status
 	Error string `json:"error,omitempty"`
 }
 
-// BackendAggregate is one back end over all balancers.
+// BackendAggregate is one back end's status summed over all balancers.
 type BackendAggregate struct {
 	balancer.BackendStatus
 }
 
-// statusTimeout bounds asking one balancer.
+// statusTimeout limits a request to one balancer.
 const statusTimeout = time.Second
 
 func newSession(a Access) *Session {
@@ -62,7 +62,7 @@
 	status := FleetStatus{Store: "reachable"}
 	if state, err := session.Store.Load(ctx); err == nil {
 		status.Newest = state.Head.Revision
-		// A store that gives the tree and not its history leaves out who did it.
+		// Without the history, the authors of evacuations are omitted.
 		edits, _ := session.Store.History(ctx, historyLimit)
 		status.Evacuated = evacuatedZones(state.Tree, edits)
 	} else {
@@ -73,30 +73,30 @@
 		return err
 	}
 	for _, machine := range machines {
-		status.Balancers = append(status.Balancers, ask(ctx, machine))
+		status.Balancers = append(status.Balancers, getStatus(ctx, machine))
 	}
 	status.aggregate()
-	return c.print(out, status, status.text)
+	return c.print(out, status, status.writeText)
 }
 
-func ask(ctx context.Context, machine discovery.Machine) BalancerStatus {
+func getStatus(ctx context.Context, machine discovery.Machine) BalancerStatus {
 	status := BalancerStatus{}
 	status.Address = machine.Peer.String()
 	status.Zone = machine.Zone
-	if err := askJSON(ctx, machine, "/status", &status.Status); err != nil {
+	if err := getJSON(ctx, machine, "/status", &status.Status); err != nil {
 		status.Error = err.Error()
 	}
 	return status
 }
 
-// askJSON reads what a balancer serves at the path.
-func askJSON(ctx context.Context, machine discovery.Machine, path string, into any) error {
+// getJSON decodes the JSON that a balancer serves at the path of its admin address.
+func getJSON(ctx context.Context, machine discovery.Machine, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return discovery.GetJSON(ctx, "http://"+machine.Admin.String()+path, into)
 }
 
-// aggregate adds up the back ends of all balancers.
+// aggregate sums the back ends of all balancers.
 func (s *FleetStatus) aggregate() {
 	index := map[string]int{}
 	for _, node := range s.Balancers {
@@ -114,20 +114,20 @@
 	s.Imbalance = s.imbalance()
 }
 
-// load sums up the active back ends of one service.
-type load struct {
+// serviceLoad sums the flows of the active back ends of one service.
+type serviceLoad struct {
 	total, largest int64
 	active         int
 }
 
-// imbalance returns the largest flow count of an active back end over the mean
-// of its service's, for the service where it is worst.
+// imbalance returns the maximum number of flows of an active back end divided by the mean
+// of its service's active back ends, for the service with the highest ratio.
 func (s *FleetStatus) imbalance() float64 {
-	loads := map[string]*load{}
+	loads := map[string]*serviceLoad{}
 	for _, backend := range s.Backends {
 		service, _, _ := strings.Cut(string(backend.Path), "/")
 		if loads[service] == nil {
-			loads[service] = &load{}
+			loads[service] = &serviceLoad{}
 		}
 		if backend.State != balancer.Active.String() {
 			continue
@@ -137,16 +137,16 @@
 		sum.total += backend.Flows
 		sum.largest = max(sum.largest, backend.Flows)
 	}
-	worst := 0.0
+	highest := 0.0
 	for _, sum := range loads {
 		if sum.total > 0 {
-			worst = max(worst, float64(sum.largest)*float64(sum.active)/float64(sum.total))
+			highest = max(highest, float64(sum.largest)*float64(sum.active)/float64(sum.total))
 		}
 	}
-	return worst
+	return highest
 }
 
-func (s *FleetStatus) text(w io.Writer) {
+func (s *FleetStatus) writeText(w io.Writer) {
 	fmt.Fprintf(w, "store %s, newest revision %d, imbalance %.2f\n\n", s.Store, s.Newest, s.Imbalance)
 	fmt.Fprintln(w, "BALANCER\tZONE\tPHASE\tREVISION\tMEMBERS\tSETTLED\tFLOWS\tOWNED\tNOTE")
 	for _, node := range s.Balancers {
--- a/internal/operator/write.go
+++ b/internal/operator/write.go
@@ -42,16 +42,16 @@
 		return Invalid.Wrap(err)
 	}
 	return c.edit(ctx, out, c.Base, func(tree settings.Tree) error {
-		var faults []error
+		var assignErrs []error
 		for _, assignment := range c.Values {
 			key, value, found := strings.Cut(assignment, "=")
 			if !found {
-				faults = append(faults, fmt.Errorf("%q: wants KEY=VALUE", assignment))
+				assignErrs = append(assignErrs, fmt.Errorf("%q: must be KEY=VALUE", assignment))
 				continue
 			}
-			faults = append(faults, tree.Set(path, settings.Key(key), value))
+			assignErrs = append(assignErrs, tree.Set(path, settings.Key(key), value))
 		}
-		return errors.Join(faults...)
+		return errors.Join(assignErrs...)
 	})
 }
 
@@ -128,7 +128,7 @@
 	return c.printAccepted(out, accepted)
 }
 
-// UndrainCommand lets new flows to a back end again.
+// UndrainCommand allows new flows to a back end again.
 type UndrainCommand struct{ DrainCommand }
 
 // Run implements Command.
--- a/internal/settings/advance.go
+++ b/internal/settings/advance.go
@@ -6,35 +6,35 @@
 	"slices"
 )
 
-// What parts of the work of Advance cost, in units of some 50 ns of a whole core; after
-// pieceWork of them it pauses. A process that has a twentieth of a core then takes 5 to 20 ms for
-// a piece, during which packets wait.
+// Costs of the steps of Advance, in units of about 50 ns on a whole core. Advance pauses whenever
+// the accumulated cost reaches maxBatchCost: packets wait during a batch, for 5 to 20 ms in a
+// process limited to 5% of a core.
 const (
-	copyWork    = 1
-	nodeWork    = 8
-	serviceWork = 16
-	pieceWork   = 4000
+	copyCost     = 1
+	nodeCost     = 8
+	serviceCost  = 16
+	maxBatchCost = 4000
 )
 
-// Advance returns what the changes lead to from previous, which stays as it is, or why they
-// are not allowed. It calls pause between pieces of its work, so that other work is done
-// meanwhile; what is in force changes in none of them. Equal to Tree.With, Tree.ValidateFrom
-// and ResolveFrom in this order.
+// Advance returns the snapshot that results from applying the changes to previous, or an error if
+// they are not allowed. It does not modify previous, and calls pause between batches of work so
+// that the caller can do other work. The result equals that of Tree.With, Tree.ValidateFrom and
+// ResolveFrom in this order.
 func Advance(previous *Snapshot, revision uint64, changes []Change, pause func()) (*Snapshot, error) {
 	a := &advance{previous: previous, pause: pause}
-	flat, ordered := a.lookAt(changes)
-	if !flat {
-		return advanceWhole(previous, revision, changes)
+	independent, ordered := a.classify(changes)
+	if !independent {
+		return advanceFull(previous, revision, changes)
 	}
 	if !ordered {
 		changes = slices.Clone(changes)
 		slices.SortStableFunc(changes, func(a, b Change) int { return cmp.Compare(a.Path.Service(), b.Path.Service()) })
 	}
-	if err := a.makeChanges(changes); err != nil {
+	if err := a.applyChanges(changes); err != nil {
 		return nil, err
 	}
-	// Its tables are allocated in one go.
-	a.work(copyWork * len(a.services))
+	// Sized up front, so that the tables do not grow while services are added.
+	a.addCost(copyCost * len(a.services))
 	a.next = newSnapshot(a.tree, revision, len(previous.Services)+len(a.services))
 	if err := a.resolve(); err != nil {
 		return nil, err
@@ -42,9 +42,9 @@
 	return a.next, nil
 }
 
-// lookAt tells whether services have nothing to do with each other, before the changes and after,
-// and whether the changes are in order of services.
-func (a *advance) lookAt(changes []Change) (flat, ordered bool) {
+// classify reports whether services are independent of each other both before and after the
+// changes, and whether the changes are ordered by service.
+func (a *advance) classify(changes []Change) (independent, ordered bool) {
 	if len(a.previous.Backends) > 0 || a.previous.references {
 		return false, false
 	}
@@ -57,143 +57,145 @@
 		service := change.Path.Service()
 		ordered = ordered && service >= last
 		last = service
-		a.work(copyWork)
+		a.addCost(copyCost)
 	}
 	return true, ordered
 }
 
-func advanceWhole(previous *Snapshot, revision uint64, changes []Change) (*Snapshot, error) {
+// advanceFull computes the result without pauses; it handles services that share back ends.
+func advanceFull(previous *Snapshot, revision uint64, changes []Change) (*Snapshot, error) {
 	tree, err := previous.Tree.With(changes)
 	if err != nil {
 		return nil, err
 	}
-	if faults := tree.ValidateFrom(previous, changes); len(faults) > 0 {
-		return nil, faults[0]
+	if errs := tree.ValidateFrom(previous, changes); len(errs) > 0 {
+		return nil, errs[0]
 	}
 	return ResolveFrom(previous, tree, revision, changes), nil
 }
 
-// advance is the work of Advance.
+// advance holds the state of one call of Advance.
 type advance struct {
 	previous *Snapshot
 	pause    func()
-	// done counts the work since the last pause.
-	done int
-	tree Tree
-	// touched are the services that the changes touch, and services the same in order.
+	// batchCost is the cost accumulated since the last pause.
+	batchCost int
+	tree      Tree
+	// touched is the set of services that the changes affect; services lists them in order.
 	touched  map[Path]bool
 	services []Path
-	// added has the groups that were changed; of a service that previous does not have these are all.
-	added index
-	next  *Snapshot
+	// changedGroups has the changed groups by service. For a service that previous lacks, these
+	// are all its groups.
+	changedGroups index
+	next          *Snapshot
 }
 
-// work counts work and pauses after a piece of it.
-func (a *advance) work(units int) {
-	if a.done += units; a.done >= pieceWork {
-		a.done = 0
+// addCost adds to the cost of the batch and pauses when the batch is full.
+func (a *advance) addCost(cost int) {
+	if a.batchCost += cost; a.batchCost >= maxBatchCost {
+		a.batchCost = 0
 		a.pause()
 	}
 }
 
-// makeChanges makes the tree; changes are in order of services.
-func (a *advance) makeChanges(changes []Change) error {
+// applyChanges builds the new tree. The changes must be ordered by service.
+func (a *advance) applyChanges(changes []Change) error {
 	a.tree = make(Tree, len(a.previous.Tree)+len(changes))
 	for path, values := range a.previous.Tree {
 		a.tree[path] = values
-		a.work(copyWork)
+		a.addCost(copyCost)
 	}
-	a.touched = make(map[Path]bool, len(changes)/nodesPerService)
-	a.added.groups = make(map[Path][]Path, len(changes)/nodesPerService)
-	var shared sharedValues
+	a.touched = make(map[Path]bool, len(changes)/minNodesPerService)
+	a.changedGroups.groups = make(map[Path][]Path, len(changes)/minNodesPerService)
+	var cache valuesCache
 	var emptied []Path
 	for len(changes) > 0 {
 		var node []Change
-		node, changes = cutNode(changes)
+		node, changes = splitFirstNode(changes)
 		path := node[0].Path
-		empty, err := a.tree.change(path, node, &shared)
+		empty, err := a.tree.applyNode(path, node, &cache)
 		if err != nil {
 			return err
 		}
 		if empty {
 			emptied = append(emptied, path)
 		}
-		a.note(path)
-		a.work(nodeWork)
+		a.recordNode(path)
+		a.addCost(nodeCost)
 	}
 	a.tree.prune(emptied)
 	return nil
 }
 
-// note enters a node that was changed.
-func (a *advance) note(path Path) {
+// recordNode records a changed node.
+func (a *advance) recordNode(path Path) {
 	service := path.Service()
 	if len(a.services) == 0 || a.services[len(a.services)-1] != service {
 		a.services = append(a.services, service)
 		a.touched[service] = true
 	}
-	if path.Level() == LevelGroup && !slices.Contains(a.added.groups[service], path) {
-		a.added.addGroup(path)
+	if path.Level() == LevelGroup && !slices.Contains(a.changedGroups.groups[service], path) {
+		a.changedGroups.addGroup(path)
 	}
 }
 
-// resolve computes the services that were touched and takes over the others.
+// resolve computes the touched services and reuses the others.
 func (a *advance) resolve() error {
-	groups := groupReader{tree: a.tree}
+	groups := groupResolver{tree: a.tree}
 	inherited := resolveService(a.tree, "", &Service{})
-	changed := a.indexOfChanged()
+	index := a.indexOfChanged()
 	for _, service := range a.previous.Services {
 		if !a.touched[Path(service.Name)] {
 			a.next.addService(service)
 		}
-		a.work(copyWork)
+		a.addCost(copyCost)
 	}
-	kept := len(a.next.Services)
+	unchanged := len(a.next.Services)
 	for _, path := range a.services {
 		if a.tree[path] == nil {
 			continue
 		}
-		from := &changed
+		groupIndex := &index
 		if a.previous.Tree[path] == nil {
-			from = &a.added
-			from.groups[path] = a.present(from.groups[path])
+			groupIndex = &a.changedGroups
+			groupIndex.groups[path] = a.existing(groupIndex.groups[path])
 		}
-		service := a.next.resolve(from, &groups, path, inherited)
-		if err := a.next.mayAdd(service); err != nil {
+		service := a.next.resolve(groupIndex, &groups, path, inherited)
+		if err := a.next.checkService(service); err != nil {
 			return err
 		}
 		a.next.addService(service)
-		a.work(serviceWork)
+		a.addCost(serviceCost)
 	}
-	a.next.Services = merged(a.next.Services[:kept], a.next.Services[kept:])
+	a.next.Services = mergeServices(a.next.Services[:unchanged], a.next.Services[unchanged:])
 	return nil
 }
 
-// indexOfChanged indexes the touched services that previous has; it walks through the whole
-// tree for them alone.
+// indexOfChanged indexes the touched services that previous has. It scans the whole tree if there
+// are any.
 func (a *advance) indexOfChanged() index {
 	known := map[Path]bool{}
 	for _, path := range a.services {
 		if a.previous.Tree[path] != nil {
 			known[path] = true
 		}
-		a.work(copyWork)
+		a.addCost(copyCost)
 	}
 	if len(known) == 0 {
 		return index{}
 	}
-	return a.tree.index(known, a.work)
+	return a.tree.index(known, a.addCost)
 }
 
-// present returns those of the groups that are left, in order.
-func (a *advance) present(groups []Path) []Path {
+// existing returns the groups that the new tree still has, in order. It modifies groups.
+func (a *advance) existing(groups []Path) []Path {
 	groups = slices.DeleteFunc(groups, func(path Path) bool { return a.tree[path] == nil })
 	slices.SortFunc(groups, compareNodes)
 	return groups
 }
 
-// mayAdd returns what is wrong with a service that is to be added.
-func (s *Snapshot) mayAdd(service *Service) error {
+// checkService returns an error if the service has no address or another service has the same one.
+func (s *Snapshot) checkService(service *Service) error {
 	if !service.Address.IsValid() {
 		return fmt.Errorf("%s: address is missing", service.Name)
 	}
@@ -203,8 +205,8 @@
 	return nil
 }
 
-// merged returns two lists of services in order of name as one.
-func merged(a, b []*Service) []*Service {
+// mergeServices merges two lists of services that are sorted by name.
+func mergeServices(a, b []*Service) []*Service {
 	all := make([]*Service, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
 		if a[0].Name < b[0].Name {
--- a/internal/settings/advance_test.go
+++ b/internal/settings/advance_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestChangesLeadElsewhereWhatTheyLeadToHere, when they have been sent: what is added, changed
-// and taken away, in services whose names are parts of each other's.
-func TestChangesLeadElsewhereWhatTheyLeadToHere(t *testing.T) {
+// TestSentChangesGiveTheSameSnapshot checks that additions, changes and removals give the same
+// result after encoding, also for services whose names are prefixes of each other.
+func TestSentChangesGiveTheSameSnapshot(t *testing.T) {
 	names := []Path{"s", "s-1", "s-1-2", "s.1", "other"}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Tree {
@@ -30,7 +30,7 @@
 			return tree
 		}
 		before, after := draw(), draw()
-		got, err := Advance(Resolve(before, 1), 2, sent(t, Diff(before, after)), func() {})
+		got, err := Advance(Resolve(before, 1), 2, roundTrip(t, Diff(before, after)), func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,31 +40,31 @@
 	})
 }
 
-// TestAdvanceMakesManyChangesInPieces: with 20,000 services more it pauses, what it starts from
-// stays as it is, and a service costs few allocations.
-func TestAdvanceMakesManyChangesInPieces(t *testing.T) {
-	const more = 20_000
-	base, grown := discovered(t, 40), discovered(t, 40+more)
+// TestAdvancePausesDuringManyChanges checks that Advance pauses often enough, does not modify the
+// previous snapshot, and limits allocations per added service.
+func TestAdvancePausesDuringManyChanges(t *testing.T) {
+	const added = 20_000
+	base, grown := discoveryTree(t, 40), discoveryTree(t, 40+added)
 	previous, changes := Resolve(base, 1), Diff(base, grown)
 	pauses := 0
 	next, err := Advance(previous, 2, changes, func() {
 		if pauses++; len(previous.Services) != 40 || len(previous.Tree) != len(base) {
-			t.Fatal("what is in force has changed")
+			t.Fatal("the previous snapshot was modified")
 		}
 	})
-	if err != nil || len(next.Services) != 40+more || len(previous.Tree) != len(discovered(t, 40)) {
+	if err != nil || len(next.Services) != 40+added || len(previous.Tree) != len(discoveryTree(t, 40)) {
 		t.Fatalf("%v, %d services", err, len(next.Services))
 	}
-	if least := more * (nodeWork + serviceWork) / pieceWork; pauses < least {
-		t.Errorf("%d pauses, want %d", pauses, least)
+	if minPauses := added * (nodeCost + serviceCost) / maxBatchCost; pauses < minPauses {
+		t.Errorf("%d pauses, want at least %d", pauses, minPauses)
 	}
-	const most = 8
+	const maxAllocs = 8
 	allocated := testing.AllocsPerRun(1, func() {
 		if _, err := Advance(previous, 2, changes, func() {}); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if allocated > most*more {
-		t.Errorf("%v allocations a service, want at most %d", allocated/more, most)
+	if allocated > maxAllocs*added {
+		t.Errorf("%v allocations per service, want at most %d", allocated/added, maxAllocs)
 	}
 }
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -8,7 +8,7 @@
 )
 
 // Change is one difference between two trees. An empty Before or After means
-// that the node did not give the value.
+// that the node does not set the value.
 type Change struct {
 	Path   Path   `json:"path"`
 	Key    Key    `json:"key"`
@@ -21,10 +21,10 @@
 	return fmt.Sprintf("%s %s: %q -> %q", c.Path, c.Key, c.Before, c.After)
 }
 
-// Diff returns the changes that lead from before to after, in path order. Its cost
-// beyond one look at each node grows with the differences alone.
+// Diff returns the changes that lead from before to after, in path order. Beyond one
+// comparison per node, its cost is proportional to the number of differences.
 func Diff(before, after Tree) []Change {
-	paths := differing(before, after)
+	paths := changedPaths(before, after)
 	changes := make([]Change, 0, 2*len(paths))
 	for _, path := range paths {
 		changes = appendDifferences(changes, path, before[path], after[path])
@@ -35,9 +35,9 @@
 // appendDifferences adds the changes of one node, in the order of Fields.
 func appendDifferences(changes []Change, path Path, before, after Values) []Change {
 	first := len(changes)
-	for key, now := range after {
-		if old := before[key]; old != now {
-			changes = append(changes, Change{Path: path, Key: key, Before: old, After: now})
+	for key, value := range after {
+		if old := before[key]; old != value {
+			changes = append(changes, Change{Path: path, Key: key, Before: old, After: value})
 		}
 	}
 	for key, old := range before {
@@ -49,7 +49,7 @@
 	return changes
 }
 
-// fieldOrder is where a key stands in Fields.
+// fieldOrder maps a key to its index in Fields.
 var fieldOrder = func() map[Key]int {
 	order := make(map[Key]int, len(Fields))
 	for i := range Fields {
@@ -58,8 +58,8 @@
 	return order
 }()
 
-// differing returns the paths of nodes whose own values differ, in order.
-func differing(before, after Tree) []Path {
+// changedPaths returns the paths of nodes whose own values differ, in order.
+func changedPaths(before, after Tree) []Path {
 	var paths []Path
 	for path, values := range after {
 		if !maps.Equal(values, before[path]) {
@@ -67,7 +67,7 @@
 		}
 	}
 	for path, values := range before {
-		if _, kept := after[path]; !kept && len(values) > 0 {
+		if _, present := after[path]; !present && len(values) > 0 {
 			paths = append(paths, path)
 		}
 	}
@@ -75,19 +75,19 @@
 	return paths
 }
 
-// With returns the tree with the changes made, and leaves t as it is: the two share
-// the nodes that do not differ. Missing parents are added, and a node whose last value
-// went is removed unless it has children. A change that is not allowed is an error.
+// With returns a copy of the tree with the changes applied; the two share the values of
+// unchanged nodes, and t is not modified. Missing parents are added. A node that loses its last
+// value is removed unless it has children. A change that is not allowed is an error.
 func (t Tree) With(changes []Change) (Tree, error) {
 	next := make(Tree, len(t)+len(changes))
 	maps.Copy(next, t)
-	var shared sharedValues
+	var cache valuesCache
 	var emptied []Path
 	for len(changes) > 0 {
 		var node []Change
-		node, changes = cutNode(changes)
+		node, changes = splitFirstNode(changes)
 		path := node[0].Path
-		empty, err := next.change(path, node, &shared)
+		empty, err := next.applyNode(path, node, &cache)
 		if err != nil {
 			return nil, err
 		}
@@ -99,8 +99,8 @@
 	return next, nil
 }
 
-// cutNode splits off the changes of the first node.
-func cutNode(changes []Change) (first, rest []Change) {
+// splitFirstNode splits the changes into those of the first node and the rest.
+func splitFirstNode(changes []Change) (first, rest []Change) {
 	count := 1
 	for count < len(changes) && changes[count].Path == changes[0].Path {
 		count++
@@ -108,13 +108,13 @@
 	return changes[:count], changes[count:]
 }
 
-// change makes the changes of one node in a tree that does not share it; it tells whether the
-// node has no values any more.
-func (t Tree) change(path Path, changes []Change, shared *sharedValues) (empty bool, err error) {
+// applyNode applies the changes of one node in place and reports whether the node has no values
+// left. No other tree may share the map t itself.
+func (t Tree) applyNode(path Path, changes []Change, cache *valuesCache) (empty bool, err error) {
 	if parsed, err := ParsePath(string(path)); err != nil || parsed != path {
-		return false, fmt.Errorf("%q is not a path", path)
+		return false, fmt.Errorf("invalid path %q", path)
 	}
-	values, err := withChanges(t[path], changes, shared)
+	values, err := changedValues(t[path], changes, cache)
 	if err != nil {
 		return false, err
 	}
@@ -126,23 +126,23 @@
 	return false, nil
 }
 
-// withChanges returns the values of a node with the changes made, and leaves values as they
-// are. New nodes with the same values share them.
-func withChanges(values Values, changes []Change, shared *sharedValues) (Values, error) {
+// changedValues returns a copy of a node's values with the changes applied. New nodes with equal
+// values share them.
+func changedValues(values Values, changes []Change, cache *valuesCache) (Values, error) {
 	path := changes[0].Path
 	if len(values) == 0 {
-		given, removes := shared.buffer[:0], false
+		given, removes := cache.buffer[:0], false
 		for _, change := range changes {
 			given = append(given, setting{change.Key, change.After})
 			removes = removes || change.After == ""
 		}
-		shared.buffer = given
+		cache.buffer = given
 		if !removes {
-			made, err := shared.of(path.Level(), given)
+			created, err := cache.get(path.Level(), given)
 			if err != nil {
 				err = fmt.Errorf("%s: %w", path, err)
 			}
-			return made, err
+			return created, err
 		}
 	}
 	changed := make(Values, len(values)+len(changes))
@@ -161,18 +161,18 @@
 	return changed, nil
 }
 
-// noValues are those of nodes that are there for what is below them; they are shared.
-var noValues = Values{}
+// emptyValues is shared by all nodes that exist only as parents. It must not be modified.
+var emptyValues = Values{}
 
 // addParents adds the nodes above path that are missing.
 func (t Tree) addParents(path Path) {
 	for at := path.Parent(); t[at] == nil; at = at.Parent() {
-		t[at] = noValues
+		t[at] = emptyValues
 	}
 }
 
-// prune removes those of the emptied nodes that have neither values nor children, and
-// the nodes above them that have none left.
+// prune removes the emptied nodes that have neither values nor children, and the ancestors
+// that this leaves without either.
 func (t Tree) prune(emptied []Path) {
 	if len(emptied) == 0 {
 		return
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -8,22 +8,22 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-var errMalformed = errors.New("the settings are not well formed")
+var errMalformed = errors.New("malformed settings")
 
-// nodeReader reads what encodeNodes wrote.
+// nodeReader decodes the format that encodeNodes writes.
 type nodeReader struct {
 	decoder *msgpack.Decoder
 	keys    []Key
 	common  [][]setting
-	// left counts the elements that are still to be read.
-	left int
-	// given is the memory of a node's settings, and text that of its path, reused.
-	given []setting
-	text  []byte
+	// remaining is the number of elements still to be read.
+	remaining int
+	// settings and path are buffers for the current node, reused between nodes.
+	settings []setting
+	path     []byte
 }
 
-// decodeNodes reads nodes: begin is told how many elements there are, add each node with
-// settings that it may not keep. A path that is not in canonical form is an error.
+// decodeNodes decodes a list of nodes. It calls begin with an upper bound of their number, then
+// add for each node; add must not retain given. A path that is not canonical is an error.
 func decodeNodes(decoder *msgpack.Decoder, begin func(count int), add func(path Path, given []setting) error) error {
 	parts, err := decoder.DecodeArrayLen()
 	if err != nil {
@@ -42,19 +42,19 @@
 	if err := r.readCommon(); err != nil {
 		return err
 	}
-	if r.left, err = decoder.DecodeArrayLen(); err != nil {
+	if r.remaining, err = decoder.DecodeArrayLen(); err != nil {
 		return err
 	}
-	if r.left > partsPerNode*maxNodes {
-		return fmt.Errorf("%w: %d elements", errMalformed, r.left)
+	if r.remaining > partsPerNode*maxNodes {
+		return fmt.Errorf("%w: too many elements: %d", errMalformed, r.remaining)
 	}
-	begin(r.left / partsPerNode)
+	begin(r.remaining / partsPerNode)
 	path := Path("")
-	for r.left > 0 {
+	for r.remaining > 0 {
 		if path, err = r.readNode(path); err != nil {
 			return err
 		}
-		if err := add(path, r.given); err != nil {
+		if err := add(path, r.settings); err != nil {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	if count > len(Fields) {
-		return fmt.Errorf("%w: %d keys", errMalformed, count)
+		return fmt.Errorf("%w: too many keys: %d", errMalformed, count)
 	}
 	for range max(count, 0) {
 		text, err := r.decoder.DecodeString()
@@ -89,7 +89,7 @@
 		return err
 	}
 	if count > maxNodes {
-		return fmt.Errorf("%w: %d lists of settings", errMalformed, count)
+		return fmt.Errorf("%w: too many settings lists: %d", errMalformed, count)
 	}
 	for range max(count, 0) {
 		length, err := r.decoder.DecodeArrayLen()
@@ -97,7 +97,7 @@
 			return err
 		}
 		if length > partsPerSetting*len(Fields) || length > 0 && length%partsPerSetting != 0 {
-			return fmt.Errorf("%w: %d parts of settings", errMalformed, length)
+			return fmt.Errorf("%w: invalid settings list length %d", errMalformed, length)
 		}
 		var common []setting
 		for range max(length, 0) / partsPerSetting {
@@ -113,124 +113,126 @@
 }
 
 func (r *nodeReader) readSetting() (setting, error) {
-	at, err := r.readIndex(len(r.keys))
+	index, err := r.readIndex(len(r.keys))
 	if err != nil {
 		return setting{}, err
 	}
 	value, err := r.decoder.DecodeString()
-	return setting{r.keys[at], value}, err
+	return setting{r.keys[index], value}, err
 }
 
-// readIndex reads a whole number below limit.
+// readIndex reads an integer in [0, limit).
 func (r *nodeReader) readIndex(limit int) (int, error) {
-	at, err := r.decoder.DecodeInt()
-	if err == nil && (at < 0 || at >= limit) {
-		err = fmt.Errorf("%w: %d is not below %d", errMalformed, at, limit)
+	index, err := r.decoder.DecodeInt()
+	if err == nil && (index < 0 || index >= limit) {
+		err = fmt.Errorf("%w: index %d is out of range, limit %d", errMalformed, index, limit)
 	}
-	return at, err
+	return index, err
 }
 
-// readNode reads the node that comes after the one at before; its settings are in given.
-func (r *nodeReader) readNode(before Path) (Path, error) {
-	if r.left -= partsPerNode; r.left < 0 {
+// readNode reads a node whose path is encoded relative to previous. It returns the node's path
+// and leaves its settings in r.settings.
+func (r *nodeReader) readNode(previous Path) (Path, error) {
+	if r.remaining -= partsPerNode; r.remaining < 0 {
 		return "", errMalformed
 	}
-	shared, err := r.readIndex(len(before) + 1)
+	prefixLength, err := r.readIndex(len(previous) + 1)
 	if err != nil {
 		return "", err
 	}
-	path, err := r.readRest(before[:shared])
+	path, err := r.readSuffix(previous[:prefixLength])
 	if err != nil {
 		return "", err
 	}
 	if parsed, err := ParsePath(string(path)); err != nil || parsed != path {
-		return "", fmt.Errorf("%q is not a path", path)
+		return "", fmt.Errorf("invalid path %q", path)
 	}
 	common, err := r.readIndex(len(r.common))
 	if err != nil {
 		return "", err
 	}
-	own, err := r.readIndex(len(Fields) + 1)
+	unique, err := r.readIndex(len(Fields) + 1)
 	if err != nil {
 		return "", err
 	}
-	if r.left -= partsPerSetting * own; r.left < 0 {
+	if r.remaining -= partsPerSetting * unique; r.remaining < 0 {
 		return "", errMalformed
 	}
-	r.given = append(r.given[:0], r.common[common]...)
-	for range own {
+	r.settings = append(r.settings[:0], r.common[common]...)
+	for range unique {
 		s, err := r.readSetting()
 		if err != nil {
 			return "", err
 		}
-		r.given = append(r.given, s)
+		r.settings = append(r.settings, s)
 	}
 	return path, nil
 }
 
-// readRest reads the part of a path that comes after what it shares with the one before.
-func (r *nodeReader) readRest(shared Path) (Path, error) {
+// readSuffix reads the rest of a path that starts with prefix.
+func (r *nodeReader) readSuffix(prefix Path) (Path, error) {
 	length, err := r.decoder.DecodeBytesLen()
 	if err != nil {
 		return "", err
 	}
-	if length = max(length, 0); length > maxPath {
-		return "", fmt.Errorf("%w: a path of %d bytes", errMalformed, length)
+	if length = max(length, 0); length > maxPathLength {
+		return "", fmt.Errorf("%w: path suffix of %d bytes is too long", errMalformed, length)
 	}
-	r.text = append(r.text[:0], shared...)
-	r.text = slices.Grow(r.text, length)[:len(shared)+length]
-	err = r.decoder.ReadFull(r.text[len(shared):])
-	return Path(r.text), err
+	r.path = append(r.path[:0], prefix...)
+	r.path = slices.Grow(r.path, length)[:len(prefix)+length]
+	err = r.decoder.ReadFull(r.path[len(prefix):])
+	return Path(r.path), err
 }
 
-// maxPath is more than a path may have, in bytes.
-const maxPath = (maxNameLength + 1) * int(levelCount)
+// maxPathLength is an upper bound for the length of a valid path, in bytes.
+const maxPathLength = (maxNameLength + 1) * int(levelCount)
 
-// maxShared is how many lists of settings sharedValues looks through.
-const maxShared = 8
+// maxCachedLists is the number of lists that valuesCache holds.
+const maxCachedLists = 8
 
-// sharedValues makes the values of nodes from settings; nodes with the same ones as one of the
-// last few lists share them.
-type sharedValues struct {
-	known []knownValues
-	next  int
-	// buffer is the memory of those who ask.
+// valuesCache builds the values of nodes from lists of settings. Nodes whose list equals one of
+// the last few share their values.
+type valuesCache struct {
+	entries []cachedValues
+	next    int
+	// buffer is scratch space for callers.
 	buffer []setting
 }
 
-type knownValues struct {
+type cachedValues struct {
 	level    Level
 	settings []setting
 	values   Values
 }
 
-// of returns the values of a node; settings that are not allowed at the level are an error.
-func (s *sharedValues) of(level Level, given []setting) (Values, error) {
-	for i := range s.known {
-		if known := &s.known[i]; known.level == level && slices.Equal(known.settings, given) {
-			return known.values, nil
+// get returns the values of a node of the level. A setting that is not allowed there is an error.
+// The values are shared and must not be modified.
+func (s *valuesCache) get(level Level, given []setting) (Values, error) {
+	for i := range s.entries {
+		if entry := &s.entries[i]; entry.level == level && slices.Equal(entry.settings, given) {
+			return entry.values, nil
 		}
 	}
 	values := make(Values, len(given))
-	own := false
+	unique := false
 	for _, g := range given {
 		canonical, err := canonicalAt(level, g.key, g.value)
 		if err != nil {
 			return nil, err
 		}
 		values[g.key] = canonical
-		own = own || g.key == KeyAddress
+		unique = unique || g.key == KeyAddress
 	}
-	if own {
-		// No two services or back ends have the same address.
+	if unique {
+		// Addresses are unique, so this list will not occur again.
 		return values, nil
 	}
-	known := knownValues{level, slices.Clone(given), values}
-	if len(s.known) < maxShared {
-		s.known = append(s.known, known)
+	entry := cachedValues{level, slices.Clone(given), values}
+	if len(s.entries) < maxCachedLists {
+		s.entries = append(s.entries, entry)
 	} else {
-		s.known[s.next] = known
-		s.next = (s.next + 1) % maxShared
+		s.entries[s.next] = entry
+		s.next = (s.next + 1) % maxCachedLists
 	}
 	return values, nil
 }
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// maxNodes bounds the nodes of a tree that is decoded, and its changes.
+	// maxNodes limits the nodes of a decoded tree, and the decoded changes.
 	maxNodes = 1 << 20
-	// maxSized bounds what is allocated for as many elements as a message announces.
-	maxSized = 1 << 16
-	// listParts are the parts of an encoded list: keys, common values and nodes.
+	// maxPreallocated limits the capacity allocated from an announced length, which is not trusted.
+	maxPreallocated = 1 << 16
+	// listParts is the number of parts of an encoded list: keys, common settings and nodes.
 	listParts = 3
 )
 
-// Changes are differences between two trees as balancers tell each other: by node, without
-// what was there before, and values that many nodes have are written once.
+// Changes is the form of differences between two trees that balancers send each other. Its
+// encoding groups them by node, omits the values before, and writes values common to many nodes
+// once.
 type Changes []Change
 
-// setting is one value of a node; an empty one is taken away.
+// setting is one value of a node. In changes, an empty value removes the setting.
 type setting struct {
 	key   Key
 	value string
 }
 
-// nodeSettings are the settings of one node, in one order for equal ones.
+// nodeSettings holds the settings of one node. Equal settings must be in the same order.
 type nodeSettings struct {
 	path     Path
 	settings []setting
 }
 
-// EncodeMsgpack implements msgpack.CustomEncoder: paths in order, so that equal trees are
-// equal bytes.
+// EncodeMsgpack implements msgpack.CustomEncoder. Paths are in order, so that equal trees have
+// equal encodings.
 func (t Tree) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	nodes := make([]nodeSettings, 0, len(t))
 	for _, path := range t.Paths() {
@@ -48,17 +49,17 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder. The tree is in canonical form; a path,
-// key or value that is not allowed is an error. Nodes with the same values share them:
-// most services of a large tree have groups that differ by their path alone.
+// key or value that is not allowed is an error. Nodes with equal values share them: most groups
+// of a large tree differ only in their path.
 func (t *Tree) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	*t = Tree{"": Values{}}
-	var shared sharedValues
+	var cache valuesCache
 	return decodeNodes(decoder, func(count int) {
-		*t = make(Tree, min(count, maxSized))
+		*t = make(Tree, min(count, maxPreallocated))
 		(*t)[""] = Values{}
 	}, func(path Path, given []setting) error {
 		var err error
-		(*t)[path], err = shared.of(path.Level(), given)
+		(*t)[path], err = cache.get(path.Level(), given)
 		return err
 	})
 }
@@ -76,12 +77,12 @@
 	return encodeNodes(encoder, nodes)
 }
 
-// DecodeMsgpack implements msgpack.CustomDecoder. Whether the changes are allowed shows when
-// they are made.
+// DecodeMsgpack implements msgpack.CustomDecoder. It does not check whether the values are
+// allowed; applying the changes does.
 func (c *Changes) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	*c = nil
 	return decodeNodes(decoder, func(count int) {
-		*c = make(Changes, 0, min(count, maxSized))
+		*c = make(Changes, 0, min(count, maxPreallocated))
 	}, func(path Path, given []setting) error {
 		if len(*c)+len(given) > maxNodes {
 			return fmt.Errorf("more than %d changes", maxNodes)
@@ -93,9 +94,9 @@
 	})
 }
 
-// encodeNodes writes the keys, the lists of settings that several nodes have, and for each
-// node: how many bytes its path shares with the one before, the rest of it, the list that it
-// has, and the settings that no other node has.
+// encodeNodes writes the keys, the common lists of settings, and for each node: the length of the
+// prefix that its path shares with the previous path, the rest of the path, the index of its
+// common list, the number of its unique settings, and those settings.
 func encodeNodes(encoder *msgpack.Encoder, nodes []nodeSettings) error {
 	list := newNodeList(nodes)
 	if err := encoder.EncodeArrayLen(listParts); err != nil {
@@ -110,70 +111,71 @@
 	if err := encoder.EncodeArrayLen(list.length); err != nil {
 		return err
 	}
-	before := Path("")
+	previous := Path("")
 	for i := range nodes {
-		if err := list.encodeNode(encoder, i, before); err != nil {
+		if err := list.encodeNode(encoder, i, previous); err != nil {
 			return err
 		}
-		before = nodes[i].path
+		previous = nodes[i].path
 	}
 	return nil
 }
 
-// nodeList is nodes as they are written.
+// nodeList holds nodes in the form in which they are encoded.
 type nodeList struct {
-	nodes []nodeSettings
-	keys  []Key
-	keyAt map[Key]int
-	// common are the lists of settings that nodes share; of has a node's, own what is its own.
-	common [][]setting
-	of     []int
-	own    [][]setting
-	// length counts the elements of all nodes.
+	nodes    []nodeSettings
+	keys     []Key
+	keyIndex map[Key]int
+	// common has the distinct lists of non-unique settings; commonIndex maps a node to its list,
+	// and unique has the settings that only that node has.
+	common      [][]setting
+	commonIndex []int
+	unique      [][]setting
+	// length is the number of encoded elements of all nodes.
 	length int
 }
 
-// partsPerNode and partsPerSetting are the elements that a node and a setting of it have.
+// Numbers of encoded elements of a node without its unique settings, and of one setting.
 const (
 	partsPerNode    = 4
 	partsPerSetting = 2
 )
 
 func newNodeList(nodes []nodeSettings) *nodeList {
-	list := &nodeList{nodes: nodes, keyAt: map[Key]int{}, of: make([]int, len(nodes)), own: make([][]setting, len(nodes))}
-	seen := map[setting]int{}
+	list := &nodeList{nodes: nodes, keyIndex: map[Key]int{}, commonIndex: make([]int, len(nodes)), unique: make([][]setting, len(nodes))}
+	counts := map[setting]int{}
 	for i := range nodes {
 		for _, s := range nodes[i].settings {
-			seen[s]++
+			counts[s]++
 		}
 	}
-	commonAt := map[string]int{}
-	var common, own []setting
-	var name []byte
+	indexes := map[string]int{}
+	var common, unique []setting
+	var listKey []byte
 	for i := range nodes {
-		common, name = common[:0], name[:0]
-		first := len(own)
+		common, listKey = common[:0], listKey[:0]
+		first := len(unique)
 		for _, s := range nodes[i].settings {
-			if _, known := list.keyAt[s.key]; !known {
-				list.keyAt[s.key] = len(list.keys)
+			if _, known := list.keyIndex[s.key]; !known {
+				list.keyIndex[s.key] = len(list.keys)
 				list.keys = append(list.keys, s.key)
 			}
-			if seen[s] == 1 {
-				own = append(own, s)
+			if counts[s] == 1 {
+				unique = append(unique, s)
 				continue
 			}
 			common = append(common, s)
-			name = append(append(append(append(name, s.key...), 0), s.value...), 0)
+			listKey = append(append(append(append(listKey, s.key...), 0), s.value...), 0)
 		}
-		list.own[i] = own[first:]
-		at, known := commonAt[string(name)]
+		list.unique[i] = unique[first:]
+		index, known := indexes[string(listKey)]
 		if !known {
-			at = len(list.common)
-			commonAt[string(name)] = at
+			index = len(list.common)
+			indexes[string(listKey)] = index
 			list.common = append(list.common, slices.Clone(common))
 		}
-		list.of[i] = at
-		list.length += partsPerNode + partsPerSetting*len(list.own[i])
+		list.commonIndex[i] = index
+		list.length += partsPerNode + partsPerSetting*len(list.unique[i])
 	}
 	return list
 }
@@ -207,7 +209,7 @@
 
 func (l *nodeList) encodeSettings(encoder *msgpack.Encoder, settings []setting) error {
 	for _, s := range settings {
-		if err := encoder.EncodeInt(int64(l.keyAt[s.key])); err != nil {
+		if err := encoder.EncodeInt(int64(l.keyIndex[s.key])); err != nil {
 			return err
 		}
 		if err := encoder.EncodeString(s.value); err != nil {
@@ -217,22 +219,22 @@
 	return nil
 }
 
-func (l *nodeList) encodeNode(encoder *msgpack.Encoder, i int, before Path) error {
-	path, shared := l.nodes[i].path, 0
-	for shared < len(path) && shared < len(before) && path[shared] == before[shared] {
-		shared++
+func (l *nodeList) encodeNode(encoder *msgpack.Encoder, i int, previous Path) error {
+	path, prefixLength := l.nodes[i].path, 0
+	for prefixLength < len(path) && prefixLength < len(previous) && path[prefixLength] == previous[prefixLength] {
+		prefixLength++
 	}
-	if err := encoder.EncodeInt(int64(shared)); err != nil {
+	if err := encoder.EncodeInt(int64(prefixLength)); err != nil {
 		return err
 	}
-	if err := encoder.EncodeString(string(path[shared:])); err != nil {
+	if err := encoder.EncodeString(string(path[prefixLength:])); err != nil {
 		return err
 	}
-	if err := encoder.EncodeInt(int64(l.of[i])); err != nil {
+	if err := encoder.EncodeInt(int64(l.commonIndex[i])); err != nil {
 		return err
 	}
-	if err := encoder.EncodeInt(int64(len(l.own[i]))); err != nil {
+	if err := encoder.EncodeInt(int64(len(l.unique[i]))); err != nil {
 		return err
 	}
-	return l.encodeSettings(encoder, l.own[i])
+	return l.encodeSettings(encoder, l.unique[i])
 }
--- a/internal/settings/encode_test.go
+++ b/internal/settings/encode_test.go
@@ -10,8 +10,8 @@
 	"gaugeyard/internal/fuzzinput"
 )
 
-// sent returns the changes as another balancer reads them.
-func sent(t interface{ Fatal(...any) }, changes []Change) []Change {
+// roundTrip returns the changes encoded and decoded, as another balancer receives them.
+func roundTrip(t interface{ Fatal(...any) }, changes []Change) []Change {
 	encoded, err := msgpack.Marshal(Changes(changes))
 	if err != nil {
 		t.Fatal(err)
@@ -23,16 +23,16 @@
 	return decoded
 }
 
-// TestChangesThatAreNotWellFormedAreRefused, also when they end in the midst.
-func TestChangesThatAreNotWellFormedAreRefused(t *testing.T) {
-	whole, err := msgpack.Marshal(Changes(Diff(Tree{}, discovered(t, 3))))
+// TestMalformedChangesAreRejected checks truncated and invalid encodings.
+func TestMalformedChangesAreRejected(t *testing.T) {
+	whole, err := msgpack.Marshal(Changes(Diff(Tree{}, discoveryTree(t, 3))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var decoded Changes
 	for length := range len(whole) {
 		if msgpack.Unmarshal(whole[:length], &decoded) == nil {
-			t.Errorf("the first %d of %d bytes are taken", length, len(whole))
+			t.Errorf("the first %d of %d bytes are accepted", length, len(whole))
 		}
 	}
 	none := []any{}
@@ -47,16 +47,16 @@
 			t.Fatal(err)
 		}
 		if msgpack.Unmarshal(encoded, &decoded) == nil {
-			t.Errorf("%v are taken", bad)
+			t.Errorf("%v is accepted", bad)
 		}
 	}
 }
 
-// FuzzChanges: whatever another balancer sends as changes is refused, or leads to what the changes
-// made to the whole tree lead to.
+// FuzzChanges checks that Advance rejects the same changes as With and Validate do, and otherwise
+// returns the same snapshot as resolving the whole tree.
 func FuzzChanges(f *testing.F) {
-	base := discovered(f, 4)
-	grown := discovered(f, 7)
+	base := discoveryTree(f, 4)
+	grown := discoveryTree(f, 7)
 	grown.Remove("s1")
 	_ = grown.Set("s2/any/0", KeyShare, "3")
 	var inputs [][]byte
@@ -76,20 +76,20 @@
 		previous := Resolve(base, 1)
 		got, err := Advance(previous, 2, changes, func() {})
 		tree, withErr := base.With(changes)
-		if refused := withErr != nil || len(tree.Validate()) > 0; refused != (err != nil) {
-			t.Fatalf("%v: refused %v in pieces, %v as a whole", changes, err, refused)
+		if rejected := withErr != nil || len(tree.Validate()) > 0; rejected != (err != nil) {
+			t.Fatalf("%v: Advance: %v; whole tree rejected: %v", changes, err, rejected)
 		}
 		if err != nil {
 			return
 		}
 		if want := Resolve(tree, 2); !reflect.DeepEqual(got, want) {
-			t.Fatalf("%v lead to %v, want %v", changes, got.Tree, want.Tree)
+			t.Fatalf("%v: got %v, want %v", changes, got.Tree, want.Tree)
 		}
 	})
 }
 
-// TestSettingAValueLeavesOtherNodesAsTheyAre, though nodes of a changed tree share their values.
-func TestSettingAValueLeavesOtherNodesAsTheyAre(t *testing.T) {
+// TestSetDoesNotChangeOtherNodes checks that Set copies values that nodes share.
+func TestSetDoesNotChangeOtherNodes(t *testing.T) {
 	tree, err := Tree{"": Values{}}.With([]Change{
 		{Path: "a/z/g", Key: KeyDiscover, After: "feed"}, {Path: "b/z/g", Key: KeyDiscover, After: "feed"},
 	})
@@ -99,7 +99,7 @@
 	if err := tree.Set("a/z", KeyEvacuated, "true"); err != nil {
 		t.Fatal(err)
 	}
-	if tree["b/z"][KeyEvacuated] != "" || len(noValues) != 0 {
-		t.Errorf("%v, %v", tree["b/z"], noValues)
+	if tree["b/z"][KeyEvacuated] != "" || len(emptyValues) != 0 {
+		t.Errorf("%v, %v", tree["b/z"], emptyValues)
 	}
 }
--- a/internal/settings/groups.go
+++ b/internal/settings/groups.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// groupReader resolves the groups of one tree.
-type groupReader struct {
+// groupResolver resolves the groups of one tree.
+type groupResolver struct {
 	tree Tree
-	// texts are those of the last group, and read what they say: most groups of a large tree
-	// differ by their path alone.
-	texts groupTexts
-	read  Group
+	// lastTexts and lastGroup cache the last parsed group: most groups of a large tree differ
+	// only in their path.
+	lastTexts groupTexts
+	lastGroup Group
 }
 
-// groupTexts are the values in force at a group, as text.
+// groupTexts holds the effective values of a group as text.
 type groupTexts struct {
 	discover, share, slowStart, warmUpRate, connections string
 }
 
-// of returns those of the groups whose back ends announce themselves, in the order of paths.
-func (r *groupReader) of(paths []Path) []Group {
+// resolve returns the groups whose back ends announce themselves, in the order of paths.
+func (r *groupResolver) resolve(paths []Path) []Group {
 	var groups []Group
 	for _, path := range paths {
-		texts := r.textsOf(path)
+		texts := r.effectiveTexts(path)
 		if texts.discover == "" {
 			continue
 		}
-		if texts != r.texts {
-			r.texts, r.read = texts, texts.parse()
+		if texts != r.lastTexts {
+			r.lastTexts, r.lastGroup = texts, texts.parse()
 		}
 		if groups == nil {
 			groups = make([]Group, 0, len(paths))
 		}
-		r.read.Path = path
-		groups = append(groups, r.read)
+		r.lastGroup.Path = path
+		groups = append(groups, r.lastGroup)
 	}
 	return groups
 }
 
-func (r *groupReader) textsOf(path Path) groupTexts {
+func (r *groupResolver) effectiveTexts(path Path) groupTexts {
 	zone := path.Parent()
 	levels := [...]Values{r.tree[path], r.tree[zone], r.tree[zone.Parent()], r.tree[""]}
-	inForce := func(key Key) string {
+	effective := func(key Key) string {
 		for _, values := range levels {
 			if value, given := values[key]; given {
 				return value
@@ -54,11 +54,11 @@
 	if texts.share == "" {
 		texts.share = fieldsByKey[KeyShare].Default
 	}
-	texts.slowStart, texts.warmUpRate, texts.connections = inForce(KeySlowStart), inForce(KeyWarmUpRate), inForce(KeyConnections)
+	texts.slowStart, texts.warmUpRate, texts.connections = effective(KeySlowStart), effective(KeyWarmUpRate), effective(KeyConnections)
 	return texts
 }
 
-// parse reads the texts. They are of a valid tree, so parse errors cannot occur.
+// parse converts the values to their types. The tree is valid, so parse errors cannot occur.
 func (t groupTexts) parse() Group {
 	group := Group{Discover: t.discover}
 	group.Share, _ = strconv.ParseFloat(t.share, 64)
--- a/internal/settings/index.go
+++ b/internal/settings/index.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// index lists the services of a tree, and by service the groups and back ends, in order of
+// index lists the services of a tree, and per service its groups and back ends, ordered by
 // zone, group and back end.
 type index struct {
 	services         []Path
 	groups, backends map[Path][]Path
 }
 
-// index indexes some services, and all where services is nil; work is told of each node.
-func (t Tree) index(services map[Path]bool, work func(units int)) index {
+// index indexes the given services, or all if services is nil. It calls addCost for each node.
+func (t Tree) index(services map[Path]bool, addCost func(units int)) index {
 	expected := len(services)
 	if services == nil {
-		expected = len(t) / nodesPerService
+		expected = len(t) / minNodesPerService
 	}
 	found := index{groups: make(map[Path][]Path, expected), backends: map[Path][]Path{}}
 	for path := range t {
-		work(copyWork)
+		addCost(copyCost)
 		service := path.Service()
 		if services != nil && !services[service] {
 			continue
@@ -52,7 +52,7 @@
 	}
 }
 
-// compareNodes orders nodes of one level by the nodes above them first.
+// compareNodes orders nodes of one level by their ancestors first, from the root down.
 func compareNodes(a, b Path) int {
 	if a == "" || b == "" {
 		return cmp.Compare(a, b)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -1,23 +1,23 @@
-// Package settings holds the operators' tree: services, zones, back-end groups
-// and back ends, where each child inherits its parent's values and overrides
-// only what differs. It parses, validates, resolves and compares trees. It does
+// Package settings holds the operators' settings tree: services, zones, back-end
+// groups and back ends. Each child inherits its parent's values and overrides only
+// what differs. The package parses, validates, resolves and compares trees. It does
 // no input or output.
 //
-// A Tree has what nodes themselves give, in canonical form; a Snapshot is a tree with the
-// values in force everywhere, inheritance resolved. Trees are not changed in place once
-// they are in force: With returns a changed one that shares the rest, and the Values of
-// nodes may be shared too. ValidateFrom and ResolveFrom look at what changes touch alone.
+// A Tree has the values that nodes themselves set, in canonical form. A Snapshot is a
+// tree with the effective values of every node. Trees are not modified in place once
+// they are in force: With returns a changed copy that shares unchanged nodes, and nodes
+// may share their Values. ValidateFrom and ResolveFrom process only what changes affect.
 //
 // # Usage
 //
-//	tree, faults := settings.Parse(document)
+//	tree, errs := settings.Parse(document)
 //	snapshot := settings.Resolve(tree, revision)
 //	changes := settings.Diff(tree, next)
 //	next, err := tree.With(changes)
-//	faults = next.ValidateFrom(snapshot, changes)
+//	errs = next.ValidateFrom(snapshot, changes)
 //	snapshot = settings.ResolveFrom(snapshot, next, revision, changes)
 //
-// Or the last three in one, in pieces between which the caller does something else:
+// Advance combines the last three steps, in batches between which the caller can do other work:
 //
 //	snapshot, err = settings.Advance(snapshot, revision, changes, pause)
 package settings
@@ -78,19 +78,19 @@
 	return [...]string{"root", "service", "zone", "group", "backend"}[l]
 }
 
-// childrenWord is the YAML key under which a node of the level lists its children.
-func (l Level) childrenWord() string {
+// childrenKey is the YAML key under which a node of the level lists its children.
+func (l Level) childrenKey() string {
 	return [...]string{"services", "zones", "groups", "backends", ""}[l]
 }
 
 // Field describes one setting.
 type Field struct {
 	Key Key
-	// Default is the canonical value at the root; empty means that there is none.
+	// Default is the canonical default value; empty means that there is none.
 	Default string
 	// First and Last bound the levels at which the setting may be set.
-	First, Last Level
-	// Allowed tells operators which values are accepted.
+	MinLevel, MaxLevel Level
+	// Allowed describes the accepted values, for operators.
 	Allowed string
 	// Help is one line for the reference page.
 	Help string
@@ -124,7 +124,7 @@
 	{KeyMaxDatagram, "4KiB", LevelRoot, LevelService, "64B to 60KiB", "Largest datagram accepted from a caller or back end.", canonicalSize(64, 60<<10)},
 }
 
-// fieldsByKey finds the row of a key.
+// fieldsByKey maps a key to its entry in Fields.
 var fieldsByKey = func() map[Key]*Field {
 	index := make(map[Key]*Field, len(Fields))
 	for i := range Fields {
@@ -148,11 +148,11 @@
 		return "", err
 	}
 	if address.Port() == 0 {
-		return "", fmt.Errorf("port 0")
+		return "", fmt.Errorf("port must not be 0")
 	}
 	var canonical [64]byte
 	if string(address.AppendTo(canonical[:0])) == text {
-		// Thousands are read at once, and most are in this form.
+		// Most addresses are already canonical; avoids an allocation for each.
 		return text, nil
 	}
 	return address.String(), nil
@@ -160,16 +160,16 @@
 
 func canonicalName(text string) (string, error) {
 	if !validName(text) {
-		return "", fmt.Errorf("not a name")
+		return "", fmt.Errorf("invalid name")
 	}
 	return text, nil
 }
 
-// maxLabel is the longest name that servers may announce, in bytes.
-const maxLabel = 200
+// maxLabelLength is the maximum length of a name that servers announce, in bytes.
+const maxLabelLength = 200
 
 func canonicalLabel(text string) (string, error) {
-	if text == "" || len(text) > maxLabel {
+	if text == "" || len(text) > maxLabelLength {
 		return "", fmt.Errorf("empty or too long")
 	}
 	return text, nil
@@ -178,7 +178,7 @@
 func canonicalWord(words ...string) func(string) (string, error) {
 	return func(text string) (string, error) {
 		if !slices.Contains(words, text) {
-			return "", fmt.Errorf("not one of the words")
+			return "", fmt.Errorf("not an allowed value")
 		}
 		return text, nil
 	}
@@ -228,7 +228,7 @@
 	bytes  int
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"B", 1}}
 
-// parseSize reads a size with a unit, such as 4KiB, and returns bytes.
+// parseSize parses a size with a unit, such as 4KiB, into bytes.
 func parseSize(text string) (int, error) {
 	for _, unit := range sizeUnits {
 		number, found := strings.CutSuffix(text, unit.suffix)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,21 +15,21 @@
 	"gaugeyard/internal/fuzzinput"
 )
 
-func example(t testing.TB) Tree {
+func exampleTree(t testing.TB) Tree {
 	t.Helper()
 	document, err := examples.Files.ReadFile("litera.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tree, faults := Parse(document)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	tree, errs := Parse(document)
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	return tree
 }
 
-func TestParseNamesEveryFaultWithItsLine(t *testing.T) {
-	cases := []struct{ guards, document, fault string }{
+func TestParseReportsEveryErrorWithItsLine(t *testing.T) {
+	cases := []struct{ name, document, want string }{
 		{"unknown settings", "colour: red", `line 1: /: unknown setting "colour"`},
 		{"values out of range", "slots: 0", `line 1: /: slots="0": out of range; allowed: 1 to 4096`},
 		{"durations without a unit", "flow_idle: 5", `not a duration with a unit`},
@@ -41,22 +41,22 @@
 		{"circular references", "services: {a: {address: '1.2.3.4:5', backends_from: b}, b: {address: '1.2.3.4:6', backends_from: a}}", `circular reference`},
 		{"one address for two services", "services: {a: {address: '1.2.3.4:5'}, b: {address: '1.2.3.4:5'}}", `is also the address of a`},
 		{"names with capitals", "services: {A: {address: '1.2.3.4:5'}}", `"A" is not a name`},
-		{"documents that are no mapping", "- 1", `wants a mapping`},
+		{"documents that are no mapping", "- 1", `must be a mapping of settings`},
 	}
 	for _, c := range cases {
-		_, faults := Parse([]byte(c.document))
+		_, errs := Parse([]byte(c.document))
 		found := false
-		for _, fault := range faults {
-			found = found || strings.Contains(fault.Error(), c.fault)
+		for _, err := range errs {
+			found = found || strings.Contains(err.Error(), c.want)
 		}
 		if !found {
-			t.Errorf("%s: no %q in %v", c.guards, c.fault, faults)
+			t.Errorf("%s: no error with %q in %v", c.name, c.want, errs)
 		}
 	}
 }
 
 func TestChildrenInheritAndOverride(t *testing.T) {
-	tree := example(t)
+	tree := exampleTree(t)
 	if err := tree.Set("glyphs/hala-vitan", KeySlots, "7"); err != nil {
 		t.Fatal(err)
 	}
@@ -76,29 +76,30 @@
 	}
 	snapshot := Resolve(tree, 3)
 	if len(snapshot.Backends) != 18 || len(snapshot.Services) != 3 {
-		t.Errorf("%d back ends, %d services", len(snapshot.Backends), len(snapshot.Services))
+		t.Errorf("%d back ends and %d services, want 18 and 3", len(snapshot.Backends), len(snapshot.Services))
 	}
 	glyphs, licences := snapshot.Services[0], snapshot.Services[1]
 	if glyphs.Backends[0] != licences.Backends[0] {
-		t.Error("services that share back ends do not share them")
+		t.Error("services that share back ends have different copies of them")
 	}
 }
 
-func TestFormatReadsBack(t *testing.T) {
-	tree := example(t)
+func TestFormatRoundTrip(t *testing.T) {
+	tree := exampleTree(t)
 	document, err := tree.Format()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, faults := Parse(document)
-	if len(faults) > 0 || len(Diff(tree, again)) > 0 {
-		t.Errorf("%v %v", faults, Diff(tree, again))
+	parsed, errs := Parse(document)
+	if len(errs) > 0 || len(Diff(tree, parsed)) > 0 {
+		t.Errorf("%v %v", errs, Diff(tree, parsed))
 	}
 }
 
-// TestDiffLeadsFromOneTreeToTheOther guards what balancers send each other.
-func TestDiffLeadsFromOneTreeToTheOther(t *testing.T) {
-	base := example(t)
+// TestDiffAndWithRoundTrip checks that applying Diff(before, after) to before gives after, and
+// does not modify before.
+func TestDiffAndWithRoundTrip(t *testing.T) {
+	base := exampleTree(t)
 	paths := base.Paths()
 	rapid.Check(t, func(t *rapid.T) {
 		mutate := func(tree Tree) {
@@ -123,10 +124,10 @@
 			t.Fatal(err)
 		}
 		if len(Diff(before, untouched)) > 0 || len(before) != len(untouched) {
-			t.Fatal("the tree that was changed from is not as it was")
+			t.Fatal("With modified its receiver")
 		}
 		if len(Diff(got, after)) > 0 {
-			t.Fatalf("left: %v", Diff(got, after))
+			t.Fatalf("remaining differences: %v", Diff(got, after))
 		}
 		for path := range maps.Keys(got) {
 			if path != "" && got[path.Parent()] == nil {
@@ -136,8 +137,8 @@
 	})
 }
 
-// discovered returns a tree of services whose groups discover their back ends.
-func discovered(t testing.TB, services int) Tree {
+// discoveryTree returns a tree of services whose groups discover their back ends.
+func discoveryTree(t testing.TB, services int) Tree {
 	t.Helper()
 	tree := Tree{"": Values{}}
 	for i := range services {
@@ -159,10 +160,10 @@
 	return tree
 }
 
-// TestResolvingChangesIsResolvingAll: what is taken over from the resolution before
-// must be what resolving the whole tree gives.
-func TestResolvingChangesIsResolvingAll(t *testing.T) {
-	base := discovered(t, 6)
+// TestIncrementalResolveEqualsFull checks that ResolveFrom and Advance give the same snapshot as
+// resolving the whole tree, and ValidateFrom accepts the same trees as Validate.
+func TestIncrementalResolveEqualsFull(t *testing.T) {
+	base := discoveryTree(t, 6)
 	rapid.Check(t, func(t *rapid.T) {
 		tree, snapshot := base, Resolve(base, 1)
 		for step := range rapid.IntRange(1, 4).Draw(t, "steps") {
@@ -191,14 +192,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			all, some := got.Validate(), got.ValidateFrom(snapshot, changes)
-			if (len(all) > 0) != (len(some) > 0) {
-				t.Fatalf("after %v: %v by the whole tree, %v by the changes", changes, all, some)
+			fullErrs, incrementalErrs := got.Validate(), got.ValidateFrom(snapshot, changes)
+			if (len(fullErrs) > 0) != (len(incrementalErrs) > 0) {
+				t.Fatalf("after %v: Validate: %v, ValidateFrom: %v", changes, fullErrs, incrementalErrs)
 			}
-			if (len(all) > 0) != (advanceErr != nil) {
-				t.Fatalf("after %v: %v by the whole tree, %v in pieces", changes, all, advanceErr)
+			if (len(fullErrs) > 0) != (advanceErr != nil) {
+				t.Fatalf("after %v: Validate: %v, Advance: %v", changes, fullErrs, advanceErr)
 			}
-			if len(all) > 0 {
+			if len(fullErrs) > 0 {
 				continue
 			}
 			tree, snapshot = got, ResolveFrom(snapshot, got, uint64(step+2), changes)
@@ -207,14 +208,14 @@
 				t.Fatalf("after %v:\n%+v\nwant\n%+v", changes, snapshot.Services, want.Services)
 			}
 			if !reflect.DeepEqual(advanced, want) {
-				t.Fatalf("after %v:\n%+v in pieces\nwant\n%+v", changes, advanced, want)
+				t.Fatalf("after %v: Advance:\n%+v\nwant\n%+v", changes, advanced, want)
 			}
 		}
 	})
 }
 
 func BenchmarkResolve(b *testing.B) {
-	tree := discovered(b, 3000)
+	tree := discoveryTree(b, 3000)
 	snapshot := Resolve(tree, 1)
 	changes := []Change{{Path: "s7", Key: KeyLoadFactor, After: "3"}}
 	next, err := tree.With(changes)
@@ -240,8 +241,9 @@
 	}
 }
 
-// TestReferenceIsWhole guards the operators' page against settings it lacks.
-func TestReferenceIsWhole(t *testing.T) {
+// TestReferenceListsAllSettings checks that the operators' reference has every setting and its
+// default.
+func TestReferenceListsAllSettings(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -264,16 +266,17 @@
 	}
 	fuzzinput.Add(f, document, []byte("slots: 2\nservices: {a: }"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		tree, faults := Parse(data)
-		if len(faults) == 0 {
+		tree, errs := Parse(data)
+		if len(errs) == 0 {
 			Resolve(tree, 1)
 		}
 	})
 }
 
-// TestATreeIsReadBackFromItsBytes in canonical form, with equal values shared.
-func TestATreeIsReadBackFromItsBytes(t *testing.T) {
-	for _, tree := range []Tree{example(t), discovered(t, 20), {"": Values{}}} {
+// TestTreeEncodingRoundTrip checks that a decoded tree is equal, shares equal values safely, and
+// that invalid trees are rejected.
+func TestTreeEncodingRoundTrip(t *testing.T) {
+	for _, tree := range []Tree{exampleTree(t), discoveryTree(t, 20), {"": Values{}}} {
 		encoded, err := msgpack.Marshal(tree)
 		if err != nil {
 			t.Fatal(err)
@@ -286,23 +289,23 @@
 			t.Errorf("%v\nwant\n%v", decoded, tree)
 		}
 	}
-	encoded, _ := msgpack.Marshal(discovered(t, 2))
+	encoded, _ := msgpack.Marshal(discoveryTree(t, 2))
 	var decoded Tree
 	if err := msgpack.Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	first, second := decoded["s0/any/0"], decoded["s1/any/0"]
 	if reflect.ValueOf(first).Pointer() != reflect.ValueOf(second).Pointer() {
-		t.Error("equal values are held twice")
+		t.Error("equal values are not shared")
 	}
 	changed, err := decoded.With([]Change{{Path: "s0/any/0", Key: KeyShare, After: "3"}})
 	if err != nil || changed["s0/any/0"][KeyShare] != "3" || changed["s1/any/0"][KeyShare] != "2" || decoded["s0/any/0"][KeyShare] != "2" {
-		t.Errorf("a change of one node shows in another one: %v", err)
+		t.Errorf("wrong values after changing one of two nodes that share them: %v", err)
 	}
 	for _, bad := range []Tree{{"Upper": Values{}}, {"s": Values{"weight": "1"}}, {"s": Values{"flow_idle": "never"}}, {"s": Values{"unknown": "1"}}} {
 		encoded, _ := msgpack.Marshal(bad)
 		if msgpack.Unmarshal(encoded, &decoded) == nil {
-			t.Errorf("%v is taken", bad)
+			t.Errorf("%v is accepted", bad)
 		}
 	}
 }
--- a/internal/settings/snapshot.go
+++ b/internal/settings/snapshot.go
@@ -10,11 +10,11 @@
 	"github.com/zeebo/xxh3"
 )
 
-// BackendID identifies a back end by its address, the same on every node and
+// BackendID identifies a back end by its address. It is the same on every balancer and
 // in every revision.
 type BackendID uint64
 
-// BackendIDOf returns the identifier of the back end at the address.
+// BackendIDOf returns the identifier of the back end at the address. It is never 0.
 func BackendIDOf(address netip.AddrPort) BackendID {
 	return BackendID(xxh3.HashString(address.String()) | 1)
 }
@@ -25,7 +25,7 @@
 	Path    Path
 	Zone    string
 	Address netip.AddrPort
-	// LoadAddress is where load is reported; the zero value is nowhere.
+	// LoadAddress is where the back end serves load reports; the zero value if it does not.
 	LoadAddress netip.AddrPort
 	Draining    bool
 	Weight      float64
@@ -36,8 +36,8 @@
 	DrainTime   time.Duration
 }
 
-// Service is one service with its effective settings and its back ends in
-// order of identifier.
+// Service is one service with its effective settings and its back ends, ordered
+// by identifier.
 type Service struct {
 	Name            string
 	Address         netip.AddrPort
@@ -50,7 +50,7 @@
 	RefusalRetry    time.Duration
 	MaxDatagram     int
 	Backends        []*Backend
-	// Groups are the groups whose back ends announce themselves, in order of path.
+	// Groups lists the groups whose back ends announce themselves, in order of path.
 	Groups []Group
 }
 
@@ -59,40 +59,40 @@
 	Path Path
 	// Discover is the name that the group's servers announce.
 	Discover string
-	// Share is the group's part of the service's new flows, relative to its siblings.
+	// Share is the group's share of the service's new flows, relative to the other groups.
 	Share float64
 	// SlowStart is the time over which a new back end's share grows to full.
 	SlowStart time.Duration
-	// WarmUpRate is how many new flows a second a back end gets while it warms up; 0 is no limit.
+	// WarmUpRate limits the new flows per second to a back end while it warms up; 0 means no limit.
 	WarmUpRate float64
-	// Connections is how many flows a back end holds at once.
+	// Connections is the maximum number of concurrent flows of a back end.
 	Connections int
 }
 
-// Snapshot is a resolved tree at one revision. It is read-only.
+// Snapshot is a resolved tree at one revision. It is immutable.
 type Snapshot struct {
-	// Revision counts accepted edits; a higher one replaces a lower one, never the reverse.
+	// Revision counts accepted edits. A higher revision replaces a lower one, never the reverse.
 	Revision uint64
 	Tree     Tree
 	Services []*Service
-	// Backends lists each back end once, also when services share it.
+	// Backends has each back end once, even if several services share it.
 	Backends  map[BackendID]*Backend
 	byAddress map[netip.AddrPort]*Service
-	// references is set where a service uses the back ends of another one.
+	// references is set if a service uses the back ends of another one.
 	references bool
 }
 
-// ServiceAt returns the service of the address, or nil.
+// ServiceAt returns the service at the address, or nil if there is none.
 func (s *Snapshot) ServiceAt(address netip.AddrPort) *Service {
 	return s.byAddress[address]
 }
 
 // Resolve computes the effective settings of a valid tree.
 func Resolve(tree Tree, revision uint64) *Snapshot {
-	index := tree.index(nil, noWork)
+	index := tree.index(nil, ignoreCost)
 	snapshot := newSnapshot(tree, revision, len(index.services))
 	inherited := resolveService(tree, "", &Service{})
-	groups := groupReader{tree: tree}
+	groups := groupResolver{tree: tree}
 	slices.Sort(index.services)
 	for _, path := range index.services {
 		snapshot.addService(snapshot.resolve(&index, &groups, path, inherited))
@@ -100,13 +100,13 @@
 	return snapshot
 }
 
-// ResolveFrom computes the effective settings of a valid tree that the changes led to
-// from that of previous. Services that the changes do not touch are taken from there,
-// so that the cost of one edit does not grow with all that is resolved.
+// ResolveFrom computes the effective settings of a valid tree that results from applying
+// the changes to the tree of previous. Where possible it reuses the services that the
+// changes do not affect, which bounds the cost of a small edit in a large tree.
 func ResolveFrom(previous *Snapshot, tree Tree, revision uint64, changes []Change) *Snapshot {
 	touched := touchedServices(changes)
-	if touched[""] || len(previous.Backends) > 0 || hasBackend(changes) || tree.hasReferences(previous.Services, touched) {
-		// The root is inherited by all, and services may share back ends and groups.
+	if touched[""] || len(previous.Backends) > 0 || changesBackend(changes) || tree.hasReferences(previous.Services, touched) {
+		// All services inherit from the root, and services may share back ends and groups.
 		return Resolve(tree, revision)
 	}
 	snapshot := newSnapshot(tree, revision, len(previous.Services)+len(touched))
@@ -115,9 +115,9 @@
 			snapshot.addService(service)
 		}
 	}
-	index := previous.indexOf(tree, touched, changes)
+	index := previous.indexTouched(tree, touched, changes)
 	inherited := resolveService(tree, "", &Service{})
-	groups := groupReader{tree: tree}
+	groups := groupResolver{tree: tree}
 	for path := range touched {
 		if tree[path] != nil {
 			snapshot.addService(snapshot.resolve(&index, &groups, path, inherited))
@@ -127,15 +127,15 @@
 	return snapshot
 }
 
-// noWork is for work that is done in one go.
-func noWork(int) {}
+// ignoreCost is the cost callback of callers that do not pause.
+func ignoreCost(int) {}
 
-// indexOf indexes the touched services of a tree without back ends of its own. All of a
-// service that is new is among the changes, so that the rest needs no look.
-func (s *Snapshot) indexOf(tree Tree, touched map[Path]bool, changes []Change) index {
+// indexTouched indexes the touched services of a tree without back ends. If all of them are new,
+// the changes contain all their nodes, and the tree is not scanned.
+func (s *Snapshot) indexTouched(tree Tree, touched map[Path]bool, changes []Change) index {
 	for path := range touched {
 		if s.Tree[path] != nil {
-			return tree.index(touched, noWork)
+			return tree.index(touched, ignoreCost)
 		}
 	}
 	found := index{groups: make(map[Path][]Path, len(touched))}
@@ -148,7 +148,7 @@
 	return found
 }
 
-// hasReferences tells whether one of the services uses the back ends of another one.
+// hasReferences reports whether one of the services uses the back ends of another one.
 func (t Tree) hasReferences(services []*Service, touched map[Path]bool) bool {
 	for _, service := range services {
 		if _, given := t[Path(service.Name)][KeyBackendsFrom]; given {
@@ -178,18 +178,18 @@
 	s.byAddress[service.Address] = service
 }
 
-// resolve computes one service; inherited has the values in force at the root.
-func (s *Snapshot) resolve(index *index, groups *groupReader, path Path, inherited *Service) *Service {
+// resolve computes one service; inherited has the effective values at the root.
+func (s *Snapshot) resolve(index *index, groups *groupResolver, path Path, inherited *Service) *Service {
 	service := resolveService(s.Tree, path, inherited)
-	root := backendsRoot(s.Tree, path)
+	root := backendsOwner(s.Tree, path)
 	s.references = s.references || root != path
 	service.Backends = s.resolveBackends(s.Tree, index.backends[root])
-	service.Groups = groups.of(index.groups[root])
+	service.Groups = groups.resolve(index.groups[root])
 	return service
 }
 
-// backendsRoot follows backends_from to the service that lists the back ends.
-func backendsRoot(tree Tree, path Path) Path {
+// backendsOwner follows backends_from to the service that defines the back ends.
+func backendsOwner(tree Tree, path Path) Path {
 	for {
 		next, given := tree[path][KeyBackendsFrom]
 		if !given {
@@ -199,12 +199,12 @@
 	}
 }
 
-// resolveService reads the values in force at path: its own, else those inherited.
-// At the root, which inherits from none, those are the defaults.
+// resolveService returns the effective values at path: its own, else the inherited ones.
+// The root falls back to the defaults.
 func resolveService(tree Tree, path Path, inherited *Service) *Service {
 	service := *inherited
 	service.Name = path.Name()
-	read := ownReader{values: tree[path], root: path == ""}
+	read := localReader{values: tree[path], root: path == ""}
 	read.address(KeyAddress, &service.Address)
 	read.duration(KeyRequestDeadline, &service.RequestDeadline)
 	read.duration(KeyRequestLifetime, &service.RequestLifetime)
@@ -217,15 +217,15 @@
 	return &service
 }
 
-// ownReader reads the values that one node gives itself, or the defaults at the root,
-// into fields; where there is none the field keeps what it has. The tree is valid, so
-// parse errors cannot occur and are not returned.
-type ownReader struct {
+// localReader parses the values that one node itself sets, or the defaults at the root, into
+// fields. It leaves a field unchanged if there is no value. The tree is valid, so parse errors
+// cannot occur and are not returned.
+type localReader struct {
 	values Values
 	root   bool
 }
 
-func (r ownReader) text(key Key) (string, bool) {
+func (r localReader) text(key Key) (string, bool) {
 	if value, given := r.values[key]; given {
 		return value, true
 	}
@@ -236,31 +236,31 @@
 	return value, value != ""
 }
 
-func (r ownReader) address(key Key, field *netip.AddrPort) {
+func (r localReader) address(key Key, field *netip.AddrPort) {
 	if text, given := r.text(key); given {
 		*field, _ = netip.ParseAddrPort(text)
 	}
 }
 
-func (r ownReader) duration(key Key, field *time.Duration) {
+func (r localReader) duration(key Key, field *time.Duration) {
 	if text, given := r.text(key); given {
 		*field, _ = time.ParseDuration(text)
 	}
 }
 
-func (r ownReader) float(key Key, field *float64) {
+func (r localReader) float(key Key, field *float64) {
 	if text, given := r.text(key); given {
 		*field, _ = strconv.ParseFloat(text, 64)
 	}
 }
 
-func (r ownReader) bool(key Key, field *bool) {
+func (r localReader) bool(key Key, field *bool) {
 	if text, given := r.text(key); given {
 		*field = text == "true"
 	}
 }
 
-func (r ownReader) size(key Key, field *int) {
+func (r localReader) size(key Key, field *int) {
 	if text, given := r.text(key); given {
 		*field, _ = parseSize(text)
 	}
@@ -283,7 +283,7 @@
 }
 
 func resolveBackend(tree Tree, path Path, zone string, evacuated bool) *Backend {
-	reader := reader{tree, path}
+	reader := effectiveReader{tree, path}
 	address := reader.address(KeyAddress)
 	return &Backend{
 		LoadAddress: reader.address(KeyLoadAddress),
@@ -301,34 +301,34 @@
 	}
 }
 
-// reader gives typed effective values of one node. The tree is valid, so
+// effectiveReader returns the effective values of one node as their types. The tree is valid, so
 // parse errors cannot occur and are not returned.
-type reader struct {
+type effectiveReader struct {
 	tree Tree
 	path Path
 }
 
-func (r reader) text(key Key) string {
+func (r effectiveReader) text(key Key) string {
 	value, _ := r.tree.Effective(r.path, key)
 	return value
 }
 
-func (r reader) address(key Key) netip.AddrPort {
+func (r effectiveReader) address(key Key) netip.AddrPort {
 	address, _ := netip.ParseAddrPort(r.text(key))
 	return address
 }
 
-func (r reader) duration(key Key) time.Duration {
+func (r effectiveReader) duration(key Key) time.Duration {
 	value, _ := time.ParseDuration(r.text(key))
 	return value
 }
 
-func (r reader) float(key Key) float64 {
+func (r effectiveReader) float(key Key) float64 {
 	value, _ := strconv.ParseFloat(r.text(key), 64)
 	return value
 }
 
-func (r reader) int(key Key) int {
+func (r effectiveReader) int(key Key) int {
 	value, _ := strconv.Atoi(r.text(key))
 	return value
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -15,8 +15,8 @@
 
 const maxNameLength = 64
 
-// validName tells whether the name is of lower-case letters, digits, '.' and '-',
-// with a letter or digit at both ends.
+// validName reports whether the name consists of lower-case letters, digits, '.' and '-',
+// starts and ends with a letter or digit, and has at most maxNameLength bytes.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
@@ -33,7 +33,7 @@
 	return c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
 }
 
-// Level returns the depth of the path; deeper paths than a back end's are not valid.
+// Level returns the depth of the path. Paths below the back-end level are invalid.
 func (p Path) Level() Level {
 	if p == "" {
 		return LevelRoot
@@ -58,7 +58,7 @@
 	return p + "/" + Path(name)
 }
 
-// Service returns the path of the service that the node belongs to; the root's is the root.
+// Service returns the path of the service that the node belongs to; for the root, the root.
 func (p Path) Service() Path {
 	if at := strings.IndexByte(string(p), '/'); at >= 0 {
 		return p[:at]
@@ -79,7 +79,7 @@
 	return string(p)
 }
 
-// ParsePath reads a path as operators write it.
+// ParsePath parses a path as operators write it; slashes at its ends are ignored.
 func ParsePath(text string) (Path, error) {
 	trimmed := strings.Trim(text, "/")
 	if trimmed == "" {
@@ -97,10 +97,10 @@
 	return path, nil
 }
 
-// Values are the settings that a node itself gives, in canonical form.
+// Values holds the settings that a node itself sets, in canonical form.
 type Values map[Key]string
 
-// Tree is the whole of the operators' settings: a node for each path.
+// Tree holds the operators' settings: the values of each node by path.
 type Tree map[Path]Values
 
 // Clone returns a deep copy.
@@ -117,14 +117,14 @@
 	return slices.Sorted(maps.Keys(t))
 }
 
-// Set gives the node at path its own value, creating the node. It returns an
-// error that names path, key, value and what is allowed.
+// Set sets a value on the node at path and creates the node if it is missing. The error
+// names path, key, value and the allowed values.
 func (t Tree) Set(path Path, key Key, text string) error {
 	canonical, err := canonicalAt(path.Level(), key, text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	// Nodes of a tree that was decoded or changed share their values.
+	// Nodes may share their values, so they are copied.
 	values := maps.Clone(t[path])
 	if values == nil {
 		values = Values{}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// canonicalAt returns the canonical form of a value that is set on a node of the level, or why
-// it is not allowed.
+// canonicalAt returns the canonical form of a value for a node of the level, or an error if the
+// value is not allowed there.
 func canonicalAt(level Level, key Key, text string) (string, error) {
 	field := fieldsByKey[key]
 	if field == nil {
@@ -144,7 +144,7 @@
 	if level >= levelCount {
 		return "", fmt.Errorf("at most service/zone/group/backend")
 	}
-	if level < field.First || level > field.Last || (key == KeyAddress && level != LevelService && level != LevelBackend) {
+	if level < field.MinLevel || level > field.MaxLevel || (key == KeyAddress && level != LevelService && level != LevelBackend) {
 		return "", fmt.Errorf("%s cannot be set on a %s", key, level)
 	}
 	canonical, err := field.canonical(text)
@@ -154,7 +154,8 @@
 	return canonical, nil
 }
 
-// Parse reads a tree from YAML. It returns every fault found, each with its line.
+// Parse parses a tree from YAML and validates it. It returns every error found. Errors in names and
+// values carry their line; those that Validate finds do not.
 func Parse(document []byte) (Tree, []error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(document, &root); err != nil {
@@ -164,11 +165,11 @@
 	if len(root.Content) == 0 {
 		return tree, nil
 	}
-	faults := parseNode(tree, "", root.Content[0])
-	if len(faults) == 0 {
-		faults = tree.Validate()
+	errs := parseNode(tree, "", root.Content[0])
+	if len(errs) == 0 {
+		errs = tree.Validate()
 	}
-	return tree, faults
+	return tree, errs
 }
 
 func parseNode(tree Tree, path Path, node *yaml.Node) []error {
@@ -177,52 +178,52 @@
 		return nil
 	}
 	if node.Kind != yaml.MappingNode {
-		return []error{fmt.Errorf("line %d: %s: wants a mapping of settings", node.Line, path)}
+		return []error{fmt.Errorf("line %d: %s: must be a mapping of settings", node.Line, path)}
 	}
 	if tree[path] == nil {
 		tree[path] = Values{}
 	}
-	var faults []error
+	var errs []error
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name, value := node.Content[i], node.Content[i+1]
-		if name.Value == path.Level().childrenWord() && name.Value != "" {
-			faults = append(faults, parseChildren(tree, path, value)...)
+		if name.Value == path.Level().childrenKey() && name.Value != "" {
+			errs = append(errs, parseChildren(tree, path, value)...)
 			continue
 		}
 		if value.Kind != yaml.ScalarNode {
-			faults = append(faults, fmt.Errorf("line %d: %s: %s: unknown setting, or wants a single value", name.Line, path, name.Value))
+			errs = append(errs, fmt.Errorf("line %d: %s: %s: unknown setting, or not a single value", name.Line, path, name.Value))
 			continue
 		}
-		if _, twice := tree[path][Key(name.Value)]; twice {
-			faults = append(faults, fmt.Errorf("line %d: %s: %s: given twice", name.Line, path, name.Value))
+		if _, duplicate := tree[path][Key(name.Value)]; duplicate {
+			errs = append(errs, fmt.Errorf("line %d: %s: %s: given twice", name.Line, path, name.Value))
 			continue
 		}
 		if err := tree.Set(path, Key(name.Value), value.Value); err != nil {
-			faults = append(faults, fmt.Errorf("line %d: %w", name.Line, err))
+			errs = append(errs, fmt.Errorf("line %d: %w", name.Line, err))
 		}
 	}
-	return faults
+	return errs
 }
 
 func parseChildren(tree Tree, path Path, node *yaml.Node) []error {
 	if node.Kind != yaml.MappingNode {
-		return []error{fmt.Errorf("line %d: %s: %s wants a mapping from names", node.Line, path, path.Level().childrenWord())}
+		return []error{fmt.Errorf("line %d: %s: %s must be a mapping from names", node.Line, path, path.Level().childrenKey())}
 	}
-	var faults []error
+	var errs []error
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name, child := node.Content[i], node.Content[i+1]
 		if !validName(name.Value) {
-			faults = append(faults, fmt.Errorf("line %d: %s: %q is not a name", name.Line, path, name.Value))
+			errs = append(errs, fmt.Errorf("line %d: %s: %q is not a name", name.Line, path, name.Value))
 			continue
 		}
 		childPath := path.Child(name.Value)
 		if tree[childPath] != nil {
-			faults = append(faults, fmt.Errorf("line %d: %s: given twice", name.Line, childPath))
+			errs = append(errs, fmt.Errorf("line %d: %s: given twice", name.Line, childPath))
 			continue
 		}
-		faults = append(faults, parseNode(tree, childPath, child)...)
+		errs = append(errs, parseNode(tree, childPath, child)...)
 	}
-	return faults
+	return errs
 }
 
 // Format writes the tree as YAML in canonical order; Parse reads it back.
@@ -234,7 +235,7 @@
 	node := &yaml.Node{Kind: yaml.MappingNode}
 	for _, field := range Fields {
 		if value, given := t[path][field.Key]; given {
-			node.Content = append(node.Content, scalar(string(field.Key)), scalar(value))
+			node.Content = append(node.Content, scalarNode(string(field.Key)), scalarNode(value))
 		}
 	}
 	children := t.children(path)
@@ -243,13 +244,13 @@
 	}
 	list := &yaml.Node{Kind: yaml.MappingNode}
 	for _, child := range children {
-		list.Content = append(list.Content, scalar(child.Name()), t.yamlNode(child))
+		list.Content = append(list.Content, scalarNode(child.Name()), t.yamlNode(child))
 	}
-	node.Content = append(node.Content, scalar(path.Level().childrenWord()), list)
+	node.Content = append(node.Content, scalarNode(path.Level().childrenKey()), list)
 	return node
 }
 
-func scalar(value string) *yaml.Node {
+func scalarNode(value string) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Value: value}
 }
 
@@ -265,17 +266,17 @@
 	return children
 }
 
-// Effective returns the value in force at path and the path it comes from.
-// The source is "default" when no node gives the value; the value is empty
-// when there is no default either.
+// Effective returns the effective value at path and the path of the node that sets it.
+// The source is "default" if no node sets the value; the value is empty if there is no
+// default either.
 func (t Tree) Effective(path Path, key Key) (value, source string) {
 	field, _ := FieldOf(key)
-	inherited := field.First < field.Last && key != KeyAddress
+	inheritable := field.MinLevel < field.MaxLevel && key != KeyAddress
 	for at := path; ; at = at.Parent() {
 		if value, given := t[at][key]; given {
 			return value, at.String()
 		}
-		if at == "" || !inherited {
+		if at == "" || !inheritable {
 			return field.Default, "default"
 		}
 	}
@@ -290,23 +291,23 @@
 	}
 }
 
-// Checked returns the tree in canonical form, or its first fault. It is for
-// trees that come from outside, such as from the store.
+// Normalize returns the tree in canonical form, or the first error found. It is for
+// trees from external sources, such as the store.
 func Checked(tree Tree) (Tree, error) {
-	checked := Tree{"": Values{}}
+	normalized := Tree{"": Values{}}
 	for _, path := range tree.Paths() {
 		if parsed, err := ParsePath(string(path)); err != nil || parsed != path {
-			return nil, fmt.Errorf("%q is not a path", path)
+			return nil, fmt.Errorf("invalid path %q", path)
 		}
-		checked[path] = Values{}
+		normalized[path] = Values{}
 		for _, key := range slices.Sorted(maps.Keys(tree[path])) {
-			if err := checked.Set(path, key, tree[path][key]); err != nil {
+			if err := normalized.Set(path, key, tree[path][key]); err != nil {
 				return nil, err
 			}
 		}
 	}
-	if faults := checked.Validate(); len(faults) > 0 {
-		return nil, faults[0]
+	if errs := normalized.Validate(); len(errs) > 0 {
+		return nil, errs[0]
 	}
-	return checked, nil
+	return normalized, nil
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -8,55 +8,55 @@
 	"slices"
 )
 
-// fault is what is wrong at one node.
-type fault struct {
+// nodeError is an error at one node.
+type nodeError struct {
 	path Path
 	err  error
 }
 
-// Validate returns every fault of the tree as a whole, in path order: missing parents
-// and addresses, addresses given twice, dangling and circular references.
+// Validate returns every error of the tree as a whole, in path order: missing parents and
+// addresses, duplicate addresses, dangling and circular references. It does not check values.
 func (t Tree) Validate() []error {
-	var faults []fault
-	note := func(path Path, err error) {
+	var nodeErrs []nodeError
+	add := func(path Path, err error) {
 		if err != nil {
-			faults = append(faults, fault{path, err})
+			nodeErrs = append(nodeErrs, nodeError{path, err})
 		}
 	}
-	services := &addresses{first: make(map[string]Path, len(t)/nodesPerService)}
+	services := &addresses{first: make(map[string]Path, len(t)/minNodesPerService)}
 	backends := &addresses{first: map[string]Path{}}
 	for path := range t {
 		if path != "" && t[path.Parent()] == nil {
-			note(path, fmt.Errorf("%s: parent %s does not exist", path, path.Parent()))
+			add(path, fmt.Errorf("%s: parent %s does not exist", path, path.Parent()))
 		}
 		switch path.Level() {
 		case LevelService:
-			note(path, t.noteAddress(path, services))
-			note(path, t.validateReference(path))
+			add(path, t.recordAddress(path, services))
+			add(path, t.validateReference(path))
 		case LevelBackend:
-			note(path, t.noteAddress(path, backends))
+			add(path, t.recordAddress(path, backends))
 		}
 	}
 	for _, seen := range []*addresses{services, backends} {
-		faults = append(faults, seen.twice()...)
+		nodeErrs = append(nodeErrs, seen.duplicates()...)
 	}
-	slices.SortStableFunc(faults, func(a, b fault) int { return cmp.Compare(a.path, b.path) })
+	slices.SortStableFunc(nodeErrs, func(a, b nodeError) int { return cmp.Compare(a.path, b.path) })
 	var errs []error
-	for _, f := range faults {
-		errs = append(errs, f.err)
+	for _, nodeErr := range nodeErrs {
+		errs = append(errs, nodeErr.err)
 	}
 	return errs
 }
 
-// ValidateFrom returns the faults of a tree that With made, by the changes, from the
-// valid tree of previous. It looks at what the changes touch alone, where that is
-// enough; a tree with back ends of its own or references is validated as a whole.
+// ValidateFrom returns the errors of a tree that With made from the valid tree of previous by
+// applying the changes. It checks only the services that the changes affect, except that a tree
+// with back ends or references is validated as a whole.
 func (t Tree) ValidateFrom(previous *Snapshot, changes []Change) []error {
 	touched := touchedServices(changes)
-	if len(previous.Backends) > 0 || hasBackend(changes) || t.hasReferences(previous.Services, touched) {
+	if len(previous.Backends) > 0 || changesBackend(changes) || t.hasReferences(previous.Services, touched) {
 		return t.Validate()
 	}
-	var faults []error
+	var errs []error
 	seen := map[netip.AddrPort]Path{}
 	for _, path := range slices.Sorted(maps.Keys(touched)) {
 		if path == "" || t[path] == nil {
@@ -64,7 +64,7 @@
 		}
 		address, err := netip.ParseAddrPort(t[path][KeyAddress])
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: address is missing", path))
+			errs = append(errs, fmt.Errorf("%s: address is missing", path))
 			continue
 		}
 		other := seen[address]
@@ -72,18 +72,18 @@
 			other = Path(known.Name)
 		}
 		if other != "" {
-			faults = append(faults, fmt.Errorf("%s: address=%q is also the address of %s", path, address, other))
+			errs = append(errs, fmt.Errorf("%s: address=%q is also the address of %s", path, address, other))
 		}
 		seen[address] = path
 	}
-	return faults
+	return errs
 }
 
-func hasBackend(changes []Change) bool {
+func changesBackend(changes []Change) bool {
 	return slices.ContainsFunc(changes, func(change Change) bool { return change.Path.Level() >= LevelBackend })
 }
 
-// touchedServices are those with a change at or below them; "" stands for the root.
+// touchedServices returns the services with a change at or below them; "" stands for the root.
 func touchedServices(changes []Change) map[Path]bool {
 	touched := map[Path]bool{}
 	for _, change := range changes {
@@ -92,24 +92,24 @@
 	return touched
 }
 
-// nodesPerService is the least number of nodes that a service with a group has.
-const nodesPerService = 3
+// minNodesPerService is the minimum number of nodes of a service with a group.
+const minNodesPerService = 3
 
-// addresses has the first node of each address, in path order, and all others that
-// give it too.
+// addresses maps each address to its first node in path order, and to all further nodes with
+// the same address.
 type addresses struct {
 	first  map[string]Path
 	others map[string][]Path
 }
 
-// noteAddress enters the node's address, or returns that it is missing.
-func (t Tree) noteAddress(path Path, seen *addresses) error {
+// recordAddress adds the node's address to seen. It returns an error if the node has none.
+func (t Tree) recordAddress(path Path, seen *addresses) error {
 	address, given := t[path][KeyAddress]
 	if !given {
 		return fmt.Errorf("%s: address is missing", path)
 	}
-	first, taken := seen.first[address]
-	if !taken {
+	first, found := seen.first[address]
+	if !found {
 		seen.first[address] = path
 		return nil
 	}
@@ -121,16 +121,16 @@
 	return nil
 }
 
-// twice returns a fault for each node that gives an address of an earlier one.
-func (a *addresses) twice() []fault {
-	var faults []fault
+// duplicates returns an error for each node whose address an earlier node has.
+func (a *addresses) duplicates() []nodeError {
+	var nodeErrs []nodeError
 	for address, paths := range a.others {
 		for _, path := range paths {
 			err := fmt.Errorf("%s: address=%q is also the address of %s", path, address, a.first[address])
-			faults = append(faults, fault{path, err})
+			nodeErrs = append(nodeErrs, nodeError{path, err})
 		}
 	}
-	return faults
+	return nodeErrs
 }
 
 func (t Tree) validateReference(path Path) error {
@@ -139,7 +139,7 @@
 		return nil
 	}
 	if len(t.children(path)) > 0 {
-		return fmt.Errorf("%s: has backends_from and zones of its own; only one is allowed", path)
+		return fmt.Errorf("%s: backends_from and zones are mutually exclusive", path)
 	}
 	visited := []Path{path}
 	for at := Path(name); ; {
@@ -150,8 +150,8 @@
 			return fmt.Errorf("%s: backends_from=%q: circular reference through %s", path, name, at)
 		}
 		visited = append(visited, at)
-		next, more := t[at][KeyBackendsFrom]
-		if !more {
+		next, given := t[at][KeyBackendsFrom]
+		if !given {
 			return nil
 		}
 		at = Path(next)
