--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -127,9 +127,9 @@
 	}
 	newest := datapath.Push{}
 	for _, machine := range machines[:min(len(machines), maxSettingsQueries)] {
-		var push datapath.Push
-		if getJSON(ctx, machine, "/settings", &push) == nil && push.Head.Revision > newest.Head.Revision {
-			newest = push
+		var reply datapath.Push
+		if getJSON(ctx, machine, "/settings", &reply) == nil && reply.Head.Revision > newest.Head.Revision {
+			newest = reply
 		}
 	}
 	return newest.Tree, newest.Head.Revision
--- a/internal/operator/write.go
+++ b/internal/operator/write.go
@@ -70,7 +70,7 @@
 			return nil
 		}
 		for _, key := range c.Keys {
-			if _, given := tree[path][settings.Key(key)]; !given {
+			if _, ok := tree[path][settings.Key(key)]; !ok {
 				return fmt.Errorf("%s: %s is not set here", path, key)
 			}
 			delete(tree[path], settings.Key(key))
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -41,7 +41,7 @@
 		}
 	}
 	for key, old := range before {
-		if _, kept := after[key]; !kept && old != "" {
+		if _, present := after[key]; !present && old != "" {
 			changes = append(changes, Change{Path: path, Key: key, Before: old})
 		}
 	}
@@ -131,14 +131,14 @@
 func changedValues(values Values, changes []Change, cache *valuesCache) (Values, error) {
 	path := changes[0].Path
 	if len(values) == 0 {
-		given, removes := cache.buffer[:0], false
+		list, hasRemoval := cache.buffer[:0], false
 		for _, change := range changes {
-			given = append(given, setting{change.Key, change.After})
-			removes = removes || change.After == ""
+			list = append(list, setting{change.Key, change.After})
+			hasRemoval = hasRemoval || change.After == ""
 		}
-		cache.buffer = given
-		if !removes {
-			created, err := cache.get(path.Level(), given)
+		cache.buffer = list
+		if !hasRemoval {
+			created, err := cache.get(path.Level(), list)
 			if err != nil {
 				err = fmt.Errorf("%s: %w", path, err)
 			}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -23,8 +23,8 @@
 }
 
 // decodeNodes decodes a list of nodes. It calls begin with an upper bound of their number, then
-// add for each node; add must not retain given. A path that is not canonical is an error.
-func decodeNodes(decoder *msgpack.Decoder, begin func(count int), add func(path Path, given []setting) error) error {
+// add for each node; add must not retain its list. A path that is not canonical is an error.
+func decodeNodes(decoder *msgpack.Decoder, begin func(count int), add func(path Path, list []setting) error) error {
 	parts, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -207,15 +207,15 @@
 
 // get returns the values of a node of the level. A setting that is not allowed there is an error.
 // The values are shared and must not be modified.
-func (s *valuesCache) get(level Level, given []setting) (Values, error) {
+func (s *valuesCache) get(level Level, list []setting) (Values, error) {
 	for i := range s.entries {
-		if entry := &s.entries[i]; entry.level == level && slices.Equal(entry.settings, given) {
+		if entry := &s.entries[i]; entry.level == level && slices.Equal(entry.settings, list) {
 			return entry.values, nil
 		}
 	}
-	values := make(Values, len(given))
+	values := make(Values, len(list))
 	unique := false
-	for _, g := range given {
+	for _, g := range list {
 		canonical, err := canonicalAt(level, g.key, g.value)
 		if err != nil {
 			return nil, err
@@ -227,7 +227,7 @@
 		// Addresses are unique, so this list will not occur again.
 		return values, nil
 	}
-	entry := cachedValues{level, slices.Clone(given), values}
+	entry := cachedValues{level, slices.Clone(list), values}
 	if len(s.entries) < maxCachedLists {
 		s.entries = append(s.entries, entry)
 	} else {
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -57,9 +57,9 @@
 	return decodeNodes(decoder, func(count int) {
 		*t = make(Tree, min(count, maxPreallocated))
 		(*t)[""] = Values{}
-	}, func(path Path, given []setting) error {
+	}, func(path Path, list []setting) error {
 		var err error
-		(*t)[path], err = cache.get(path.Level(), given)
+		(*t)[path], err = cache.get(path.Level(), list)
 		return err
 	})
 }
@@ -83,11 +83,11 @@
 	*c = nil
 	return decodeNodes(decoder, func(count int) {
 		*c = make(Changes, 0, min(count, maxPreallocated))
-	}, func(path Path, given []setting) error {
-		if len(*c)+len(given) > maxNodes {
+	}, func(path Path, list []setting) error {
+		if len(*c)+len(list) > maxNodes {
 			return fmt.Errorf("more than %d changes", maxNodes)
 		}
-		for _, s := range given {
+		for _, s := range list {
 			*c = append(*c, Change{Path: path, Key: s.key, After: s.value})
 		}
 		return nil
--- a/internal/settings/groups.go
+++ b/internal/settings/groups.go
@@ -44,7 +44,7 @@
 	levels := [...]Values{r.tree[path], r.tree[zone], r.tree[zone.Parent()], r.tree[""]}
 	effective := func(key Key) string {
 		for _, values := range levels {
-			if value, given := values[key]; given {
+			if value, ok := values[key]; ok {
 				return value
 			}
 		}
--- a/internal/settings/snapshot.go
+++ b/internal/settings/snapshot.go
@@ -151,12 +151,12 @@
 // hasReferences reports whether one of the services uses the back ends of another one.
 func (t Tree) hasReferences(services []*Service, touched map[Path]bool) bool {
 	for _, service := range services {
-		if _, given := t[Path(service.Name)][KeyBackendsFrom]; given {
+		if _, ok := t[Path(service.Name)][KeyBackendsFrom]; ok {
 			return true
 		}
 	}
 	for path := range touched {
-		if _, given := t[path][KeyBackendsFrom]; given {
+		if _, ok := t[path][KeyBackendsFrom]; ok {
 			return true
 		}
 	}
@@ -191,8 +191,8 @@
 // backendsOwner follows backends_from to the service that defines the back ends.
 func backendsOwner(tree Tree, path Path) Path {
 	for {
-		next, given := tree[path][KeyBackendsFrom]
-		if !given {
+		next, ok := tree[path][KeyBackendsFrom]
+		if !ok {
 			return path
 		}
 		path = Path(next)
@@ -226,7 +226,7 @@
 }
 
 func (r localReader) text(key Key) (string, bool) {
-	if value, given := r.values[key]; given {
+	if value, ok := r.values[key]; ok {
 		return value, true
 	}
 	if !r.root {
@@ -237,31 +237,31 @@
 }
 
 func (r localReader) address(key Key, field *netip.AddrPort) {
-	if text, given := r.text(key); given {
+	if text, ok := r.text(key); ok {
 		*field, _ = netip.ParseAddrPort(text)
 	}
 }
 
 func (r localReader) duration(key Key, field *time.Duration) {
-	if text, given := r.text(key); given {
+	if text, ok := r.text(key); ok {
 		*field, _ = time.ParseDuration(text)
 	}
 }
 
 func (r localReader) float(key Key, field *float64) {
-	if text, given := r.text(key); given {
+	if text, ok := r.text(key); ok {
 		*field, _ = strconv.ParseFloat(text, 64)
 	}
 }
 
 func (r localReader) bool(key Key, field *bool) {
-	if text, given := r.text(key); given {
+	if text, ok := r.text(key); ok {
 		*field = text == "true"
 	}
 }
 
 func (r localReader) size(key Key, field *int) {
-	if text, given := r.text(key); given {
+	if text, ok := r.text(key); ok {
 		*field, _ = parseSize(text)
 	}
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -234,7 +234,7 @@
 func (t Tree) yamlNode(path Path) *yaml.Node {
 	node := &yaml.Node{Kind: yaml.MappingNode}
 	for _, field := range Fields {
-		if value, given := t[path][field.Key]; given {
+		if value, ok := t[path][field.Key]; ok {
 			node.Content = append(node.Content, scalarNode(string(field.Key)), scalarNode(value))
 		}
 	}
@@ -273,7 +273,7 @@
 	field, _ := FieldOf(key)
 	inheritable := field.MinLevel < field.MaxLevel && key != KeyAddress
 	for at := path; ; at = at.Parent() {
-		if value, given := t[at][key]; given {
+		if value, ok := t[at][key]; ok {
 			return value, at.String()
 		}
 		if at == "" || !inheritable {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -104,8 +104,8 @@
 
 // recordAddress adds the node's address to seen. It returns an error if the node has none.
 func (t Tree) recordAddress(path Path, seen *addresses) error {
-	address, given := t[path][KeyAddress]
-	if !given {
+	address, ok := t[path][KeyAddress]
+	if !ok {
 		return fmt.Errorf("%s: address is missing", path)
 	}
 	first, found := seen.first[address]
@@ -134,8 +134,8 @@
 }
 
 func (t Tree) validateReference(path Path) error {
-	name, given := t[path][KeyBackendsFrom]
-	if !given {
+	name, ok := t[path][KeyBackendsFrom]
+	if !ok {
 		return nil
 	}
 	if len(t.children(path)) > 0 {
@@ -150,8 +150,8 @@
 			return fmt.Errorf("%s: backends_from=%q: circular reference through %s", path, name, at)
 		}
 		visited = append(visited, at)
-		next, given := t[at][KeyBackendsFrom]
-		if !given {
+		next, ok := t[at][KeyBackendsFrom]
+		if !ok {
 			return nil
 		}
 		at = Path(next)
