--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// serviceTimeLow and serviceTimeHigh bound how long a request holds a slot.
-	serviceTimeLow  = 20 * time.Millisecond
-	serviceTimeHigh = 60 * time.Millisecond
-	// coldTime is how long a back end is cold after its start, and coldFactor
-	// how much slower it then is.
-	coldTime   = 10 * time.Second
-	coldFactor = 4
-	// queueLimit is how many requests wait before a back end sheds load.
+	// minServiceTime and maxServiceTime bound the time for which a request occupies a slot.
+	minServiceTime = 20 * time.Millisecond
+	maxServiceTime = 60 * time.Millisecond
+	// warmUpTime is the warm-up period after a start during the run. It multiplies service times
+	// by warmUpSlowdown.
+	warmUpTime     = 10 * time.Second
+	warmUpSlowdown = 4
+	// queueLimit is the maximum number of queued requests; beyond it a back end sheds load.
 	queueLimit = 100
-	// feedInterval is the time between two notifications of a feed.
-	feedInterval = 4 * time.Second
-	// acknowledgeTime is the wait before the first repetition, doubled each time.
-	acknowledgeTime = 2 * time.Second
-	// repetitions is how often a datagram is repeated at most.
-	repetitions = 4
-	// loadInterval is the time between two load reports, which arrive loadLag late.
-	loadInterval = time.Second
-	loadLag      = time.Second
+	// notificationInterval is the time between two notifications of a feed.
+	notificationInterval = 4 * time.Second
+	// ackTimeout is the wait before the first retransmission; it doubles with each attempt.
+	ackTimeout = 2 * time.Second
+	// maxRetransmissions is the maximum number of retransmissions of a datagram.
+	maxRetransmissions = 4
+	// loadReportInterval is the time between two load reports, which arrive after loadReportDelay.
+	loadReportInterval = time.Second
+	loadReportDelay    = time.Second
 )
 
-// job is one request at a back end.
+// job is a request that is queued or running at a back end.
 type job struct {
 	packet  *balancer.Packet
 	body    body
 	arrived time.Duration
 }
 
-// backendFlow is what a back end knows of one flow.
+// backendFlow is a back end's state of one flow.
 type backendFlow struct {
 	key      flow.Key
 	began    time.Duration
 	lastSeen time.Duration
-	// answers has what each message identifier was answered with; nil while it runs.
+	// answers holds the response to each message identifier; nil while the request runs.
 	answers map[uint16]*body
-	// blocks counts the blocks of the upload under way.
+	// blocks counts the received blocks of each upload.
 	blocks map[*request]int
 	feed   *feed
 }
 
-// feed is one observation at a back end.
+// feed is a CoAP observation at a back end.
 type feed struct {
 	token        flow.Token
 	sequence     uint32
 	acknowledged uint32
 }
 
-// backend is one server.
+// backend models a server. It detects duplicate requests and queues work for its slots.
 type backend struct {
 	world    *world
 	address  netip.AddrPort
@@ -64,24 +64,24 @@
 	services []netip.AddrPort
 	slots    int
 
-	up      bool
-	frozen  bool
-	run     int
-	started time.Duration
-	busy    int
-	waiting []job
-	flows   map[flow.Key]*backendFlow
-	// drainedAt is when an accepted edit began its drain; 0 is not draining.
-	drainedAt time.Duration
+	up          bool
+	frozen      bool
+	incarnation int
+	started     time.Duration
+	busySlots   int
+	queue       []job
+	flows       map[flow.Key]*backendFlow
+	// drainingSince is when the edit that drains the back end was accepted; 0 if it is not draining.
+	drainingSince time.Duration
 }
 
 func (b *backend) start() {
 	b.up = true
 	b.frozen = false
-	b.run++
+	b.incarnation++
 	b.started = b.world.Now
-	b.busy = 0
-	b.waiting = nil
+	b.busySlots = 0
+	b.queue = nil
 	b.flows = map[flow.Key]*backendFlow{}
 }
 
@@ -90,15 +90,15 @@
 	b.flows = map[flow.Key]*backendFlow{}
 }
 
-// receive takes a datagram from a balancer.
+// receive processes a datagram from a balancer; a back end that is down or frozen drops it.
 func (b *backend) receive(packet *balancer.Packet) {
 	if !b.up || b.frozen {
 		return
 	}
 	w := b.world
-	w.record(traceAtBackend, uint64(b.address.Port()), packet.Flow.Hash()^uint64(packet.MessageID))
+	w.recordTrace(traceAtBackend, uint64(b.address.Port()), packet.Flow.Hash()^uint64(packet.MessageID))
 	if !slices.Contains(b.services, packet.Flow.Service) {
-		w.truth.misrouted++
+		w.observer.misrouted++
 		return
 	}
 	f := b.flows[packet.Flow]
@@ -108,16 +108,16 @@
 		}
 		f = &backendFlow{key: packet.Flow, began: w.Now, answers: map[uint16]*body{}, blocks: map[*request]int{}}
 		b.flows[packet.Flow] = f
-		w.truth.sawFlow(b, packet)
+		w.observer.recordFlow(b, packet)
 	}
 	f.lastSeen = w.Now
 	if packet.Kind == balancer.Control {
-		b.acknowledged(f, packet)
+		b.recordAcknowledgement(f, packet)
 		return
 	}
 	if known, seen := f.answers[packet.MessageID]; seen {
 		if known != nil {
-			b.answer(packet, *known)
+			b.sendAnswer(packet, *known)
 		}
 		return
 	}
@@ -125,20 +125,20 @@
 	b.handle(f, packet, w.bodyOf(packet))
 }
 
-func (b *backend) acknowledged(f *backendFlow, packet *balancer.Packet) {
+func (b *backend) recordAcknowledgement(f *backendFlow, packet *balancer.Packet) {
 	if f.feed != nil {
 		f.feed.acknowledged = max(f.feed.acknowledged, b.world.bodyOf(packet).sequence)
 	}
 }
 
-// handle carries out a request that was not seen before.
+// handle processes a request that is not a duplicate.
 func (b *backend) handle(f *backendFlow, packet *balancer.Packet, received body) {
 	reply := body{request: received.request, part: received.part, parts: received.parts}
 	switch received.request.kind {
 	case kindFeed:
 		f.feed = &feed{token: packet.Token}
 		b.reply(f, packet, reply)
-		b.world.After(feedInterval, func() { b.notify(f, f.feed, b.run) })
+		b.world.After(notificationInterval, func() { b.notify(f, f.feed, b.incarnation) })
 		return
 	case kindUpload:
 		if f.blocks[received.request] != received.part {
@@ -154,8 +154,8 @@
 		}
 	case kindLookup:
 		if received.part > 0 {
-			// A later part of an answer: only the server that ran the request has it.
-			if received.request.ranAt != b {
+			// Only the server that ran the request has the later parts of its answer.
+			if received.request.ranOn != b {
 				reply.result = resultIncomplete
 			}
 			b.reply(f, packet, reply)
@@ -167,12 +167,12 @@
 
 func (b *backend) enqueue(j job) {
 	switch {
-	case b.busy < b.slots:
+	case b.busySlots < b.slots:
 		b.execute(j)
-	case len(b.waiting) >= queueLimit:
+	case len(b.queue) >= queueLimit:
 		b.shed(j)
 	default:
-		b.waiting = append(b.waiting, j)
+		b.queue = append(b.queue, j)
 	}
 }
 
@@ -184,31 +184,31 @@
 
 func (b *backend) execute(j job) {
 	w := b.world
-	w.truth.queued(w.Now - j.arrived)
-	b.busy++
-	length := w.Between(serviceTimeLow, serviceTimeHigh)
-	if w.Now-b.started < coldTime && b.started > 0 {
-		length *= coldFactor
+	w.observer.recordQueueTime(w.Now - j.arrived)
+	b.busySlots++
+	length := w.Between(minServiceTime, maxServiceTime)
+	if w.Now-b.started < warmUpTime && b.started > 0 {
+		length *= warmUpSlowdown
 	}
-	run := b.run
-	w.truth.ran(b, j.body.request)
+	run := b.incarnation
+	w.observer.recordRun(b, j.body.request)
 	w.After(length, func() {
-		if !b.up || b.run != run {
+		if !b.up || b.incarnation != run {
 			return
 		}
-		b.busy--
+		b.busySlots--
 		if f := b.flows[j.packet.Flow]; f != nil {
 			b.reply(f, j.packet, body{request: j.body.request, part: j.body.part, parts: j.body.parts})
 		}
-		b.next()
+		b.startNext()
 	})
 }
 
-// next starts the oldest waiting request that can still meet its deadline.
-func (b *backend) next() {
-	for len(b.waiting) > 0 && b.busy < b.slots {
-		j := b.waiting[0]
-		b.waiting = b.waiting[1:]
+// startNext starts queued requests while slots are free and sheds those past their deadline.
+func (b *backend) startNext() {
+	for len(b.queue) > 0 && b.busySlots < b.slots {
+		j := b.queue[0]
+		b.queue = b.queue[1:]
 		if b.world.Now-j.arrived > j.body.request.deadline {
 			b.shed(j)
 			continue
@@ -217,13 +217,13 @@
 	}
 }
 
-// reply answers a request and remembers the answer for copies of it.
+// reply answers a request and stores the answer for duplicates of it.
 func (b *backend) reply(f *backendFlow, packet *balancer.Packet, reply body) {
 	f.answers[packet.MessageID] = &reply
-	b.answer(packet, reply)
+	b.sendAnswer(packet, reply)
 }
 
-func (b *backend) answer(request *balancer.Packet, reply body) {
+func (b *backend) sendAnswer(request *balancer.Packet, reply body) {
 	packet := &balancer.Packet{
 		Kind:      balancer.Answer,
 		Flow:      request.Flow,
@@ -232,12 +232,12 @@
 		Token:     request.Token,
 		Observe:   reply.request.kind == kindFeed,
 	}
-	b.world.network.spray(b.zone, b.world.attach(packet, reply))
+	b.world.network.sendToBalancer(b.zone, b.world.attachBody(packet, reply))
 }
 
-// notify sends the next notification of a feed and plans the one after.
+// notify sends the next notification of a feed and schedules the following one.
 func (b *backend) notify(f *backendFlow, subscription *feed, run int) {
-	if !b.up || b.run != run || f.feed != subscription {
+	if !b.up || b.incarnation != run || f.feed != subscription {
 		return
 	}
 	if b.world.sessions[f.key] == nil {
@@ -246,13 +246,13 @@
 	}
 	subscription.sequence++
 	b.sendNotification(f, subscription, subscription.sequence, 0, run)
-	b.world.After(feedInterval, func() { b.notify(f, subscription, run) })
+	b.world.After(notificationInterval, func() { b.notify(f, subscription, run) })
 }
 
-// sendNotification sends one notification until it, or a newer one, is acknowledged.
+// sendNotification retransmits a notification until it is acknowledged or superseded.
 func (b *backend) sendNotification(f *backendFlow, subscription *feed, sequence uint32, attempt int, run int) {
 	stale := f.feed != subscription || subscription.acknowledged >= sequence || subscription.sequence > sequence
-	if !b.up || b.run != run || stale || attempt > repetitions {
+	if !b.up || b.incarnation != run || stale || attempt > maxRetransmissions {
 		return
 	}
 	if !b.frozen {
@@ -265,19 +265,19 @@
 			Confirmable: true,
 			Observe:     true,
 		}
-		b.world.network.spray(b.zone, b.world.attach(packet, body{sequence: sequence}))
+		b.world.network.sendToBalancer(b.zone, b.world.attachBody(packet, body{sequence: sequence}))
 	}
-	b.world.After(acknowledgeTime<<attempt, func() { b.sendNotification(f, subscription, sequence, attempt+1, run) })
+	b.world.After(ackTimeout<<attempt, func() { b.sendNotification(f, subscription, sequence, attempt+1, run) })
 }
 
-// report sends the load to every balancer, late.
-func (b *backend) report() {
-	utilization := float64(b.busy+len(b.waiting)) / float64(b.slots)
-	if b.world.lyingLoad {
+// sendLoadReports sends the utilization to every balancer, after loadReportDelay.
+func (b *backend) sendLoadReports() {
+	utilization := float64(b.busySlots+len(b.queue)) / float64(b.slots)
+	if b.world.falseLoadReports {
 		utilization = float64(b.address.Port()%2) * 50
 	}
 	for _, n := range b.world.nodes {
-		b.world.After(loadLag, func() {
+		b.world.After(loadReportDelay, func() {
 			n.receive(&balancer.LoadReport{Backend: b.address, Utilization: utilization})
 		})
 	}
--- a/internal/sim/deployment.go
+++ b/internal/sim/deployment.go
@@ -9,30 +9,30 @@
 	"gaugeyard/internal/settings"
 )
 
-// Deployment is one of the two users' fleets, at its real size.
+// Deployment describes a simulated fleet and its traffic, at the size of a user's installation.
 type Deployment struct {
 	Name        string
 	Tree        settings.Tree
 	Zones       []string
 	ZoneDelay   time.Duration
 	ClientDelay time.Duration
-	// Feed, Lookup and Upload name the services.
+	// Feed, Lookup and Upload are the names of the services.
 	Feed, Lookup, Upload string
-	// MainServers is how many back ends serve feeds and lookups.
+	// MainServers is the number of back ends that serve feeds and lookups.
 	MainServers int
-	// BalancersPerZone is how many balancers stand in each zone.
+	// BalancersPerZone is the number of balancers in each zone.
 	BalancersPerZone int
-	// Feeds is how many feeds are open, and the rates are a second.
+	// Feeds is the number of open feeds; LookupRate and UploadRate are new flows per second.
 	Feeds                  int
 	LookupRate, UploadRate float64
 }
 
-// DeploymentNames lists the deployments.
+// DeploymentNames lists the names that NewDeployment accepts.
 var DeploymentNames = []string{"litera", "forecast"}
 
-// NewDeployment returns the deployment with the name.
+// NewDeployment returns the named deployment with the settings of its example file.
 func NewDeployment(name string) (Deployment, error) {
-	common := Deployment{
+	deployment := Deployment{
 		Name:             name,
 		MainServers:      14,
 		BalancersPerZone: 2,
@@ -43,29 +43,29 @@
 	}
 	switch name {
 	case "litera":
-		common.Zones = []string{"hala-pipera", "hala-militari", "hala-vitan"}
-		common.ZoneDelay = 500 * time.Microsecond
-		common.Feed, common.Lookup, common.Upload = "glyphs", "licences", "subsets"
+		deployment.Zones = []string{"hala-pipera", "hala-militari", "hala-vitan"}
+		deployment.ZoneDelay = 500 * time.Microsecond
+		deployment.Feed, deployment.Lookup, deployment.Upload = "glyphs", "licences", "subsets"
 	case "forecast":
-		common.Zones = []string{"kushiro-a", "obihiro-b", "nemuro-c"}
-		common.ZoneDelay = 1500 * time.Microsecond
-		common.Feed, common.Lookup, common.Upload = "feeds", "lookups", "observations"
+		deployment.Zones = []string{"kushiro-a", "obihiro-b", "nemuro-c"}
+		deployment.ZoneDelay = 1500 * time.Microsecond
+		deployment.Feed, deployment.Lookup, deployment.Upload = "feeds", "lookups", "observations"
 	default:
-		return Deployment{}, fmt.Errorf("deployment %q: allowed are %v", name, DeploymentNames)
+		return Deployment{}, fmt.Errorf("unknown deployment %q: want one of %v", name, DeploymentNames)
 	}
 	document, err := examples.Files.ReadFile(name + ".yaml")
 	if err != nil {
 		return Deployment{}, err
 	}
-	tree, faults := settings.Parse(document)
-	if len(faults) > 0 {
-		return Deployment{}, faults[0]
+	tree, errs := settings.Parse(document)
+	if len(errs) > 0 {
+		return Deployment{}, errs[0]
 	}
-	common.Tree = tree
-	return common, nil
+	deployment.Tree = tree
+	return deployment, nil
 }
 
-// build puts balancers and back ends in place.
+// build creates the balancers and back ends of the deployment.
 func (w *world) build() {
 	deployment := w.options.Deployment
 	for i, zone := range deployment.Zones {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// backendPath returns the place of a back end in the tree.
+// backendPath returns the path of a back end in the settings tree.
 func (w *world) backendPath(b *backend) settings.Path {
 	return w.snapshot.Backends[settings.BackendIDOf(b.address)].Path
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// bootstrapUntil ends the first start of the fleet.
+	// bootstrapUntil is BootstrapUntil of the balancers that start with the fleet.
 	bootstrapUntil = 8 * time.Second
-	// socketQueue is how many datagrams wait for a frozen process.
-	socketQueue = 512
-	// machineLag is how late the machine list and the fabric show a change.
-	machineLag = 2 * time.Second
-	// machineInterval is the time between two looks at the machines.
-	machineInterval = 500 * time.Millisecond
+	// socketQueueLength is the number of datagrams that the sockets of a frozen process buffer.
+	socketQueueLength = 512
+	// machineListDelay is the delay with which the machine list and the fabric show a change.
+	machineListDelay = 2 * time.Second
+	// machineListInterval is the time between two updates of the machine list.
+	machineListInterval = 500 * time.Millisecond
 )
 
-// node is one balancer: the real core in a process that can die and freeze.
+// node is one balancer: the real core in a modelled process that can crash and freeze.
 type node struct {
 	world       *world
 	address     netip.AddrPort
@@ -31,20 +31,21 @@
 	started     time.Duration
 	up          bool
 	frozen      bool
-	waiting     []balancer.Event
-	// stopped is called when a planned stop is over.
+	queue       []balancer.Event
+	// stopped is called at the end of a planned stop; it may be nil.
 	stopped func()
 
-	// shown is what the machine list says; differsSince is when the truth began to differ.
-	shown        bool
-	differsSince time.Duration
-	differs      bool
+	// listed reports whether the machine list has the node. It lags behind the node's health:
+	// listOutdated is set while they differ, since outdatedSince.
+	listed        bool
+	outdatedSince time.Duration
+	listOutdated  bool
 
 	control window
 	relays  window
-	// reachableSince is since when the store and peers can reach the process.
+	// reachableSince is the start of the period in which the store and peers can reach the process.
 	reachableSince time.Duration
-	// revision is the highest that was in force in this run of the process.
+	// revision is the latest observed revision in force since the process started; 0 if none.
 	revision uint64
 }
 
@@ -54,7 +55,7 @@
 	return n
 }
 
-// start runs the process; first marks the first start of the whole fleet.
+// start starts the process; first is set for the initial start of the whole fleet.
 func (n *node) start(first bool) {
 	n.incarnation++
 	n.up = true
@@ -77,9 +78,9 @@
 	}
 	n.core = balancer.New(config)
 	run := n.incarnation
-	n.listMachines()
+	n.sendMachineList()
 	n.world.After(n.world.Between(0, balancer.TickInterval), func() { n.tick(run) })
-	n.world.store.attach(n)
+	n.world.store.scheduleRead(n)
 }
 
 func (n *node) tick(run uint64) {
@@ -99,19 +100,19 @@
 	n.world.After(balancer.TickInterval, func() { n.tick(run) })
 }
 
-// crash ends the process at once.
+// crash ends the process immediately.
 func (n *node) crash() {
 	n.up = false
-	n.waiting = nil
+	n.queue = nil
 }
 
-// leave begins a planned stop.
+// leave begins a planned stop; stopped is called when it has ended.
 func (n *node) leave(stopped func()) {
 	n.stopped = stopped
 	n.step(&balancer.Leave{})
 }
 
-// freeze stops the process for a while; datagrams wait in its sockets.
+// freeze suspends the process for a time; its sockets buffer datagrams.
 func (n *node) freeze(length time.Duration) {
 	n.frozen = true
 	run := n.incarnation
@@ -121,35 +122,35 @@
 		}
 		n.frozen = false
 		n.reachableSince = n.world.Now
-		waiting := n.waiting
-		n.waiting = nil
-		for _, event := range waiting {
+		queued := n.queue
+		n.queue = nil
+		for _, event := range queued {
 			n.step(event)
 		}
 	})
 }
 
-// receive takes an event from outside.
+// receive passes an external event to the core, or buffers it while the process is frozen.
 func (n *node) receive(event balancer.Event) {
-	_, revision := event.(*balancer.SettingsRevision)
+	_, isRevision := event.(*balancer.SettingsRevision)
 	switch {
 	case !n.up:
-	case n.frozen && (revision || len(n.waiting) < socketQueue):
-		// Revisions come over a stream, which loses nothing.
-		n.waiting = append(n.waiting, event)
+	case n.frozen && (isRevision || len(n.queue) < socketQueueLength):
+		// Revisions arrive over a stream, so the socket limit does not drop them.
+		n.queue = append(n.queue, event)
 	case !n.frozen:
 		n.step(event)
 	}
 }
 
-// step hands an event to the core and performs the effects.
+// step passes an event to the core and performs its effects.
 func (n *node) step(event balancer.Event) {
 	var effects balancer.Effects
 	n.core.Step(n.world.Now-n.started, event, &effects)
 	for i := range effects.List {
 		n.perform(&effects.List[i])
 	}
-	n.world.truth.sawRevision(n)
+	n.world.observer.recordRevision(n)
 }
 
 func (n *node) perform(effect *balancer.Effect) {
@@ -161,20 +162,20 @@
 		w.network.send(n.zone, target.zone, func() { target.receive(packet) })
 	case balancer.DeliverToCaller:
 		packet := effect.Packet
-		w.network.send(n.zone, "", func() { w.deliver(packet) })
+		w.network.send(n.zone, "", func() { w.deliverToCaller(packet) })
 	case balancer.AnswerCaller:
-		n.answer(effect)
+		n.sendError(effect)
 	case balancer.SendPeer:
 		n.sendPeer(effect)
 	}
 }
 
-// answer tells a caller how its request failed.
-func (n *node) answer(effect *balancer.Effect) {
+// sendError delivers a balancer's own error answer to the caller.
+func (n *node) sendError(effect *balancer.Effect) {
 	packet, kind, retry := effect.Packet, effect.Error, effect.RetryAfter
 	n.world.network.send(n.zone, "", func() {
 		if s := n.world.sessions[packet.Flow]; s != nil {
-			s.refused(packet, kind, retry)
+			s.receiveError(packet, kind, retry)
 		}
 	})
 }
@@ -186,7 +187,7 @@
 		n.relays.add(n.world.Now, size)
 	} else {
 		n.control.add(n.world.Now, size)
-		n.world.record(traceControl, uint64(n.address.Port()), uint64(size))
+		n.world.recordTrace(traceControl, uint64(n.address.Port()), uint64(size))
 	}
 	to := n.world.nodeAt(effect.To)
 	if to == nil {
@@ -204,58 +205,57 @@
 	return nil
 }
 
-// deliver hands an answer to its caller.
-func (w *world) deliver(packet *balancer.Packet) {
-	w.record(traceAtCaller, packet.Flow.Hash(), uint64(packet.MessageID))
+// deliverToCaller passes an answer to the session of its flow.
+func (w *world) deliverToCaller(packet *balancer.Packet) {
+	w.recordTrace(traceAtCaller, packet.Flow.Hash(), uint64(packet.MessageID))
 	if s := w.sessions[packet.Flow]; s != nil {
 		s.receive(packet, w.bodyOf(packet))
 	}
 }
 
-// apply hands the core a revision that the store or an operator sent.
-func (n *node) apply(snapshot *settings.Snapshot) {
+// applySettings passes a revision from the store or an operator to the core.
+func (n *node) applySettings(snapshot *settings.Snapshot) {
 	n.receive(&balancer.SettingsRevision{Snapshot: snapshot})
 }
 
-// healthy tells what a probe of the process would find.
+// healthy reports whether a health check of the process would succeed.
 func (n *node) healthy() bool {
 	return n.up && !n.frozen && n.core.Ready()
 }
 
-// updateMachines shows the machines as they were a while ago, to the fabric and
-// to the balancers.
-func (w *world) updateMachines() {
-	w.machines = w.machines[:0]
+// updateMachineList updates the fabric and sends the list to every running balancer.
+func (w *world) updateMachineList() {
+	w.listedNodes = w.listedNodes[:0]
 	for _, n := range w.nodes {
-		n.updateShown()
-		if n.shown {
-			w.machines = append(w.machines, n)
+		n.updateListed()
+		if n.listed {
+			w.listedNodes = append(w.listedNodes, n)
 		}
 	}
 	for _, n := range w.nodes {
 		if n.up && !n.frozen {
-			n.listMachines()
+			n.sendMachineList()
 		}
 	}
 }
 
-func (n *node) updateShown() {
+func (n *node) updateListed() {
 	healthy := n.healthy()
 	switch {
-	case healthy == n.shown:
-		n.differs = false
-	case !n.differs:
-		n.differs = true
-		n.differsSince = n.world.Now
-	case n.world.Now-n.differsSince >= machineLag:
-		n.shown = healthy
-		n.differs = false
+	case healthy == n.listed:
+		n.listOutdated = false
+	case !n.listOutdated:
+		n.listOutdated = true
+		n.outdatedSince = n.world.Now
+	case n.world.Now-n.outdatedSince >= machineListDelay:
+		n.listed = healthy
+		n.listOutdated = false
 	}
 }
 
-func (n *node) listMachines() {
+func (n *node) sendMachineList() {
 	var addresses []netip.AddrPort
-	for _, machine := range n.world.machines {
+	for _, machine := range n.world.listedNodes {
 		addresses = append(addresses, machine.address)
 	}
 	if len(addresses) == 0 {
@@ -266,13 +266,13 @@
 	n.step(&balancer.MachineList{Addresses: addresses})
 }
 
-// windowSlot is the resolution at which the largest second is found.
-const windowSlot = 100 * time.Millisecond
+// windowSlotLength is the resolution of the sliding one-second window.
+const windowSlotLength = 100 * time.Millisecond
 
-// windowSlots is how many slots make a second.
-const windowSlots = int(time.Second / windowSlot)
+// windowSlots is the number of slots in one second.
+const windowSlots = int(time.Second / windowSlotLength)
 
-// window finds the largest number of bytes in any second.
+// window measures the maximum number of bytes in any sliding second.
 type window struct {
 	slots   [windowSlots]int
 	slot    time.Duration
@@ -281,9 +281,9 @@
 	total   int
 }
 
-// add counts bytes at now.
+// add counts size bytes at now.
 func (v *window) add(now time.Duration, size int) {
-	slot := now / windowSlot
+	slot := now / windowSlotLength
 	for ; v.slot < slot; v.slot++ {
 		if slot-v.slot > time.Duration(windowSlots) {
 			v.slot = slot - time.Duration(windowSlots)
--- a/internal/sim/observer.go
+++ b/internal/sim/observer.go
@@ -10,53 +10,52 @@
 )
 
 const (
-	// warmUp is when measuring begins: the flows of the start are open by then.
-	warmUp = 20 * time.Second
-	// drainGrace is how long a leaving back end may still get new flows.
+	// measureStart is when sampling begins; the initial feeds are open by then.
+	measureStart = 20 * time.Second
+	// drainGrace is the time after the start of a drain in which new flows are still allowed.
 	drainGrace = 3 * time.Second
-	// activeTime is how long ago an active flow's last datagram was at most.
-	activeTime = 10 * time.Second
+	// activeFlowTimeout is the idle time after which a flow without a feed is no longer active.
+	activeFlowTimeout = 10 * time.Second
 )
 
-// observer sees everything, and judges by what back ends ran, not by what
-// balancers say.
+// observer records the ground truth: what back ends ran, independent of the balancers' state.
 type observer struct {
 	world    *world
 	requests []*request
 	feeds    []*feedSession
-	// firstAt is the back end that each flow's first datagram reached.
-	firstAt map[flow.Key]*backend
-	moved   map[flow.Key]bool
-	// beganAt is when each flow's caller opened it.
-	beganAt map[flow.Key]time.Duration
+	// firstBackend holds the back end that received the first datagram of each flow.
+	firstBackend map[flow.Key]*backend
+	moved        map[flow.Key]bool
+	// openedAt is when the caller of each flow opened it.
+	openedAt map[flow.Key]time.Duration
 
 	misrouted, wrongAnswers, newWorkAfterDrain int
 	lostWithBackend                            int
 	editsMade, conflicts, overwrittenEdits     int
 	appliedTwice, reverts                      int
-	editSeen                                   map[int]bool
+	acceptedEdits                              map[int]bool
 	// acceptedAt is when each revision was accepted.
 	acceptedAt  map[uint64]time.Duration
 	convergence time.Duration
 	queueTimes  []time.Duration
-	// imbalance and slotImbalance have one sample a second.
+	// imbalance and slotImbalance have one sample per second.
 	imbalance, slotImbalance []float64
 	surgeImbalance           []float64
 	busySamples              map[*backend]int
 	surgeFrom, surgeUntil    time.Duration
-	// heldByCrashed counts the flows that crashed balancers owned.
-	heldByCrashed int64
+	// ownedByCrashed is the number of flows that crashed balancers owned.
+	ownedByCrashed int64
 }
 
 func newObserver(w *world) *observer {
 	return &observer{
-		world:       w,
-		firstAt:     map[flow.Key]*backend{},
-		moved:       map[flow.Key]bool{},
-		beganAt:     map[flow.Key]time.Duration{},
-		editSeen:    map[int]bool{},
-		acceptedAt:  map[uint64]time.Duration{1: 0},
-		busySamples: map[*backend]int{},
+		world:         w,
+		firstBackend:  map[flow.Key]*backend{},
+		moved:         map[flow.Key]bool{},
+		openedAt:      map[flow.Key]time.Duration{},
+		acceptedEdits: map[int]bool{},
+		acceptedAt:    map[uint64]time.Duration{1: 0},
+		busySamples:   map[*backend]int{},
 	}
 }
 
@@ -68,14 +67,14 @@
 	return r
 }
 
-// sawFlow notes the first datagram of a flow at a back end.
-func (o *observer) sawFlow(b *backend, packet *balancer.Packet) {
-	first := o.firstAt[packet.Flow]
+// recordFlow records the back end of a flow's datagrams and detects flows that moved.
+func (o *observer) recordFlow(b *backend, packet *balancer.Packet) {
+	first := o.firstBackend[packet.Flow]
 	if first == nil {
-		o.firstAt[packet.Flow] = b
-		// A flow that began before the drain, and whose first datagrams were lost,
-		// is no new work: it was placed here, and its requests may have run here.
-		if b.drainedAt > 0 && o.beganAt[packet.Flow] > b.drainedAt+drainGrace {
+		o.firstBackend[packet.Flow] = b
+		// A flow opened before the drain whose first datagrams were lost is no new work:
+		// it was placed here earlier, and its requests may have run here.
+		if b.drainingSince > 0 && o.openedAt[packet.Flow] > b.drainingSince+drainGrace {
 			o.newWorkAfterDrain++
 		}
 		return
@@ -83,51 +82,51 @@
 	if first == b || o.moved[packet.Flow] {
 		return
 	}
-	if !first.up || first.run > 1 {
+	if !first.up || first.incarnation > 1 {
 		o.lostWithBackend++
 		return
 	}
 	o.moved[packet.Flow] = true
 }
 
-// ran notes that a back end began to execute a request.
-func (o *observer) ran(b *backend, r *request) {
+// recordRun records that a back end began to execute a request.
+func (o *observer) recordRun(b *backend, r *request) {
 	r.runs++
-	r.ranAt = b
-	o.world.record(traceRun, uint64(b.address.Port()), uint64(r.runs))
+	r.ranOn = b
+	o.world.recordTrace(traceRun, uint64(b.address.Port()), uint64(r.runs))
 }
 
-// ended notes what a request's caller was told.
-func (o *observer) ended(r *request, how outcome) {
-	r.outcome = how
-	if how == outcomeNotRun {
-		r.toldNotRun = true
+// recordOutcome records the outcome that the caller of a request saw.
+func (o *observer) recordOutcome(r *request, final outcome) {
+	r.outcome = final
+	if final == outcomeNotRun {
+		r.reportedNotRun = true
 	}
 }
 
-func (o *observer) queued(wait time.Duration) {
+func (o *observer) recordQueueTime(wait time.Duration) {
 	o.queueTimes = append(o.queueTimes, wait)
 }
 
-func (o *observer) editAccepted(snapshot *settings.Snapshot, id int) {
-	if o.editSeen[id] {
+func (o *observer) recordEdit(snapshot *settings.Snapshot, id int) {
+	if o.acceptedEdits[id] {
 		o.appliedTwice++
 	}
-	o.editSeen[id] = true
+	o.acceptedEdits[id] = true
 	o.acceptedAt[snapshot.Revision] = o.world.Now
 	for _, b := range o.world.backends {
 		configured := snapshot.Backends[settings.BackendIDOf(b.address)]
 		switch {
 		case configured == nil || !configured.Draining:
-			b.drainedAt = 0
-		case b.drainedAt == 0:
-			b.drainedAt = o.world.Now
+			b.drainingSince = 0
+		case b.drainingSince == 0:
+			b.drainingSince = o.world.Now
 		}
 	}
 }
 
-// sawRevision notes the revision in force on a balancer.
-func (o *observer) sawRevision(n *node) {
+// recordRevision records the revision in force on a balancer and how long it took to arrive.
+func (o *observer) recordRevision(n *node) {
 	revision := n.core.Snapshot().Revision
 	if revision < n.revision {
 		o.reverts++
@@ -139,19 +138,19 @@
 	n.revision = revision
 }
 
-// sample takes the measurements of one second.
+// sample records the imbalance of the past second.
 func (o *observer) sample() {
-	if o.world.Now < warmUp {
+	if o.world.Now < measureStart {
 		return
 	}
 	var flows, slots []float64
 	for _, b := range o.world.backends[:o.world.options.Deployment.MainServers] {
 		busy := o.busySamples[b]
 		o.busySamples[b] = 0
-		if !b.up || b.frozen || b.drainedAt > 0 || o.world.Now-b.started < 3*coldTime && b.started > 0 {
+		if !b.up || b.frozen || b.drainingSince > 0 || o.world.Now-b.started < 3*warmUpTime && b.started > 0 {
 			continue
 		}
-		// A back end of twice the weight is meant to carry twice the flows.
+		// Back ends of twice the weight should carry twice the flows.
 		weight := o.world.store.head().snapshot.Backends[settings.BackendIDOf(b.address)].Weight
 		flows = append(flows, float64(b.activeFlows())/weight)
 		slots = append(slots, float64(busy)/weight)
@@ -164,17 +163,17 @@
 	}
 }
 
-// sampleSlots adds up the slots in use, several times a second.
+// sampleSlots adds the slots in use to the samples of the current second.
 func (o *observer) sampleSlots() {
 	for _, b := range o.world.backends {
-		o.busySamples[b] += b.busy
+		o.busySamples[b] += b.busySlots
 	}
 }
 
 func (b *backend) activeFlows() int {
 	count := 0
 	for _, f := range b.flows {
-		if f.feed != nil || b.world.Now-f.lastSeen < activeTime {
+		if f.feed != nil || b.world.Now-f.lastSeen < activeFlowTimeout {
 			count++
 		}
 	}
@@ -193,7 +192,7 @@
 	return peak * float64(len(values)) / total
 }
 
-// finish judges what is still open at the end.
+// finish accounts for revisions that have not arrived and feeds that are silent at the end.
 func (o *observer) finish() {
 	for _, n := range o.world.nodes {
 		if !n.up || n.frozen || n.revision == 0 {
@@ -204,19 +203,19 @@
 		}
 	}
 	for _, s := range o.feeds {
-		if s.established && o.world.Now-s.lastUpdate > stallTime {
+		if s.established && o.world.Now-s.lastUpdate > feedTimeout {
 			s.broken = true
 		}
 	}
 }
 
-// brokenFlows counts flows that moved to another back end and feeds that
-// stalled, while their back end stood.
+// brokenFlows counts flows that moved to another back end and feeds that were interrupted,
+// while their back end stayed up.
 func (o *observer) brokenFlows() int {
 	broken := len(o.moved)
 	for _, s := range o.feeds {
-		first := o.firstAt[s.key]
-		if s.broken && !o.moved[s.key] && first != nil && first.up && first.run == 1 {
+		first := o.firstBackend[s.key]
+		if s.broken && !o.moved[s.key] && first != nil && first.up && first.incarnation == 1 {
 			broken++
 		}
 	}
@@ -234,12 +233,12 @@
 	return count
 }
 
-// queuePercentile returns a percentile of the time that requests waited for a slot.
-func (o *observer) queuePercentile(share float64) time.Duration {
+// queuePercentile returns a quantile, from 0 to 1, of the time that requests waited for a slot.
+func (o *observer) queuePercentile(quantile float64) time.Duration {
 	if len(o.queueTimes) == 0 {
 		return 0
 	}
 	sorted := slices.Clone(o.queueTimes)
 	slices.Sort(sorted)
-	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(quantile*float64(len(sorted))))]
 }
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -8,20 +8,20 @@
 	"gaugeyard/internal/settings"
 )
 
-// Scenario is a course of events.
+// Scenario is a sequence of events during a run.
 type Scenario struct {
 	Name string
-	// About says in one line what happens.
-	About string
-	// Planned is set when nothing fails that operators did not plan; no request
-	// may then end in an unknown outcome.
-	Planned bool
-	Length  time.Duration
-	Network NetworkProfile
-	events  func(w *world)
+	// Description is one line of text.
+	Description string
+	// Planned is set if the scenario has no unplanned failure of a balancer, a back end or the
+	// network; no request may then end with an unknown outcome.
+	Planned  bool
+	Length   time.Duration
+	Network  NetworkProfile
+	schedule func(w *world)
 }
 
-// Times at which the events of scenarios begin.
+// Start of the scenarios' events and lengths of the runs.
 const (
 	eventTime   = 25 * time.Second
 	shortLength = 60 * time.Second
@@ -30,75 +30,75 @@
 
 // Scenarios lists every scenario.
 var Scenarios = []Scenario{
-	{Name: "steady", About: "nothing happens", Planned: true, Length: shortLength, events: func(*world) {}},
-	{Name: "news-surge", About: "feeds double and lookups more than double in all zones at once", Planned: true, Length: shortLength, events: newsSurge},
-	{Name: "overload", About: "three times the capacity for 15 s", Planned: true, Length: longLength, events: overload},
-	{Name: "rolling-restart-balancers", About: "every balancer is stopped as planned and started again, one after the other", Planned: true, Length: 150 * time.Second, events: rollingRestart},
-	{Name: "balancer-crash", About: "one balancer dies", Length: shortLength, events: balancerCrash},
-	{Name: "two-crashes", About: "two balancers die 8 s apart", Length: longLength, events: twoCrashes},
-	{Name: "balancer-and-backend-change-together", About: "in one second a balancer stops as planned, a back end drains and another is added", Planned: true, Length: longLength, events: changeTogether},
-	{Name: "backend-drain", About: "a back end is drained, and a second one 5 s later", Planned: true, Length: longLength, events: backendDrain},
-	{Name: "backend-crash", About: "a back end dies", Length: longLength, events: backendCrash},
-	{Name: "cold-start", About: "a back end is drained, started anew and let in cold", Planned: true, Length: longLength, events: coldStart},
-	{Name: "lying-load-reports", About: "half of the back ends report no load, the others far too much", Planned: true, Length: shortLength, events: func(w *world) { w.lyingLoad = true }},
-	{Name: "store-outage", About: "the store fails right after an edit; a balancer starts during the outage", Length: longLength, events: storeOutage},
-	{Name: "store-lost-replies", About: "writes take effect but their replies are lost", Planned: true, Length: shortLength, events: lostReplies},
-	{Name: "store-restored", About: "the store comes back from an older backup and replays old revisions", Planned: true, Length: shortLength, events: storeRestored},
-	{Name: "operator-race", About: "pairs of operators edit the same settings at the same moment", Planned: true, Length: shortLength, events: operatorRace},
-	{Name: "lease-holder-pause", About: "an operator's command is paused between read and write while others edit", Planned: true, Length: shortLength, events: pausedOperator},
-	{Name: "zone-partition", About: "one zone is cut off from the others for 20 s", Length: longLength, events: zonePartition},
-	{Name: "balancer-freeze-and-resume", About: "a balancer stands still for 6 s, twice", Length: longLength, events: freezeAndResume},
-	{Name: "late-reordered-duplicated", About: "1% loss, 5% duplicates, 5% reordered, late copies, while a balancer dies under overload", Length: longLength,
-		Network: NetworkProfile{Loss: 0.01, Duplicate: 0.05, Reorder: 0.05, LateCopy: 0.05}, events: lateCopies},
-	{Name: "everything", About: "a mix of all of the above, drawn from the seed", Length: 150 * time.Second,
-		Network: NetworkProfile{Loss: 0.003, Duplicate: 0.02, Reorder: 0.02, LateCopy: 0.01}, events: everything},
-}
-
-// ScenarioNamed returns the scenario with the name.
-func ScenarioNamed(name string) (Scenario, bool) {
-	at := slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == name })
-	if at < 0 {
+	{Name: "steady", Description: "nothing happens", Planned: true, Length: shortLength, schedule: func(*world) {}},
+	{Name: "news-surge", Description: "feeds double and lookups more than double in all zones at once", Planned: true, Length: shortLength, schedule: newsSurge},
+	{Name: "overload", Description: "three times the capacity for 15 s", Planned: true, Length: longLength, schedule: overload},
+	{Name: "rolling-restart-balancers", Description: "every balancer is stopped as planned and started again, one after the other", Planned: true, Length: 150 * time.Second, schedule: rollingRestart},
+	{Name: "balancer-crash", Description: "one balancer dies", Length: shortLength, schedule: balancerCrash},
+	{Name: "two-crashes", Description: "two balancers die 8 s apart", Length: longLength, schedule: twoCrashes},
+	{Name: "balancer-and-backend-change-together", Description: "in one second a balancer stops as planned, a back end drains and another is added", Planned: true, Length: longLength, schedule: changeTogether},
+	{Name: "backend-drain", Description: "a back end is drained, and a second one 5 s later", Planned: true, Length: longLength, schedule: backendDrain},
+	{Name: "backend-crash", Description: "a back end dies", Length: longLength, schedule: backendCrash},
+	{Name: "cold-start", Description: "a back end is drained, started anew and let in cold", Planned: true, Length: longLength, schedule: coldStart},
+	{Name: "lying-load-reports", Description: "half of the back ends report no load, the others far too much", Planned: true, Length: shortLength, schedule: func(w *world) { w.falseLoadReports = true }},
+	{Name: "store-outage", Description: "the store fails right after an edit; a balancer starts during the outage", Length: longLength, schedule: storeOutage},
+	{Name: "store-lost-replies", Description: "writes take effect but their replies are lost", Planned: true, Length: shortLength, schedule: lostReplies},
+	{Name: "store-restored", Description: "the store comes back from an older backup and replays old revisions", Planned: true, Length: shortLength, schedule: storeRestored},
+	{Name: "operator-race", Description: "pairs of operators edit the same settings at the same moment", Planned: true, Length: shortLength, schedule: operatorRace},
+	{Name: "lease-holder-pause", Description: "an operator's command is paused between read and write while others edit", Planned: true, Length: shortLength, schedule: pausedOperator},
+	{Name: "zone-partition", Description: "one zone is cut off from the others for 20 s", Length: longLength, schedule: zonePartition},
+	{Name: "balancer-freeze-and-resume", Description: "a balancer stands still for 6 s, twice", Length: longLength, schedule: freezeAndResume},
+	{Name: "late-reordered-duplicated", Description: "1% loss, 5% duplicates, 5% reordered, late copies, while a balancer dies under overload", Length: longLength,
+		Network: NetworkProfile{Loss: 0.01, Duplicate: 0.05, Reorder: 0.05, LateCopy: 0.05}, schedule: lateCopies},
+	{Name: "everything", Description: "a mix of all of the above, drawn from the seed", Length: 150 * time.Second,
+		Network: NetworkProfile{Loss: 0.003, Duplicate: 0.02, Reorder: 0.02, LateCopy: 0.01}, schedule: everything},
+}
+
+// FindScenario returns the named scenario and whether it exists.
+func FindScenario(name string) (Scenario, bool) {
+	index := slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == name })
+	if index < 0 {
 		return Scenario{}, false
 	}
-	return Scenarios[at], true
+	return Scenarios[index], true
 }
 
-// markSurge bounds the seconds in which the surge's imbalance is measured.
-func (w *world) markSurge(length time.Duration) {
-	w.truth.surgeFrom, w.truth.surgeUntil = w.Now, w.Now+length
+// setSurgeWindow starts the time in which surge imbalance and goodput are measured.
+func (w *world) setSurgeWindow(length time.Duration) {
+	w.observer.surgeFrom, w.observer.surgeUntil = w.Now, w.Now+length
 }
 
 func newsSurge(w *world) {
 	const surgeLength = 10 * time.Second
 	w.At(eventTime, func() {
-		w.markSurge(surgeLength)
+		w.setSurgeWindow(surgeLength)
 		w.openFeeds(int(float64(w.options.Deployment.Feeds)*w.options.Scale), surgeLength)
-		w.loadFactor = 2.3
+		w.rateFactor = 2.3
 	})
-	w.At(eventTime+2*surgeLength, func() { w.loadFactor = 1 })
+	w.At(eventTime+2*surgeLength, func() { w.rateFactor = 1 })
 }
 
 const overloadLength = 15 * time.Second
 
 func overload(w *world) {
 	w.At(eventTime, func() {
-		w.markSurge(overloadLength)
-		w.loadFactor = w.overloadFactor()
+		w.setSurgeWindow(overloadLength)
+		w.rateFactor = w.overloadFactor()
 	})
-	w.At(eventTime+overloadLength, func() { w.loadFactor = 1 })
+	w.At(eventTime+overloadLength, func() { w.rateFactor = 1 })
 }
 
-// overloadFactor is what the lookup rate is multiplied with to offer three times
-// the capacity of the main servers.
+// overloadFactor returns the factor by which the lookup rate offers three times the capacity of
+// the main servers.
 func (w *world) overloadFactor() float64 {
-	perFlow := float64(1+lookupsPerFlow) / 2
+	perFlow := float64(1+maxLookupsPerFlow) / 2
 	return 3 * w.capacity() / (w.options.Deployment.LookupRate * w.options.Scale * perFlow)
 }
 
-// capacity is how many requests a second the main servers can run.
+// capacity returns the requests per second that the main servers can run.
 func (w *world) capacity() float64 {
 	deployment := w.options.Deployment
-	mean := (serviceTimeLow + serviceTimeHigh) / 2
+	mean := (minServiceTime + maxServiceTime) / 2
 	return float64(deployment.MainServers*2) * w.options.Scale / mean.Seconds()
 }
 
@@ -124,7 +124,7 @@
 	if !n.up {
 		return
 	}
-	w.truth.heldByCrashed += n.core.Status(w.Now).Owned
+	w.observer.ownedByCrashed += n.core.Status(w.Now).Owned
 	n.crash()
 }
 
@@ -138,7 +138,7 @@
 	w.At(eventTime+20*time.Second, func() { w.nodes[1].start(false) })
 }
 
-// setState returns an edit that drains a back end or lets it in.
+// setState returns an edit that sets the state of a back end.
 func (w *world) setState(b *backend, state string) func(settings.Tree) {
 	return func(tree settings.Tree) {
 		// The path and the value are valid, so the edit cannot fail.
@@ -172,7 +172,7 @@
 	b := w.backends[4]
 	w.At(eventTime, func() { w.edit(0, w.setState(b, "drain"), nil) })
 	w.At(eventTime+5*time.Second, func() {
-		// It keeps its flows; only what it has warmed up is gone.
+		// The flows stay; only the warm-up starts again.
 		b.started = w.Now
 		w.edit(0, w.setState(b, "active"), nil)
 	})
@@ -194,7 +194,7 @@
 }
 
 func lostReplies(w *world) {
-	w.At(eventTime, func() { w.store.lose = 3 })
+	w.At(eventTime, func() { w.store.repliesToLose = 3 })
 	for i := range 4 {
 		w.At(eventTime+time.Duration(i)*3*time.Second, func() { w.edit(0, w.changeWeight([]string{"2", "3", "0.5", "1"}[i]), nil) })
 	}
@@ -225,18 +225,18 @@
 
 func zonePartition(w *world) {
 	const length = 20 * time.Second
-	w.At(eventTime, func() { w.network.cutZone = w.options.Deployment.Zones[1] })
+	w.At(eventTime, func() { w.network.isolatedZone = w.options.Deployment.Zones[1] })
 	w.At(eventTime+length, func() { w.heal() })
 }
 
 // heal ends a partition.
 func (w *world) heal() {
 	for _, n := range w.nodes {
-		if n.zone == w.network.cutZone {
+		if n.zone == w.network.isolatedZone {
 			n.reachableSince = w.Now
 		}
 	}
-	w.network.cutZone = ""
+	w.network.isolatedZone = ""
 	w.store.recover()
 }
 
@@ -247,16 +247,16 @@
 }
 
 func lateCopies(w *world) {
-	w.At(eventTime, func() { w.loadFactor = w.overloadFactor() })
+	w.At(eventTime, func() { w.rateFactor = w.overloadFactor() })
 	w.At(eventTime+5*time.Second, func() { w.crashNode(2) })
-	w.At(eventTime+overloadLength, func() { w.loadFactor = 1 })
+	w.At(eventTime+overloadLength, func() { w.rateFactor = 1 })
 	w.At(eventTime+30*time.Second, func() { w.nodes[2].start(false) })
 }
 
-// FaultKind is one thing that can go wrong, or that operators do.
+// FaultKind is a kind of failure or operator action.
 type FaultKind int
 
-// The kinds of faults that a schedule can hold.
+// The kinds of faults in a schedule.
 const (
 	FaultCrash FaultKind = iota
 	FaultLeave
@@ -268,7 +268,7 @@
 	FaultStoreOutage
 	FaultPartition
 	FaultOverload
-	FaultLyingLoad
+	FaultFalseLoad
 	// FaultKinds is the number of kinds.
 	FaultKinds
 )
@@ -277,45 +277,45 @@
 type Fault struct {
 	At   time.Duration
 	Kind FaultKind
-	// Node and Backend choose what it strikes, modulo their numbers.
+	// Node and Backend select the target, modulo the number of nodes and back ends.
 	Node, Backend int
 	Length        time.Duration
 }
 
-// Scheduled returns a scenario in which the faults happen.
-func Scheduled(name string, length time.Duration, network NetworkProfile, faults []Fault) Scenario {
-	return Scenario{Name: name, Length: length, Network: network, events: func(w *world) {
+// NewFaultScenario returns a scenario that injects the faults at their times.
+func NewFaultScenario(name string, length time.Duration, network NetworkProfile, faults []Fault) Scenario {
+	return Scenario{Name: name, Length: length, Network: network, schedule: func(w *world) {
 		for _, fault := range faults {
-			w.At(fault.At, func() { w.strike(fault) })
+			w.At(fault.At, func() { w.inject(fault) })
 		}
 	}}
 }
 
-// everything draws a schedule from the seed.
+// everything draws a schedule of faults from the seed.
 func everything(w *world) {
 	for at := eventTime; at < 110*time.Second; at += w.Between(2*time.Second, 9*time.Second) {
-		// The order of the draws is kept: found seeds are tests.
+		// The order of the draws must not change: tests rely on the schedules of certain seeds.
 		fault := Fault{At: at}
 		fault.Node = w.Random.IntN(len(w.nodes))
 		fault.Backend = w.Random.IntN(len(w.backends))
 		fault.Length = w.Between(2*time.Second, 8*time.Second)
 		fault.Kind = FaultKind(w.Random.IntN(int(FaultKinds)))
-		w.At(at, func() { w.strike(fault) })
+		w.At(at, func() { w.inject(fault) })
 	}
 }
 
-// strike carries out one fault now.
-func (w *world) strike(fault Fault) {
+// inject starts a fault now.
+func (w *world) inject(fault Fault) {
 	n := w.nodes[fault.Node%len(w.nodes)]
 	b := w.backends[fault.Backend%len(w.backends)]
 	length := fault.Length
 	switch fault.Kind {
 	case FaultCrash:
-		w.crashAndStart(n, length)
+		w.crashAndRestart(n, length)
 	case FaultLeave:
-		w.leaveAndStart(n, length)
+		w.leaveAndRestart(n, length)
 	case FaultFreeze:
-		w.freezeIfServing(n, length)
+		w.freezeIfHealthy(n, length)
 	case FaultDrain:
 		w.edit(0, w.setState(b, "drain"), nil)
 	case FaultUndrain:
@@ -323,21 +323,21 @@
 	case FaultEdit:
 		w.edit(w.Between(0, length), w.changeWeight("3"), nil)
 	case FaultLostReply:
-		w.store.lose++
+		w.store.repliesToLose++
 	case FaultStoreOutage:
 		w.store.down = true
 		w.After(length, w.store.recover)
 	case FaultPartition:
 		w.partitionFor(length)
 	case FaultOverload:
-		w.loadFactor = 2
-		w.After(length, func() { w.loadFactor = 1 })
-	case FaultLyingLoad:
-		w.lyingLoad = !w.lyingLoad
+		w.rateFactor = 2
+		w.After(length, func() { w.rateFactor = 1 })
+	case FaultFalseLoad:
+		w.falseLoadReports = !w.falseLoadReports
 	}
 }
 
-func (w *world) crashAndStart(n *node, length time.Duration) {
+func (w *world) crashAndRestart(n *node, length time.Duration) {
 	if !n.healthy() {
 		return
 	}
@@ -345,22 +345,22 @@
 	w.After(length, func() { n.start(false) })
 }
 
-func (w *world) leaveAndStart(n *node, length time.Duration) {
+func (w *world) leaveAndRestart(n *node, length time.Duration) {
 	if n.healthy() {
 		n.leave(func() { w.After(length, func() { n.start(false) }) })
 	}
 }
 
-func (w *world) freezeIfServing(n *node, length time.Duration) {
+func (w *world) freezeIfHealthy(n *node, length time.Duration) {
 	if n.healthy() {
 		n.freeze(length)
 	}
 }
 
 func (w *world) partitionFor(length time.Duration) {
-	if w.network.cutZone != "" {
+	if w.network.isolatedZone != "" {
 		return
 	}
-	w.network.cutZone = w.options.Deployment.Zones[w.Random.IntN(len(w.options.Deployment.Zones))]
+	w.network.isolatedZone = w.options.Deployment.Zones[w.Random.IntN(len(w.options.Deployment.Zones))]
 	w.After(length, w.heal)
 }
--- a/internal/sim/session.go
+++ b/internal/sim/session.go
@@ -11,7 +11,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// requestKind says what a caller asks for.
+// requestKind is the kind of service that a request uses.
 type requestKind int
 
 const (
@@ -21,33 +21,33 @@
 )
 
 const (
-	// giveUpAfter is when a caller stops waiting for an answer.
-	giveUpAfter = 45 * time.Second
+	// exchangeTimeout is the time after which a caller stops waiting for an answer.
+	exchangeTimeout = 45 * time.Second
 	// uploadBlocks is the number of blocks of an upload.
 	uploadBlocks = 8
-	// longAnswerShare is the share of answers that come in several parts.
-	longAnswerShare = 0.1
-	longAnswerParts = 3
-	// lookupsPerFlow bounds the requests of one flow.
-	lookupsPerFlow = 3
-	lookupPause    = 300 * time.Millisecond
-	// stallTime is the silence after which a feed counts as broken.
-	stallTime = 12 * time.Second
+	// multipartShare is the share of answers that have multipartParts parts.
+	multipartShare = 0.1
+	multipartParts = 3
+	// maxLookupsPerFlow is the maximum number of requests of one flow.
+	maxLookupsPerFlow = 3
+	lookupPause       = 300 * time.Millisecond
+	// feedTimeout is the silence after which a feed counts as broken.
+	feedTimeout = 12 * time.Second
 )
 
-// request is one thing that a caller asks for, in one or more exchanges.
+// request is a caller's request, which may take several exchanges.
 type request struct {
-	kind       requestKind
-	repeatable bool
-	deadline   time.Duration
-	sent       time.Duration
-	runs       int
-	ranAt      *backend
-	outcome    outcome
-	toldNotRun bool
+	kind           requestKind
+	repeatable     bool
+	deadline       time.Duration
+	sent           time.Duration
+	runs           int
+	ranOn          *backend
+	outcome        outcome
+	reportedNotRun bool
 }
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request as its caller sees it.
 type outcome int
 
 const (
@@ -59,49 +59,49 @@
 	outcomeIncomplete
 )
 
-// session is one caller's flow.
+// session is the caller's side of one flow.
 type session interface {
-	// receive takes an answer or notification.
+	// receive processes an answer or a notification from a back end.
 	receive(packet *balancer.Packet, b body)
-	// refused takes an answer of a balancer itself.
-	refused(packet *balancer.Packet, kind errkind.Kind, retry time.Duration)
+	// receiveError processes an error answer of a balancer.
+	receiveError(packet *balancer.Packet, kind errkind.Kind, retry time.Duration)
 }
 
-// exchange is the caller's side of CoAP: one confirmable message at a time,
-// repeated until it is answered.
+// exchange implements the caller's side of CoAP: one confirmable message at a time,
+// retransmitted until it is answered.
 type exchange struct {
 	world     *world
 	key       flow.Key
 	messageID uint16
 	token     flow.Token
 	open      bool
-	// body and flags of the open message.
+	// The payload and flags of the open message.
 	body               body
 	continues, observe bool
 	started            time.Duration
-	expired            func()
+	onTimeout          func()
 }
 
-// openFlow takes a new caller's address and makes the session its receiver.
+// openFlow allocates a caller address and registers the session for its flow.
 func (w *world) openFlow(service *settings.Service, s session) exchange {
-	w.nextCaller++
+	w.callerCount++
 	var address [4]byte
-	binary.BigEndian.PutUint32(address[:], 10<<24|w.nextCaller)
+	binary.BigEndian.PutUint32(address[:], 10<<24|w.callerCount)
 	key := flow.Key{Caller: netip.AddrPortFrom(netip.AddrFrom4(address), 5683), Service: service.Address}
 	w.sessions[key] = s
-	w.truth.beganAt[key] = w.Now
+	w.observer.openedAt[key] = w.Now
 	return exchange{world: w, key: key, messageID: uint16(w.Random.Uint32())}
 }
 
-// send opens a new exchange.
-func (e *exchange) send(b body, continues, observe bool, expired func()) {
+// send starts a new exchange; onTimeout is called if it gets no answer.
+func (e *exchange) send(b body, continues, observe bool, onTimeout func()) {
 	e.messageID++
 	e.token.Length = 4
 	binary.BigEndian.PutUint32(e.token.Bytes[:], uint32(e.messageID))
 	e.open = true
 	e.body, e.continues, e.observe = b, continues, observe
 	e.started = e.world.Now
-	e.expired = expired
+	e.onTimeout = onTimeout
 	e.transmit(e.messageID, 0)
 }
 
@@ -110,11 +110,11 @@
 		return
 	}
 	w := e.world
-	if attempt > repetitions {
-		w.At(e.started+giveUpAfter, func() {
+	if attempt > maxRetransmissions {
+		w.At(e.started+exchangeTimeout, func() {
 			if e.open && e.messageID == messageID {
 				e.open = false
-				e.expired()
+				e.onTimeout()
 			}
 		})
 		return
@@ -128,13 +128,13 @@
 		Continues:   e.continues,
 		Observe:     e.observe,
 	}
-	w.network.fromCaller(w.attach(packet, e.body))
-	wait := acknowledgeTime << attempt
+	w.network.sendFromCaller(w.attachBody(packet, e.body))
+	wait := ackTimeout << attempt
 	w.After(wait+w.Between(0, wait/2), func() { e.transmit(messageID, attempt+1) })
 }
 
-// matches closes the exchange when the packet answers it.
-func (e *exchange) matches(packet *balancer.Packet) bool {
+// accept closes the open exchange and returns true if the packet answers it.
+func (e *exchange) accept(packet *balancer.Packet) bool {
 	if !e.open || packet.Token != e.token {
 		return false
 	}
@@ -145,15 +145,15 @@
 // acknowledge sends an empty acknowledgement of a notification.
 func (e *exchange) acknowledge(sequence uint32) {
 	packet := &balancer.Packet{Kind: balancer.Control, Flow: e.key, MessageID: uint16(sequence)}
-	e.world.network.fromCaller(e.world.attach(packet, body{sequence: sequence}))
+	e.world.network.sendFromCaller(e.world.attachBody(packet, body{sequence: sequence}))
 }
 
-// feedSession keeps one feed open.
+// feedSession subscribes to a feed and detects a change of back end and missing notifications.
 type feedSession struct {
 	exchange
 	request     *request
 	established bool
-	source      netip.AddrPort
+	backend     netip.AddrPort
 	lastUpdate  time.Duration
 	broken      bool
 	feedToken   flow.Token
@@ -162,18 +162,18 @@
 func (w *world) startFeed(service *settings.Service) {
 	s := &feedSession{}
 	s.exchange = w.openFlow(service, s)
-	w.truth.feeds = append(w.truth.feeds, s)
+	w.observer.feeds = append(w.observer.feeds, s)
 	s.subscribe()
 }
 
 func (s *feedSession) subscribe() {
-	s.request = s.world.truth.newRequest(kindFeed, true, 0)
+	s.request = s.world.observer.newRequest(kindFeed, true, 0)
 	s.send(body{request: s.request}, false, true, s.subscribe)
 	s.feedToken = s.token
 }
 
 func (s *feedSession) receive(packet *balancer.Packet, b body) {
-	if s.matches(packet) && b.result == resultNotRun {
+	if s.accept(packet) && b.result == resultNotRun {
 		s.world.After(time.Second, s.subscribe)
 		return
 	}
@@ -185,74 +185,74 @@
 	}
 	if !s.established {
 		s.established = true
-		s.source = packet.Backend
+		s.backend = packet.Backend
 	}
-	if packet.Backend != s.source || s.world.Now-s.lastUpdate > stallTime && s.lastUpdate > 0 {
+	if packet.Backend != s.backend || s.world.Now-s.lastUpdate > feedTimeout && s.lastUpdate > 0 {
 		s.broken = true
 	}
 	s.lastUpdate = s.world.Now
 }
 
-func (s *feedSession) refused(packet *balancer.Packet, kind errkind.Kind, retry time.Duration) {
-	if s.matches(packet) {
+func (s *feedSession) receiveError(packet *balancer.Packet, kind errkind.Kind, retry time.Duration) {
+	if s.accept(packet) {
 		s.world.After(max(retry, time.Second), s.subscribe)
 	}
 }
 
-// lookupSession sends a few requests, one after the other.
+// lookupSession sends a few lookups in sequence.
 type lookupSession struct {
 	exchange
-	service *settings.Service
-	left    int
-	request *request
+	service   *settings.Service
+	remaining int
+	request   *request
 }
 
 func (w *world) startLookups(service *settings.Service) {
-	s := &lookupSession{service: service, left: 1 + w.Random.IntN(lookupsPerFlow)}
+	s := &lookupSession{service: service, remaining: 1 + w.Random.IntN(maxLookupsPerFlow)}
 	s.exchange = w.openFlow(service, s)
-	s.next()
+	s.sendNext()
 }
 
-func (s *lookupSession) next() {
-	if s.left == 0 {
+func (s *lookupSession) sendNext() {
+	if s.remaining == 0 {
 		return
 	}
-	s.left--
-	s.request = s.world.truth.newRequest(kindLookup, s.service.Repeatable, s.service.RequestDeadline)
+	s.remaining--
+	s.request = s.world.observer.newRequest(kindLookup, s.service.Repeatable, s.service.RequestDeadline)
 	parts := 1
-	if s.world.Chance(longAnswerShare) {
-		parts = longAnswerParts
+	if s.world.Chance(multipartShare) {
+		parts = multipartParts
 	}
-	s.send(body{request: s.request, parts: parts}, false, false, func() { s.end(outcomeTimeout) })
+	s.send(body{request: s.request, parts: parts}, false, false, func() { s.finish(outcomeTimeout) })
 }
 
-func (s *lookupSession) end(how outcome) {
-	s.world.truth.ended(s.request, how)
-	s.world.After(lookupPause, s.next)
+func (s *lookupSession) finish(final outcome) {
+	s.world.observer.recordOutcome(s.request, final)
+	s.world.After(lookupPause, s.sendNext)
 }
 
 func (s *lookupSession) receive(packet *balancer.Packet, b body) {
-	if !s.matches(packet) {
+	if !s.accept(packet) {
 		return
 	}
 	if b.request != s.request {
-		s.world.truth.wrongAnswers++
+		s.world.observer.wrongAnswers++
 	}
 	switch {
 	case b.result == resultNotRun:
-		s.end(outcomeNotRun)
+		s.finish(outcomeNotRun)
 	case b.result == resultIncomplete:
-		s.end(outcomeIncomplete)
+		s.finish(outcomeIncomplete)
 	case b.part < b.parts-1:
-		s.send(body{request: s.request, part: b.part + 1, parts: b.parts}, true, false, func() { s.end(outcomeTimeout) })
+		s.send(body{request: s.request, part: b.part + 1, parts: b.parts}, true, false, func() { s.finish(outcomeTimeout) })
 	default:
-		s.end(outcomeAnswered)
+		s.finish(outcomeAnswered)
 	}
 }
 
-func (s *lookupSession) refused(packet *balancer.Packet, kind errkind.Kind, _ time.Duration) {
-	if s.matches(packet) {
-		s.end(outcomeOf(kind))
+func (s *lookupSession) receiveError(packet *balancer.Packet, kind errkind.Kind, _ time.Duration) {
+	if s.accept(packet) {
+		s.finish(outcomeOf(kind))
 	}
 }
 
@@ -263,7 +263,7 @@
 	return outcomeUnknown
 }
 
-// uploadSession sends one upload, block by block.
+// uploadSession sends one upload in blocks.
 type uploadSession struct {
 	exchange
 	request *request
@@ -271,18 +271,18 @@
 }
 
 func (w *world) startUpload(service *settings.Service) {
-	s := &uploadSession{request: w.truth.newRequest(kindUpload, service.Repeatable, service.RequestDeadline)}
+	s := &uploadSession{request: w.observer.newRequest(kindUpload, service.Repeatable, service.RequestDeadline)}
 	s.exchange = w.openFlow(service, s)
 	s.sendBlock()
 }
 
 func (s *uploadSession) sendBlock() {
 	b := body{request: s.request, part: s.block, parts: uploadBlocks}
-	s.send(b, s.block > 0, false, func() { s.world.truth.ended(s.request, outcomeTimeout) })
+	s.send(b, s.block > 0, false, func() { s.world.observer.recordOutcome(s.request, outcomeTimeout) })
 }
 
 func (s *uploadSession) receive(packet *balancer.Packet, b body) {
-	if !s.matches(packet) {
+	if !s.accept(packet) {
 		return
 	}
 	switch b.result {
@@ -290,16 +290,16 @@
 		s.block++
 		s.world.After(s.world.Between(0, 200*time.Millisecond), s.sendBlock)
 	case resultOK:
-		s.world.truth.ended(s.request, outcomeAnswered)
+		s.world.observer.recordOutcome(s.request, outcomeAnswered)
 	case resultNotRun:
-		s.world.truth.ended(s.request, outcomeNotRun)
+		s.world.observer.recordOutcome(s.request, outcomeNotRun)
 	case resultIncomplete:
-		s.world.truth.ended(s.request, outcomeIncomplete)
+		s.world.observer.recordOutcome(s.request, outcomeIncomplete)
 	}
 }
 
-func (s *uploadSession) refused(packet *balancer.Packet, kind errkind.Kind, _ time.Duration) {
-	if s.matches(packet) {
-		s.world.truth.ended(s.request, outcomeOf(kind))
+func (s *uploadSession) receiveError(packet *balancer.Packet, kind errkind.Kind, _ time.Duration) {
+	if s.accept(packet) {
+		s.world.observer.recordOutcome(s.request, outcomeOf(kind))
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -12,7 +12,7 @@
 	"gaugeyard/internal/balancer"
 )
 
-// rapidSeed fixes what the property test draws, unless flags ask for more:
+// rapidSeed makes the property test deterministic. Flags override it, for instance:
 // go test ./internal/sim -run Schedules -rapid.seed 0 -rapid.checks 200
 const rapidSeed, rapidChecks = "7", "6"
 
@@ -30,9 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// proofSeeds is how many seeds are tried for a run that breaks a promise with
-// its mechanism off.
-const proofSeeds = 6
+// maxSeeds is the number of seeds in which a violation with the mechanism off is searched.
+const maxSeeds = 6
 
 // testScale keeps runs short under the race detector.
 const testScale = 0.3
@@ -43,16 +42,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, known := ScenarioNamed(scenario)
+	s, known := FindScenario(scenario)
 	if !known {
-		t.Fatalf("no scenario %q", scenario)
+		t.Fatalf("unknown scenario %q", scenario)
 	}
 	return Options{Deployment: d, Scenario: s, Seed: seed, Scale: testScale}
 }
 
-// TestPromises shows, for each promise, that the run breaks it with the
-// mechanism off and keeps it with the mechanism on.
-func TestPromises(t *testing.T) {
+// TestGuaranteesDependOnMechanisms checks that each guarantee holds with its mechanism on and is
+// violated with it off.
+func TestGuaranteesDependOnMechanisms(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		promise, scenario string
@@ -65,28 +64,28 @@
 		{"an owner's records alone do not survive changes", "balancer-and-backend-change-together", 1,
 			func(o *Options) { o.Strategy = balancer.OwnerOnly }, func(r Result) bool { return r.BrokenFlows > 0 }},
 		{"a crash breaks less than 1% of the flows held", "two-crashes", 3,
-			func(o *Options) { o.Strategy = balancer.OwnerOnly }, func(r Result) bool { return r.BrokenFlows > int(r.HeldByCrashed)/100 }},
+			func(o *Options) { o.Strategy = balancer.OwnerOnly }, func(r Result) bool { return r.BrokenFlows > int(r.OwnedByCrashed)/100 }},
 		{"no datagram reaches another service", "steady", 1,
 			func(o *Options) { o.Mechanisms.NoServiceCheck = true }, func(r Result) bool { return r.MisroutedDatagrams > 0 }},
-		{"answers in parts are whole", "backend-drain", 1,
+		{"multipart answers are complete", "backend-drain", 1,
 			func(o *Options) { o.Strategy = balancer.Consistent }, func(r Result) bool { return r.IncompleteAnswers > 0 }},
-		{"not run means not run: refusals outlive their balancer", "late-reordered-duplicated", 1,
+		{"not run means not run: refusals survive a crash of their balancer", "late-reordered-duplicated", 1,
 			func(o *Options) { o.Mechanisms.NoRefusalRecord = true }, func(r Result) bool { return r.FalseNotRun > 0 }},
-		{"not run means not run: answered requests are remembered", "late-reordered-duplicated", 1,
+		{"not run means not run: answered requests are recorded", "late-reordered-duplicated", 1,
 			func(o *Options) { o.Mechanisms.NoAnswerMemory = true }, func(r Result) bool { return r.FalseNotRun > 0 }},
 		{"at most one run: a minority decides nothing", "zone-partition", 1,
 			func(o *Options) { o.Mechanisms.NoQuorum = true }, func(r Result) bool { return r.DoubleRuns > 0 }},
-		{"at most one run: who missed decisions does not vouch", "everything", 3,
+		{"at most one run: a balancer that missed decisions does not attest", "everything", 3,
 			func(o *Options) { o.Mechanisms.NoContinuity = true }, func(r Result) bool { return r.DoubleRuns+r.FalseNotRun > 0 }},
 		{"a leaving back end gets no new work", "backend-drain", 1,
 			func(o *Options) { o.Mechanisms.NoDrain = true }, func(r Result) bool { return r.NewWorkAfterDrain > 0 }},
-		{"a planned stop cuts no request: records go before the node", "rolling-restart-balancers", 1,
-			func(o *Options) { o.Mechanisms.NoPlannedLeave = true }, func(r Result) bool { return r.CutRequests > 0 }},
-		{"a second crash leaves no outcome unknown: flows at rest are copied", "two-crashes", 1,
+		{"a planned stop interrupts no request: records are handed over first", "rolling-restart-balancers", 1,
+			func(o *Options) { o.Mechanisms.NoPlannedLeave = true }, func(r Result) bool { return r.InterruptedRequests > 0 }},
+		{"a second crash leaves no outcome unknown: idle flows are copied", "two-crashes", 1,
 			func(o *Options) { o.Mechanisms.NoBackgroundCopy = true }, func(r Result) bool { return r.UnknownOutcomes > 0 }},
 		{"accepted settings never revert", "store-restored", 1,
 			func(o *Options) { o.Mechanisms.NoRevisionFence = true }, func(r Result) bool { return r.Reverts > 0 }},
-		{"accepted settings are in force within seconds, store or no store", "store-outage", 1,
+		{"accepted settings are in force within seconds, also in a store outage", "store-outage", 1,
 			func(o *Options) { o.Mechanisms.NoSettingsGossip = true; o.Operators.NoPush = true }, func(r Result) bool { return r.Convergence > convergenceLimit.Seconds() }},
 		{"no edit overwrites another silently", "operator-race", 1,
 			func(o *Options) { o.Operators.NoCompare = true }, func(r Result) bool { return r.EditsOverwritten > 0 }},
@@ -94,46 +93,45 @@
 			func(o *Options) { o.Operators.NoReadBack = true }, func(r Result) bool { return r.EditsAppliedTwice > 0 }},
 		{"control traffic stays within its budget", "rolling-restart-balancers", 1,
 			func(o *Options) { o.Mechanisms.NoControlBudget = true }, func(r Result) bool { return r.ControlBytesMax > controlBytesLimit }},
-		{"own counts keep the load even, whatever back ends report", "steady", 1,
+		{"own counts keep the load balanced, whatever back ends report", "steady", 1,
 			func(o *Options) { o.Mechanisms.NoOwnCounts = true }, func(r Result) bool { return r.ImbalancePeakToMean > 1.2 }},
 	}
 	for _, c := range cases {
 		t.Run(c.promise, func(t *testing.T) {
 			t.Parallel()
-			// Some breaks need a flow at the wrong place in the wrong second, so
-			// a few seeds are tried; each is kept with the mechanism on.
-			for seed := c.seed; seed < c.seed+proofSeeds; seed++ {
+			// Some violations need a flow at a certain place and time, so several seeds are tried.
+			// The guarantee must hold for each with the mechanism on.
+			for seed := c.seed; seed < c.seed+maxSeeds; seed++ {
 				on := options(t, "litera", c.scenario, seed)
 				off := on
 				c.off(&off)
 				if r := Run(on); c.broken(r) {
-					t.Fatalf("the promise is broken: %+v", r)
+					t.Fatalf("guarantee violated with the mechanism on: %+v", r)
 				}
 				if c.broken(Run(off)) {
 					return
 				}
 			}
-			t.Error("the promise holds with the mechanism off; the runs prove nothing")
+			t.Error("guarantee holds with the mechanism off; the case does not test the mechanism")
 		})
 	}
 }
 
-// TestScenariosKeepEveryPromise runs every scenario for both deployments.
-func TestScenariosKeepEveryPromise(t *testing.T) {
+// TestScenariosKeepGuarantees runs every scenario for both deployments.
+func TestScenariosKeepGuarantees(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range DeploymentNames {
 		for _, scenario := range Scenarios {
 			if scenario.Name == "overload" {
-				continue // at full size below
+				continue // TestOverloadAtFullSize covers it
 			}
 			t.Run(deployment+"/"+scenario.Name, func(t *testing.T) {
 				t.Parallel()
 				result := Run(options(t, deployment, scenario.Name, 1))
-				for _, promise := range result.Broken {
-					// With a third of the flows a back end holds about 30, so that
-					// one flow is 3%; the imbalance is judged at full size.
+				for _, promise := range result.Violations {
+					// At testScale a back end has about 30 flows, too few for the limit.
 					if promise != "imbalance in steady state" {
-						t.Errorf("%s: %+v", promise, result)
+						t.Errorf("guarantee %q violated: %+v", promise, result)
 					}
 				}
 			})
@@ -141,21 +139,21 @@
 	}
 }
 
-// TestFoundSchedules has the seeds in which a promise was once broken.
-func TestFoundSchedules(t *testing.T) {
+// TestRegressionSeeds runs seeds that once violated a guarantee; cause names the fault.
+func TestRegressionSeeds(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		cause, deployment, scenario string
 		seed                        uint64
 	}{
-		{"two majorities, because listening balancers did not count", "litera", "everything", 4},
-		{"a refusal's relay overtaken by a pin cleared the pin", "litera", "late-reordered-duplicated", 8},
-		{"an adopt without a pin passed for a copy", "litera", "everything", 3},
-		{"a note of a balancer without majority passed for a record", "litera", "everything", 1},
-		{"a refusal of a cut-off owner was told after the run", "litera", "everything", 16},
-		{"a request given up hid that it had been refused", "forecast", "everything", 2},
-		{"a proposed refusal was told after another way had led to a run", "forecast", "late-reordered-duplicated", 4},
-		{"views taken from heartbeats that were overtaken", "litera", "rolling-restart-balancers", 2},
+		{"two majorities: listening balancers were not counted", "litera", "everything", 4},
+		{"a refusal's relay that arrived after a pin cleared the pin", "litera", "late-reordered-duplicated", 8},
+		{"an adopt without a pin was taken for a copy", "litera", "everything", 3},
+		{"a note of a balancer without quorum was taken for a record", "litera", "everything", 1},
+		{"a partitioned owner's refusal was reported after the run", "litera", "everything", 16},
+		{"an abandoned request hid that it had been refused", "forecast", "everything", 2},
+		{"a proposed refusal was reported after another path had led to a run", "forecast", "late-reordered-duplicated", 4},
+		{"views taken from reordered heartbeats", "litera", "rolling-restart-balancers", 2},
 	}
 	for _, c := range cases {
 		t.Run(c.cause, func(t *testing.T) {
@@ -165,30 +163,31 @@
 			if testing.Short() || raceEnabled {
 				o.Scale = testScale
 			}
-			if r := Run(o); len(r.Broken) > 0 {
-				t.Errorf("%v: %+v", r.Broken, r)
+			if r := Run(o); len(r.Violations) > 0 {
+				t.Errorf("violated guarantees %q: %+v", r.Violations, r)
 			}
 		})
 	}
 }
 
-// TestOverloadAtFullSize offers three times the capacity.
+// TestOverloadAtFullSize checks goodput and queue times at three times the capacity, and that
+// queue times exceed the bound without admission control.
 func TestOverloadAtFullSize(t *testing.T) {
 	t.Parallel()
 	on := options(t, "litera", "overload", 1)
 	on.Scale = 1
 	result := Run(on)
-	if len(result.Broken) > 0 || result.QueueP99 > 1 {
-		t.Errorf("%v: %+v", result.Broken, result)
+	if len(result.Violations) > 0 || result.QueueP99 > 1 {
+		t.Errorf("violated guarantees %q: %+v", result.Violations, result)
 	}
 	off := on
 	off.Mechanisms.NoAdmission = true
 	if r := Run(off); r.QueueP99 < 1 {
-		t.Errorf("without admission requests queue %v s; the run proves nothing", r.QueueP99)
+		t.Errorf("queue time P99 without admission control is %v s, want at least 1 s", r.QueueP99)
 	}
 }
 
-// TestSameSeedSameTrace guards determinism, whatever the number of processors.
+// TestSameSeedSameTrace checks that runs are deterministic, whatever the number of processors.
 func TestSameSeedSameTrace(t *testing.T) {
 	t.Parallel()
 	o := options(t, "forecast", "everything", 11)
@@ -197,15 +196,15 @@
 	runtime.GOMAXPROCS(before)
 	second := Run(o)
 	if first.TraceSHA256 != second.TraceSHA256 {
-		t.Errorf("traces %s and %s", first.TraceSHA256, second.TraceSHA256)
+		t.Errorf("equal seeds gave different traces %s and %s", first.TraceSHA256, second.TraceSHA256)
 	}
 	o.Seed++
 	if other := Run(o); other.TraceSHA256 == first.TraceSHA256 {
-		t.Error("another seed gave the same trace")
+		t.Error("different seeds gave the same trace")
 	}
 }
 
-// TestSchedules draws mixed schedules of faults and shrinks those that break a promise.
+// TestSchedules checks the guarantees under random schedules of faults.
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	const length = 110 * time.Second
@@ -224,9 +223,9 @@
 		}), 1, 12).Draw(t, "faults")
 		o := base
 		o.Seed = rapid.Uint64Range(1, 1000).Draw(t, "seed")
-		o.Scenario = Scheduled("drawn", length, network, faults)
-		if r := Run(o); len(r.Broken) > 0 {
-			t.Fatalf("%v: %+v", r.Broken, r)
+		o.Scenario = NewFaultScenario("drawn", length, network, faults)
+		if r := Run(o); len(r.Violations) > 0 {
+			t.Fatalf("violated guarantees %q: %+v", r.Violations, r)
 		}
 	})
 }
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -7,124 +7,123 @@
 	"gaugeyard/internal/settings"
 )
 
-// OperatorMechanisms are the parts of the edit protocol that an experiment can
-// turn off.
+// OperatorMechanisms disables parts of the edit protocol.
 type OperatorMechanisms struct {
-	// NoCompare writes without comparing, as if no other operator were there.
+	// NoCompare commits without comparing revisions, which overwrites concurrent edits.
 	NoCompare bool
-	// NoReadBack makes a lost edit anew instead of reading back.
+	// NoReadBack repeats an edit whose reply was lost instead of reading back whether it exists.
 	NoReadBack bool
-	// NoPush leaves an accepted edit to the store's watches alone.
+	// NoPush sends no accepted edit to balancers directly; only the store's watches deliver it.
 	NoPush bool
 }
 
 const (
-	// storeLow and storeHigh bound one way to the store or back.
-	storeLow  = 2 * time.Millisecond
-	storeHigh = 20 * time.Millisecond
-	// watchLow and watchHigh bound how late a watch tells a balancer.
-	watchLow  = 20 * time.Millisecond
-	watchHigh = 400 * time.Millisecond
-	// storeRetry is the wait after a failed call.
-	storeRetry = 500 * time.Millisecond
-	// pushTargets is how many balancers an accepted edit is handed to.
+	// minStoreDelay and maxStoreDelay bound the one-way delay between an operator and the store.
+	minStoreDelay = 2 * time.Millisecond
+	maxStoreDelay = 20 * time.Millisecond
+	// minWatchDelay and maxWatchDelay bound the delay of a watch or a read by a balancer.
+	minWatchDelay = 20 * time.Millisecond
+	maxWatchDelay = 400 * time.Millisecond
+	// storeRetryDelay is the wait after a failed call.
+	storeRetryDelay = 500 * time.Millisecond
+	// pushTargets is the maximum number of balancers that receive an accepted edit directly.
 	pushTargets = 2
 )
 
-// accepted is one revision of the tree.
-type accepted struct {
+// storedRevision is one revision of the settings and the edit that made it; 0 is the initial one.
+type storedRevision struct {
 	snapshot *settings.Snapshot
 	edit     int
 }
 
-// store models the key-value service as far as the settings go.
+// store models the key-value store of the settings.
 type store struct {
-	world    *world
-	history  []accepted
-	down     bool
-	lose     int
-	nextEdit int
+	world         *world
+	history       []storedRevision
+	down          bool
+	repliesToLose int
+	lastEditID    int
 }
 
 func newStore(w *world, tree settings.Tree) *store {
-	return &store{world: w, history: []accepted{{snapshot: settings.Resolve(tree, 1)}}}
+	return &store{world: w, history: []storedRevision{{snapshot: settings.Resolve(tree, 1)}}}
 }
 
-func (s *store) head() accepted {
+func (s *store) head() storedRevision {
 	return s.history[len(s.history)-1]
 }
 
-// attach lets a balancer that has just started read the tree, and again when
-// the store is down.
-func (s *store) attach(n *node) {
+// scheduleRead makes a balancer read the settings, with retries while the store is unreachable.
+func (s *store) scheduleRead(n *node) {
 	run := n.incarnation
-	s.world.After(s.world.Between(watchLow, watchHigh), func() {
+	s.world.After(s.world.Between(minWatchDelay, maxWatchDelay), func() {
 		switch {
 		case !n.up || run != n.incarnation:
 		case s.unreachable(n):
-			s.world.After(storeRetry, func() { s.attach(n) })
+			s.world.After(storeRetryDelay, func() { s.scheduleRead(n) })
 		default:
-			n.apply(s.head().snapshot)
+			n.applySettings(s.head().snapshot)
 		}
 	})
 }
 
 func (s *store) unreachable(n *node) bool {
-	return s.down || n.zone == s.world.network.cutZone && n.zone != ""
+	return s.down || n.zone == s.world.network.isolatedZone && n.zone != ""
 }
 
-// recover ends an outage; every balancer reads the tree again.
+// recover ends an outage; every running balancer reads the settings again.
 func (s *store) recover() {
 	s.down = false
 	for _, n := range s.world.nodes {
 		if n.up {
-			s.attach(n)
+			s.scheduleRead(n)
 		}
 	}
 }
 
-// commit writes a tree made from the base revision.
+// commit stores a tree derived from the base revision, if base is still the latest.
 func (s *store) commit(base uint64, tree settings.Tree, id int) edit.Reply {
 	if s.down {
 		return edit.Lost
 	}
-	compared := base == s.head().snapshot.Revision || s.world.options.Operators.NoCompare
-	if !compared {
+	allowed := base == s.head().snapshot.Revision || s.world.options.Operators.NoCompare
+	if !allowed {
 		return edit.No
 	}
 	if base != s.head().snapshot.Revision {
-		s.world.truth.overwrittenEdits++
+		s.world.observer.overwrittenEdits++
 	}
 	revision := s.head().snapshot.Revision + 1
 	snapshot := settings.Resolve(tree, revision)
-	s.history = append(s.history, accepted{snapshot, id})
-	s.world.truth.editAccepted(snapshot, id)
-	s.announce(snapshot)
-	if s.lose > 0 {
-		s.lose--
+	s.history = append(s.history, storedRevision{snapshot, id})
+	s.world.observer.recordEdit(snapshot, id)
+	s.notifyWatches(snapshot)
+	if s.repliesToLose > 0 {
+		s.repliesToLose--
 		return edit.Lost
 	}
 	return edit.Yes
 }
 
-// announce tells every balancer's watch, unless the store fails before.
-func (s *store) announce(snapshot *settings.Snapshot) {
+// notifyWatches sends a revision to every balancer that can reach the store on delivery.
+func (s *store) notifyWatches(snapshot *settings.Snapshot) {
 	for _, n := range s.world.nodes {
-		s.world.After(s.world.Between(watchLow, watchHigh), func() {
+		s.world.After(s.world.Between(minWatchDelay, maxWatchDelay), func() {
 			if !s.unreachable(n) {
-				n.apply(snapshot)
+				n.applySettings(snapshot)
 			}
 		})
 	}
 }
 
-// restore puts the store back to an older state, as from a backup.
-func (s *store) restore(back int) {
-	s.history = s.history[:max(1, len(s.history)-back)]
-	s.announce(s.head().snapshot)
+// restore removes the latest revisions, as a restore from a backup does.
+func (s *store) restore(revisions int) {
+	s.history = s.history[:max(1, len(s.history)-revisions)]
+	s.notifyWatches(s.head().snapshot)
 }
 
-func (s *store) settle(id int) edit.Reply {
+// hasEdit answers a read-back: Yes if the history contains the edit, Lost during an outage.
+func (s *store) hasEdit(id int) edit.Reply {
 	if s.down {
 		return edit.Lost
 	}
@@ -136,7 +135,7 @@
 	return edit.No
 }
 
-// operatorEdit is one operator's edit on its way through the protocol.
+// operatorEdit drives the edit protocol for one operator's edit.
 type operatorEdit struct {
 	world   *world
 	machine edit.Machine
@@ -144,72 +143,72 @@
 	base    *settings.Snapshot
 	mutate  func(settings.Tree)
 	tree    settings.Tree
-	// pause is how long the operator thinks between reading and writing.
+	// pause is the time between reading and writing.
 	pause time.Duration
 	done  func(edit.Result)
 }
 
-// edit lets an operator read the tree, think for a while and change it.
+// edit makes an operator read the settings, wait for pause and commit a change; done may be nil.
 func (w *world) edit(pause time.Duration, mutate func(settings.Tree), done func(edit.Result)) {
-	w.store.nextEdit++
-	e := &operatorEdit{world: w, id: w.store.nextEdit, mutate: mutate, pause: pause, done: done}
-	w.truth.editsMade++
-	e.load()
+	w.store.lastEditID++
+	e := &operatorEdit{world: w, id: w.store.lastEditID, mutate: mutate, pause: pause, done: done}
+	w.observer.editsMade++
+	e.read()
 }
 
-func (e *operatorEdit) load() {
+func (e *operatorEdit) read() {
 	w := e.world
-	w.After(w.Between(storeLow, storeHigh), func() {
+	w.After(w.Between(minStoreDelay, maxStoreDelay), func() {
 		if w.store.down {
-			w.After(storeRetry, e.load)
+			w.After(storeRetryDelay, e.read)
 			return
 		}
 		e.base = w.store.head().snapshot
 		e.tree = e.base.Tree.Clone()
 		e.mutate(e.tree)
-		w.After(e.pause, func() { e.do(e.machine.Start()) })
+		w.After(e.pause, func() { e.perform(e.machine.Start()) })
 	})
 }
 
-func (e *operatorEdit) do(call edit.Call) {
+func (e *operatorEdit) perform(call edit.Call) {
 	w := e.world
 	wait := time.Duration(0)
 	if call == edit.PauseThenCommit || call == edit.PauseThenSettle {
-		wait = storeRetry
+		wait = storeRetryDelay
 	}
 	switch call {
 	case edit.Done:
-		e.finish()
+		e.complete()
 	case edit.Commit, edit.PauseThenCommit:
-		w.After(wait+w.Between(storeLow, storeHigh), func() { e.committed(w.store.commit(e.base.Revision, e.tree, e.id)) })
+		w.After(wait+w.Between(minStoreDelay, maxStoreDelay), func() { e.handleCommitReply(w.store.commit(e.base.Revision, e.tree, e.id)) })
 	default:
-		w.After(wait+w.Between(storeLow, storeHigh), func() { e.do(e.machine.Settled(w.store.settle(e.id))) })
+		w.After(wait+w.Between(minStoreDelay, maxStoreDelay), func() { e.perform(e.machine.Settled(w.store.hasEdit(e.id))) })
 	}
 }
 
-func (e *operatorEdit) committed(reply edit.Reply) {
+func (e *operatorEdit) handleCommitReply(reply edit.Reply) {
 	if reply == edit.Lost && e.world.options.Operators.NoReadBack {
-		// The operator takes the edit for failed and makes it once more.
-		e.load()
+		// Without read-back the operator assumes that the edit failed and repeats it.
+		e.read()
 		return
 	}
-	e.do(e.machine.Committed(reply))
+	e.perform(e.machine.Committed(reply))
 }
 
-// finish hands an accepted tree to some balancers directly.
-func (e *operatorEdit) finish() {
+// complete pushes an accepted edit to some balancers and reports the result.
+func (e *operatorEdit) complete() {
 	w := e.world
 	if e.machine.Result == edit.Accepted && !w.options.Operators.NoPush {
-		left := pushTargets
-		for _, n := range w.machines {
-			if left > 0 && n.up && !n.frozen {
-				left--
-				w.After(w.Between(storeLow, storeHigh), func() { n.apply(settings.Resolve(e.tree, e.base.Revision+1)) })
+		remaining := pushTargets
+		for _, n := range w.listedNodes {
+			if remaining > 0 && n.up && !n.frozen {
+				remaining--
+				w.After(w.Between(minStoreDelay, maxStoreDelay), func() { n.applySettings(settings.Resolve(e.tree, e.base.Revision+1)) })
 			}
 		}
 	}
 	if e.machine.Result == edit.Conflict {
-		w.truth.conflicts++
+		w.observer.conflicts++
 	}
 	if e.done != nil {
 		e.done(e.machine.Result)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,7 +1,7 @@
-// Package sim runs whole fleets on a virtual clock, in one goroutine: the real
-// decision core of package balancer, between models of callers, fabric, back
-// ends, store, machine list and operators. An observer that sees what back ends
-// really ran judges the promises. Equal options give equal runs.
+// Package sim simulates whole fleets on a virtual clock in one goroutine. It runs the real decision
+// core of package balancer with models of callers, network, back ends, store, machine list and
+// operators. An observer checks the guarantees against what back ends really ran. Equal options
+// give equal runs.
 package sim
 
 import (
@@ -16,44 +16,44 @@
 	"gaugeyard/internal/virtual"
 )
 
-// Options select one run.
+// Options configures one run.
 type Options struct {
 	Deployment Deployment
 	Scenario   Scenario
 	Seed       uint64
 	Strategy   balancer.Strategy
 	Mechanisms balancer.Mechanisms
-	// Operators switches parts of the operators' edit protocol off.
+	// Operators disables parts of the operators' edit protocol.
 	Operators OperatorMechanisms
 	// Scale multiplies the number of flows and requests; 0 means 1.
 	Scale float64
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	options Options
 	virtual.Clock
 	trace hash.Hash
 
-	nodes     []*node
-	backends  []*backend
-	byAddress map[netip.AddrPort]*backend
-	sessions  map[flow.Key]session
-	machines  []*node
-	store     *store
-	network   network
-	truth     *observer
-	bodies    []body
-	// nextCaller numbers callers' addresses.
-	nextCaller uint32
-	// loadFactor multiplies the request rate at present.
-	loadFactor float64
-	// lyingLoad makes half of the back ends report no load, and the others too much.
-	lyingLoad bool
-	snapshot  *settings.Snapshot
+	nodes       []*node
+	backends    []*backend
+	byAddress   map[netip.AddrPort]*backend
+	sessions    map[flow.Key]session
+	listedNodes []*node
+	store       *store
+	network     network
+	observer    *observer
+	bodies      []body
+	// callerCount is the number of callers so far; addresses derive from it.
+	callerCount uint32
+	// rateFactor multiplies the rate of lookups.
+	rateFactor float64
+	// falseLoadReports makes half of the back ends report no load and the others far too much.
+	falseLoadReports bool
+	snapshot         *settings.Snapshot
 }
 
-// traceKind says what a line of the trace records.
+// traceKind is the kind of a trace entry.
 type traceKind uint64
 
 const (
@@ -63,8 +63,8 @@
 	traceRun
 )
 
-// record adds one line to the trace, whose hash identifies the run.
-func (w *world) record(kind traceKind, a, b uint64) {
+// recordTrace adds an entry to the trace, whose hash identifies the run.
+func (w *world) recordTrace(kind traceKind, a, b uint64) {
 	var line [32]byte
 	binary.LittleEndian.PutUint64(line[0:], uint64(w.Now))
 	binary.LittleEndian.PutUint64(line[8:], uint64(kind))
@@ -83,26 +83,26 @@
 		trace:      sha256.New(),
 		byAddress:  map[netip.AddrPort]*backend{},
 		sessions:   map[flow.Key]session{},
-		loadFactor: 1,
+		rateFactor: 1,
 	}
-	w.truth = newObserver(w)
+	w.observer = newObserver(w)
 	w.store = newStore(w, options.Deployment.Tree)
 	w.snapshot = settings.Resolve(options.Deployment.Tree, 1)
 	w.network = network{world: w, profile: options.Scenario.Network}
 	return w
 }
 
-// body is what a datagram carries beyond what the core reads.
+// body is the payload of a datagram, which the core does not read.
 type body struct {
 	request *request
-	// part of an answer in parts, or block of an upload.
+	// part is the index of an answer's part or an upload's block, parts their number.
 	part, parts int
 	result      result
-	// sequence numbers notifications.
+	// sequence is the number of a notification.
 	sequence uint32
 }
 
-// result is what an answer says.
+// result is the status in an answer.
 type result uint8
 
 const (
@@ -112,14 +112,14 @@
 	resultIncomplete
 )
 
-// attach gives a packet its body, by reference in the packet's opaque data.
-func (w *world) attach(packet *balancer.Packet, b body) *balancer.Packet {
+// attachBody stores a payload and puts its index into the packet's opaque data.
+func (w *world) attachBody(packet *balancer.Packet, b body) *balancer.Packet {
 	w.bodies = append(w.bodies, b)
 	packet.Data = binary.LittleEndian.AppendUint32(nil, uint32(len(w.bodies)-1))
 	return packet
 }
 
-// bodyOf returns the body of a packet.
+// bodyOf returns the payload of a packet.
 func (w *world) bodyOf(packet *balancer.Packet) body {
 	return w.bodies[binary.LittleEndian.Uint32(packet.Data)]
 }
--- a/internal/simcli/platform.go
+++ b/internal/simcli/platform.go
@@ -25,25 +25,25 @@
 	List      bool     `arg:"--list" help:"list scenarios and mechanisms"`
 }
 
-// runPlatform runs the emulator of the users' platform; one JSON object a line.
+// runPlatform runs the platform emulator and writes one JSON object per line.
 func runPlatform(command *platformCommand, out, errOut io.Writer) int {
 	if command.List {
 		listPlatform(out)
-		return exitKept
+		return exitOK
 	}
 	options, scenarios, err := planPlatform(command, errOut)
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitInvalid
 	}
-	status := exitKept
+	status := exitOK
 	encoder := json.NewEncoder(out)
 	for _, scenario := range scenarios {
 		for i := range command.Seeds {
 			options.Scenario, options.Seed = scenario, command.Seed+uint64(i)
 			result := emulator.Run(options)
 			if len(result.Violations) > 0 {
-				status = exitBroken
+				status = exitViolation
 			}
 			if err := encoder.Encode(result); err != nil {
 				fmt.Fprintln(errOut, err)
@@ -56,9 +56,9 @@
 
 func planPlatform(command *platformCommand, trace io.Writer) (emulator.Options, []emulator.Scenario, error) {
 	options := emulator.Options{Steady: command.Steady, BalancersPerZone: command.Balancers, Zones: command.Zones}
-	const most = 60
-	if command.Balancers < 1 || command.Balancers > most || command.Zones < 1 || command.Zones > most {
-		return options, nil, fmt.Errorf("--balancers and --zones want 1 to %d", most)
+	const maxCount = 60
+	if command.Balancers < 1 || command.Balancers > maxCount || command.Zones < 1 || command.Zones > maxCount {
+		return options, nil, fmt.Errorf("--balancers and --zones must be between 1 and %d", maxCount)
 	}
 	if command.Trace != "" {
 		caller, err := netip.ParseAddrPort(command.Trace)
@@ -71,7 +71,7 @@
 	for _, name := range command.Without {
 		field := reflect.ValueOf(&options.Without).Elem().FieldByNameFunc(func(field string) bool { return strings.EqualFold(field, name) })
 		if !field.IsValid() {
-			return options, nil, fmt.Errorf("--without %q: allowed are %s", name, strings.Join(platformMechanisms(), ", "))
+			return options, nil, fmt.Errorf("--without %q: unknown mechanism; want one of %s", name, strings.Join(platformMechanisms(), ", "))
 		}
 		field.SetBool(true)
 	}
@@ -80,16 +80,16 @@
 	}
 	scenario, found := emulator.Find(command.Scenario)
 	if !found {
-		return options, nil, fmt.Errorf("--scenario %q: see --list", command.Scenario)
+		return options, nil, fmt.Errorf("--scenario %q: unknown scenario; --list shows the names", command.Scenario)
 	}
 	return options, []emulator.Scenario{scenario}, nil
 }
 
 func platformMechanisms() []string {
-	kind := reflect.TypeFor[emulator.Without]()
+	structType := reflect.TypeFor[emulator.Without]()
 	var names []string
-	for i := range kind.NumField() {
-		names = append(names, strings.ToLower(kind.Field(i).Name))
+	for i := range structType.NumField() {
+		names = append(names, strings.ToLower(structType.Field(i).Name))
 	}
 	slices.Sort(names)
 	return names
--- a/internal/simcli/simcli.go
+++ b/internal/simcli/simcli.go
@@ -1,4 +1,4 @@
-// Package simcli parses the command line of gaugeyard-sim.
+// Package simcli implements the command line of gaugeyard-sim.
 package simcli
 
 import (
@@ -19,9 +19,9 @@
 
 // Exit statuses.
 const (
-	exitKept    = 0
-	exitBroken  = 1
-	exitInvalid = 2
+	exitOK        = 0
+	exitViolation = 1
+	exitInvalid   = 2
 )
 
 type runCommand struct {
@@ -55,13 +55,13 @@
 	switch {
 	case errors.Is(err, arg.ErrHelp):
 		_ = parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...)
-		return exitKept
+		return exitOK
 	case err != nil:
 		fmt.Fprintln(errOut, err)
 		return exitInvalid
 	case parsed.List != nil:
 		list(out)
-		return exitKept
+		return exitOK
 	case parsed.Platform != nil:
 		return runPlatform(parsed.Platform, out, errOut)
 	case parsed.Run != nil:
@@ -77,7 +77,7 @@
 	fmt.Fprintln(out, "mechanisms:", strings.Join(mechanismNames(), ", "))
 	fmt.Fprintln(out, "scenarios:")
 	for _, scenario := range sim.Scenarios {
-		fmt.Fprintf(out, "  %-38s %s\n", scenario.Name, scenario.About)
+		fmt.Fprintf(out, "  %-38s %s\n", scenario.Name, scenario.Description)
 	}
 }
 
@@ -87,12 +87,12 @@
 		fmt.Fprintln(errOut, err)
 		return exitInvalid
 	}
-	status := exitKept
+	status := exitOK
 	encoder := json.NewEncoder(out)
 	for _, options := range plans {
 		result := sim.Run(options)
-		if len(result.Broken) > 0 {
-			status = exitBroken
+		if len(result.Violations) > 0 {
+			status = exitViolation
 		}
 		if err := encoder.Encode(result); err != nil {
 			fmt.Fprintln(errOut, err)
@@ -102,7 +102,7 @@
 	return status
 }
 
-// plan lists the runs that the command asks for.
+// plan returns the options of each run that the command selects.
 func plan(command *runCommand) ([]sim.Options, error) {
 	strategy, err := balancer.ParseStrategy(command.Strategy)
 	if err != nil {
@@ -110,15 +110,15 @@
 	}
 	base := sim.Options{Strategy: strategy, Scale: command.Scale}
 	for _, name := range command.Without {
-		if err := turnOff(&base, name); err != nil {
+		if err := disableMechanism(&base, name); err != nil {
 			return nil, err
 		}
 	}
 	scenarios := sim.Scenarios
 	if command.Scenario != "all" {
-		scenario, known := sim.ScenarioNamed(command.Scenario)
+		scenario, known := sim.FindScenario(command.Scenario)
 		if !known {
-			return nil, fmt.Errorf("scenario %q: see gaugeyard-sim list", command.Scenario)
+			return nil, fmt.Errorf("unknown scenario %q: gaugeyard-sim list shows the names", command.Scenario)
 		}
 		scenarios = []sim.Scenario{scenario}
 	}
@@ -148,20 +148,20 @@
 	return plans, nil
 }
 
-// mechanismNames returns the names that --without accepts: the fields of the
-// two structs of switches, in lower case with hyphens.
+// mechanismNames returns the names that --without accepts: the field names of
+// balancer.Mechanisms and sim.OperatorMechanisms in kebab case, without the prefix No.
 func mechanismNames() []string {
 	var names []string
 	for _, t := range []reflect.Type{reflect.TypeFor[balancer.Mechanisms](), reflect.TypeFor[sim.OperatorMechanisms]()} {
 		for i := range t.NumField() {
-			names = append(names, hyphenated(strings.TrimPrefix(t.Field(i).Name, "No")))
+			names = append(names, kebabCase(strings.TrimPrefix(t.Field(i).Name, "No")))
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-func hyphenated(name string) string {
+func kebabCase(name string) string {
 	var text strings.Builder
 	for i, letter := range name {
 		if i > 0 && letter >= 'A' && letter <= 'Z' {
@@ -172,14 +172,14 @@
 	return text.String()
 }
 
-func turnOff(options *sim.Options, name string) error {
+func disableMechanism(options *sim.Options, name string) error {
 	for _, v := range []reflect.Value{reflect.ValueOf(&options.Mechanisms).Elem(), reflect.ValueOf(&options.Operators).Elem()} {
 		for i := range v.NumField() {
-			if hyphenated(strings.TrimPrefix(v.Type().Field(i).Name, "No")) == name {
+			if kebabCase(strings.TrimPrefix(v.Type().Field(i).Name, "No")) == name {
 				v.Field(i).SetBool(true)
 				return nil
 			}
 		}
 	}
-	return fmt.Errorf("mechanism %q: allowed are %s", name, strings.Join(mechanismNames(), ", "))
+	return fmt.Errorf("unknown mechanism %q: want one of %s", name, strings.Join(mechanismNames(), ", "))
 }
--- a/internal/simcli/simcli_test.go
+++ b/internal/simcli/simcli_test.go
@@ -9,7 +9,7 @@
 	"gaugeyard/internal/emulator"
 )
 
-// TestEveryScenarioPrintsItsResult as one JSON object.
+// TestEveryScenarioPrintsItsResult checks that each scenario prints one JSON object.
 func TestEveryScenarioPrintsItsResult(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if status := Main([]string{"platform", "--balancers", "1", "--zones", "2"}, &out, &errOut); errOut.Len() > 0 {
@@ -17,7 +17,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != len(emulator.Scenarios) {
-		t.Fatalf("%d results of %d scenarios", len(lines), len(emulator.Scenarios))
+		t.Fatalf("%d results for %d scenarios", len(lines), len(emulator.Scenarios))
 	}
 	for _, line := range lines {
 		var result emulator.Result
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameInvalidInput(t *testing.T) {
 	for _, test := range []struct {
 		args []string
 		want string
