--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -40,7 +40,7 @@
 // backendFlow is a back end's state of one flow.
 type backendFlow struct {
 	key      flow.Key
-	began    time.Duration
+	openedAt time.Duration
 	lastSeen time.Duration
 	// answers holds the response to each message identifier; nil while the request runs.
 	answers map[uint16]*body
@@ -106,7 +106,7 @@
 		if packet.Kind == balancer.Control {
 			return
 		}
-		f = &backendFlow{key: packet.Flow, began: w.Now, answers: map[uint16]*body{}, blocks: map[*request]int{}}
+		f = &backendFlow{key: packet.Flow, openedAt: w.Now, answers: map[uint16]*body{}, blocks: map[*request]int{}}
 		b.flows[packet.Flow] = f
 		w.observer.recordFlow(b, packet)
 	}
@@ -115,9 +115,9 @@
 		b.recordAcknowledgement(f, packet)
 		return
 	}
-	if known, seen := f.answers[packet.MessageID]; seen {
-		if known != nil {
-			b.sendAnswer(packet, *known)
+	if answer, seen := f.answers[packet.MessageID]; seen {
+		if answer != nil {
+			b.sendAnswer(packet, *answer)
 		}
 		return
 	}
@@ -190,10 +190,10 @@
 	if w.Now-b.started < warmUpTime && b.started > 0 {
 		length *= warmUpSlowdown
 	}
-	run := b.incarnation
+	incarnation := b.incarnation
 	w.observer.recordRun(b, j.body.request)
 	w.After(length, func() {
-		if !b.up || b.incarnation != run {
+		if !b.up || b.incarnation != incarnation {
 			return
 		}
 		b.busySlots--
@@ -236,8 +236,8 @@
 }
 
 // notify sends the next notification of a feed and schedules the following one.
-func (b *backend) notify(f *backendFlow, subscription *feed, run int) {
-	if !b.up || b.incarnation != run || f.feed != subscription {
+func (b *backend) notify(f *backendFlow, subscription *feed, incarnation int) {
+	if !b.up || b.incarnation != incarnation || f.feed != subscription {
 		return
 	}
 	if b.world.sessions[f.key] == nil {
@@ -245,14 +245,14 @@
 		return
 	}
 	subscription.sequence++
-	b.sendNotification(f, subscription, subscription.sequence, 0, run)
-	b.world.After(notificationInterval, func() { b.notify(f, subscription, run) })
+	b.sendNotification(f, subscription, subscription.sequence, 0, incarnation)
+	b.world.After(notificationInterval, func() { b.notify(f, subscription, incarnation) })
 }
 
 // sendNotification retransmits a notification until it is acknowledged or superseded.
-func (b *backend) sendNotification(f *backendFlow, subscription *feed, sequence uint32, attempt int, run int) {
+func (b *backend) sendNotification(f *backendFlow, subscription *feed, sequence uint32, attempt int, incarnation int) {
 	stale := f.feed != subscription || subscription.acknowledged >= sequence || subscription.sequence > sequence
-	if !b.up || b.incarnation != run || stale || attempt > maxRetransmissions {
+	if !b.up || b.incarnation != incarnation || stale || attempt > maxRetransmissions {
 		return
 	}
 	if !b.frozen {
@@ -267,7 +267,7 @@
 		}
 		b.world.network.sendToBalancer(b.zone, b.world.attachBody(packet, body{sequence: sequence}))
 	}
-	b.world.After(ackTimeout<<attempt, func() { b.sendNotification(f, subscription, sequence, attempt+1, run) })
+	b.world.After(ackTimeout<<attempt, func() { b.sendNotification(f, subscription, sequence, attempt+1, incarnation) })
 }
 
 // sendLoadReports sends the utilization to every balancer, after loadReportDelay.
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -77,14 +77,14 @@
 		config.BootstrapUntil = bootstrapUntil
 	}
 	n.core = balancer.New(config)
-	run := n.incarnation
+	incarnation := n.incarnation
 	n.sendMachineList()
-	n.world.After(n.world.Between(0, balancer.TickInterval), func() { n.tick(run) })
+	n.world.After(n.world.Between(0, balancer.TickInterval), func() { n.tick(incarnation) })
 	n.world.store.scheduleRead(n)
 }
 
-func (n *node) tick(run uint64) {
-	if !n.up || run != n.incarnation {
+func (n *node) tick(incarnation uint64) {
+	if !n.up || incarnation != n.incarnation {
 		return
 	}
 	if !n.frozen {
@@ -97,7 +97,7 @@
 		}
 		return
 	}
-	n.world.After(balancer.TickInterval, func() { n.tick(run) })
+	n.world.After(balancer.TickInterval, func() { n.tick(incarnation) })
 }
 
 // crash ends the process immediately.
@@ -115,9 +115,9 @@
 // freeze suspends the process for a time; its sockets buffer datagrams.
 func (n *node) freeze(length time.Duration) {
 	n.frozen = true
-	run := n.incarnation
+	incarnation := n.incarnation
 	n.world.After(length, func() {
-		if !n.up || run != n.incarnation {
+		if !n.up || incarnation != n.incarnation {
 			return
 		}
 		n.frozen = false
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, known := FindScenario(scenario)
-	if !known {
+	s, found := FindScenario(scenario)
+	if !found {
 		t.Fatalf("unknown scenario %q", scenario)
 	}
 	return Options{Deployment: d, Scenario: s, Seed: seed, Scale: testScale}
@@ -54,10 +54,10 @@
 func TestGuaranteesDependOnMechanisms(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		promise, scenario string
-		seed              uint64
-		off               func(*Options)
-		broken            func(Result) bool
+		guarantee, scenario string
+		seed                uint64
+		disable             func(*Options)
+		violated            func(Result) bool
 	}{
 		{"established flows survive a drain and a stop in one second", "balancer-and-backend-change-together", 1,
 			func(o *Options) { o.Strategy = balancer.Consistent }, func(r Result) bool { return r.BrokenFlows > 0 }},
@@ -97,18 +97,18 @@
 			func(o *Options) { o.Mechanisms.NoOwnCounts = true }, func(r Result) bool { return r.ImbalancePeakToMean > 1.2 }},
 	}
 	for _, c := range cases {
-		t.Run(c.promise, func(t *testing.T) {
+		t.Run(c.guarantee, func(t *testing.T) {
 			t.Parallel()
 			// Some violations need a flow at a certain place and time, so several seeds are tried.
 			// The guarantee must hold for each with the mechanism on.
 			for seed := c.seed; seed < c.seed+maxSeeds; seed++ {
 				on := options(t, "litera", c.scenario, seed)
 				off := on
-				c.off(&off)
-				if r := Run(on); c.broken(r) {
+				c.disable(&off)
+				if r := Run(on); c.violated(r) {
 					t.Fatalf("guarantee violated with the mechanism on: %+v", r)
 				}
-				if c.broken(Run(off)) {
+				if c.violated(Run(off)) {
 					return
 				}
 			}
@@ -128,10 +128,10 @@
 			t.Run(deployment+"/"+scenario.Name, func(t *testing.T) {
 				t.Parallel()
 				result := Run(options(t, deployment, scenario.Name, 1))
-				for _, promise := range result.Violations {
+				for _, guarantee := range result.Violations {
 					// At testScale a back end has about 30 flows, too few for the limit.
-					if promise != "imbalance in steady state" {
-						t.Errorf("guarantee %q violated: %+v", promise, result)
+					if guarantee != "imbalance in steady state" {
+						t.Errorf("guarantee %q violated: %+v", guarantee, result)
 					}
 				}
 			})
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -55,10 +55,10 @@
 
 // scheduleRead makes a balancer read the settings, with retries while the store is unreachable.
 func (s *store) scheduleRead(n *node) {
-	run := n.incarnation
+	incarnation := n.incarnation
 	s.world.After(s.world.Between(minWatchDelay, maxWatchDelay), func() {
 		switch {
-		case !n.up || run != n.incarnation:
+		case !n.up || incarnation != n.incarnation:
 		case s.unreachable(n):
 			s.world.After(storeRetryDelay, func() { s.scheduleRead(n) })
 		default:
--- a/internal/simcli/simcli.go
+++ b/internal/simcli/simcli.go
@@ -116,8 +116,8 @@
 	}
 	scenarios := sim.Scenarios
 	if command.Scenario != "all" {
-		scenario, known := sim.FindScenario(command.Scenario)
-		if !known {
+		scenario, found := sim.FindScenario(command.Scenario)
+		if !found {
 			return nil, fmt.Errorf("unknown scenario %q: gaugeyard-sim list shows the names", command.Scenario)
 		}
 		scenarios = []sim.Scenario{scenario}
