--- a/internal/logs/explain/causes.go
+++ b/internal/logs/explain/causes.go
@@ -7,61 +7,60 @@
 	"gaugeyard/internal/logs"
 )
 
-// Cause is why a flow failed, in words for the one on call.
+// Cause explains to an operator why a flow failed. Its text is part of the JSON output.
 type Cause string
 
 // The causes.
 const (
-	NoRoute          Cause = "the service's address had no route in the version in force; the caller was reset at once"
-	NoBackend        Cause = "no back end of the service took new flows"
-	BackendLost      Cause = "the back end answered nobody any more; the flow was reset, so that its caller asks elsewhere"
-	BackendDied      Cause = "the back end fell silent with the flow: it crashed, stood still or was cut off"
-	BackendFailing   Cause = "the back end leaves requests unanswered though it takes new flows"
-	BackendLeft      Cause = "the back end was draining or its entry had gone"
-	BalancerDown     Cause = "the balancer was killed or lost power: it starts again without having left"
-	BalancerStill    Cause = "the balancer stood still: it drops opening packets that waited"
-	BalancerSilent   Cause = "the balancer wrote nothing for a while and went on: it stood still or was cut off"
-	BalancerStopping Cause = "the balancer was in a planned stop"
-	BalancersGone    Cause = "balancers took no packets at that time: each was killed or lost power, and starts again without having left"
-	UnknownTag       Cause = "a balancer did not know the back end that the flow's packets name"
-	NothingKnown     Cause = "the balancer knew no settings yet"
+	NoRoute             Cause = "the service's address had no route in the version in force; the caller was reset at once"
+	NoBackend           Cause = "no back end of the service took new flows"
+	BackendDown         Cause = "the back end answered nobody any more; the flow was reset, so that its caller asks elsewhere"
+	BackendUnresponsive Cause = "the back end fell silent with the flow: it crashed, stood still or was cut off"
+	BackendFailing      Cause = "the back end leaves requests unanswered though it takes new flows"
+	BackendRemoved      Cause = "the back end was draining or its entry had gone"
+	BalancerCrashed     Cause = "the balancer was killed or lost power: it starts again without having left"
+	BalancerPaused      Cause = "the balancer stood still: it drops opening packets that waited"
+	BalancerSilent      Cause = "the balancer wrote nothing for a while and went on: it stood still or was cut off"
+	BalancerStopping    Cause = "the balancer was in a planned stop"
+	BalancersCrashed    Cause = "balancers took no packets at that time: each was killed or lost power, and starts again without having left"
+	UnknownTag          Cause = "a balancer did not know the back end that the flow's packets name"
+	NotReady            Cause = "the balancer knew no settings yet"
 )
 
-// scene is what rules look at.
-type scene struct {
+// analysis is the input of the rules.
+type analysis struct {
 	query Query
 	steps []Step
-	// all are the lines of all balancers, near those within the window.
+	// all are the lines of all balancers, near those within the query's window.
 	all, near []logs.Line
 }
 
 // rule finds the lines that support a cause.
 type rule struct {
 	cause Cause
-	find  func(s *scene) []logs.Line
+	find  func(s *analysis) []logs.Line
 }
 
-// rules are in the order in which they are believed: what a balancer says of the flow
-// itself goes before what was seen of its back end, and that before what the balancer's
-// own lines show.
+// rules are ordered by strength of evidence, starting with what balancers logged about the
+// flow itself.
 var rules = []rule{
-	{NoRoute, func(s *scene) []logs.Line { return s.ofFlow("no_route") }},
-	{NoBackend, func(s *scene) []logs.Line { return s.ofFlow("no_backend") }},
-	{NothingKnown, func(s *scene) []logs.Line { return s.ofFlow("not_ready") }},
-	{UnknownTag, func(s *scene) []logs.Line { return s.ofFlow("unknown_tag") }},
-	{BalancerStill, func(s *scene) []logs.Line { return s.ofFlow("stale") }},
-	{BackendLost, (*scene).reset},
-	{BackendDied, (*scene).died},
-	{BalancerSilent, (*scene).balancerSilent},
-	{BackendFailing, func(s *scene) []logs.Line { return s.ofBackend(logs.BackendFaulty) }},
-	{BackendLeft, func(s *scene) []logs.Line { return s.ofBackend(logs.BackendDraining, logs.BackendGone) }},
-	{BalancerDown, (*scene).balancerDown},
-	{BalancerStopping, func(s *scene) []logs.Line { return s.ofNode(logs.Leaving) }},
-	{BalancersGone, (*scene).balancersGone},
+	{NoRoute, func(s *analysis) []logs.Line { return s.stepsWithReason("no_route") }},
+	{NoBackend, func(s *analysis) []logs.Line { return s.stepsWithReason("no_backend") }},
+	{NotReady, func(s *analysis) []logs.Line { return s.stepsWithReason("not_ready") }},
+	{UnknownTag, func(s *analysis) []logs.Line { return s.stepsWithReason("unknown_tag") }},
+	{BalancerPaused, func(s *analysis) []logs.Line { return s.stepsWithReason("stale") }},
+	{BackendDown, (*analysis).flowReset},
+	{BackendUnresponsive, (*analysis).backendUnresponsive},
+	{BalancerSilent, (*analysis).balancerSilent},
+	{BackendFailing, func(s *analysis) []logs.Line { return s.backendLines(logs.BackendRequestFailures) }},
+	{BackendRemoved, func(s *analysis) []logs.Line { return s.backendLines(logs.BackendDraining, logs.BackendRemoved) }},
+	{BalancerCrashed, (*analysis).balancerCrashed},
+	{BalancerStopping, func(s *analysis) []logs.Line { return s.balancerLines(logs.Leaving) }},
+	{BalancersCrashed, (*analysis).balancersCrashed},
 }
 
-// ofFlow returns the steps with a reason.
-func (s *scene) ofFlow(reason string) []logs.Line {
+// stepsWithReason returns the lines of the flow that have the reason.
+func (s *analysis) stepsWithReason(reason string) []logs.Line {
 	var found []logs.Line
 	for _, step := range s.steps {
 		if step.Line.Reason == reason {
@@ -71,10 +70,10 @@
 	return found
 }
 
-// reset returns the steps in which a balancer ended the flow because its back end was lost, with
-// what was seen of that one.
-func (s *scene) reset() []logs.Line {
-	found := s.ofFlow("backend_lost")
+// flowReset returns the lines in which a balancer reset the flow or refused it because its
+// back end was down, followed by the lines that marked the back end as down.
+func (s *analysis) flowReset() []logs.Line {
+	found := s.stepsWithReason("backend_lost")
 	for _, step := range s.steps {
 		if step.Line.Message == logs.FlowReset {
 			found = append(found, step.Line)
@@ -83,27 +82,30 @@
 	if len(found) == 0 {
 		return nil
 	}
-	return append(found, s.ofBackend(logs.BackendLost)...)
+	return append(found, s.backendLines(logs.BackendDown)...)
 }
 
-// ofBackend returns the lines near about the flow's back end with one of the messages.
-func (s *scene) ofBackend(messages ...string) []logs.Line {
+// backendLines returns the lines within the window about the flow's back end that have one
+// of the messages.
+func (s *analysis) backendLines(messages ...string) []logs.Line {
 	if s.query.Backend == "" {
 		return nil
 	}
-	return pick(s.near, func(l *logs.Line) bool { return l.Backend == s.query.Backend }, messages)
+	return filterLines(s.near, func(l *logs.Line) bool { return l.Backend == s.query.Backend }, messages)
 }
 
-// ofNode returns the lines near of the flow's balancer with one of the messages.
-func (s *scene) ofNode(messages ...string) []logs.Line {
+// balancerLines returns the lines within the window of the flow's balancer that have one of
+// the messages.
+func (s *analysis) balancerLines(messages ...string) []logs.Line {
 	if s.query.Node == "" {
 		return nil
 	}
-	return pick(s.near, func(l *logs.Line) bool { return l.Node == s.query.Node }, messages)
+	return filterLines(s.near, func(l *logs.Line) bool { return l.Node == s.query.Node }, messages)
 }
 
-// pick returns the lines that match and have one of the messages, any where there are none.
-func pick(lines []logs.Line, matches func(*logs.Line) bool, messages []string) []logs.Line {
+// filterLines returns the lines that match and have one of the messages, or any message if
+// messages is empty.
+func filterLines(lines []logs.Line, matches func(*logs.Line) bool, messages []string) []logs.Line {
 	var found []logs.Line
 	for i := range lines {
 		if matches(&lines[i]) && (len(messages) == 0 || slices.Contains(messages, lines[i].Message)) {
@@ -113,42 +115,43 @@
 	return found
 }
 
-// died returns the doubts of balancers in a back end that no planned end explains. A
-// doubt that was followed by a sign of life on the same balancer is none.
-func (s *scene) died() []logs.Line {
-	doubts := s.ofBackend(logs.BackendDoubted, logs.BackendSuspected, logs.BackendLost)
-	if len(doubts) == 0 || len(s.ofBackend(logs.BackendDraining)) > 0 {
+// backendUnresponsive returns the lines that suspect the flow's back end, unless it was
+// draining. A suspicion that a response on the same balancer soon cleared does not count.
+func (s *analysis) backendUnresponsive() []logs.Line {
+	suspicions := s.backendLines(logs.BackendSuspect, logs.BackendSilent, logs.BackendDown)
+	if len(suspicions) == 0 || len(s.backendLines(logs.BackendDraining)) > 0 {
 		return nil
 	}
-	answered := s.ofBackend(logs.BackendAnswers)
-	var standing []logs.Line
-	for _, doubt := range doubts {
-		if !answeredSoon(doubt, answered) {
-			standing = append(standing, doubt)
+	responses := s.backendLines(logs.BackendResponding)
+	var unresolved []logs.Line
+	for _, suspicion := range suspicions {
+		if !respondedAfter(suspicion, responses) {
+			unresolved = append(unresolved, suspicion)
 		}
 	}
-	return append(standing, s.ofBackend(logs.BackendGone)...)
+	return append(unresolved, s.backendLines(logs.BackendRemoved)...)
 }
 
-// shortDoubt is how long a doubt may last without meaning more than a lost packet.
-const shortDoubt = time.Second
+// maxFalseSuspicion is the time within which a response clears a suspicion, which was then
+// caused by no more than a lost packet.
+const maxFalseSuspicion = time.Second
 
-func answeredSoon(doubt logs.Line, answered []logs.Line) bool {
-	for _, line := range answered {
-		if after := line.At.Sub(doubt.At); line.Node == doubt.Node && after >= 0 && after < shortDoubt {
+func respondedAfter(suspicion logs.Line, responses []logs.Line) bool {
+	for _, line := range responses {
+		if after := line.At.Sub(suspicion.At); line.Node == suspicion.Node && after >= 0 && after < maxFalseSuspicion {
 			return true
 		}
 	}
 	return false
 }
 
-// wayTime is how long after it was sent a request may still be under way to a balancer: its
-// caller sends it again for that long.
-const wayTime = time.Second
+// retransmissionTime is how long a caller retransmits a request, which may therefore reach
+// a balancer that much later.
+const retransmissionTime = time.Second
 
-// balancersGone returns, where nothing but a time is known, the last line and the next start
-// of each balancer that was gone then.
-func (s *scene) balancersGone() []logs.Line {
+// balancersCrashed returns the last line and the next start of each balancer that was down
+// at the time of the query. It returns nil if the query selects more than a time.
+func (s *analysis) balancersCrashed() []logs.Line {
 	if s.query.Node != "" || s.query.Backend != "" || s.query.Caller != "" {
 		return nil
 	}
@@ -159,19 +162,19 @@
 			continue
 		}
 		seen[line.Node] = true
-		one := *s
-		one.query.Node = line.Node
-		down := one.balancerDown()
-		if len(down) > 0 && down[0].At.Before(s.query.At.Add(wayTime)) && down[1].At.After(s.query.At) {
-			found = append(found, down...)
+		single := *s
+		single.query.Node = line.Node
+		crash := single.balancerCrashed()
+		if len(crash) > 0 && crash[0].At.Before(s.query.At.Add(retransmissionTime)) && crash[1].At.After(s.query.At) {
+			found = append(found, crash...)
 		}
 	}
 	return found
 }
 
-// balancerDown returns the line that the flow's balancer wrote last and its next start,
-// where it started again soon without having left before.
-func (s *scene) balancerDown() []logs.Line {
+// balancerCrashed returns the last line of the flow's balancer before a restart near the
+// time of the query and the line of that start, if no planned stop preceded it.
+func (s *analysis) balancerCrashed() []logs.Line {
 	if s.query.Node == "" {
 		return nil
 	}
@@ -197,23 +200,25 @@
 }
 
 const (
-	// longGap is the shortest time without a line that counts as standing still, and
-	// gapFactor how many times a balancer's usual gap it must be: quiet ones write little.
-	longGap   = time.Second
-	gapFactor = 4
+	// minSilence is the shortest time without a line that counts as a pause.
+	minSilence = time.Second
+	// minSilenceFactor is the minimum ratio of such a time to the balancer's typical gap
+	// between lines, so that a balancer that logs little does not count as paused.
+	minSilenceFactor = 4
 )
 
-// balancerSilent returns the lines around the longest gap of the flow's balancer near the
-// time, where that gap is much longer than its usual ones and no start ends it.
-func (s *scene) balancerSilent() []logs.Line {
+// balancerSilent returns the lines before and after the longest gap in the log of the
+// flow's balancer within the window, if that gap is much longer than its typical ones, ends
+// after the time of the query, and does not end with a start.
+func (s *analysis) balancerSilent() []logs.Line {
 	if s.query.Node == "" {
 		return nil
 	}
-	own := pick(s.near, func(l *logs.Line) bool { return l.Node == s.query.Node }, nil)
-	longest, usual := 0, time.Duration(0)
+	own := filterLines(s.near, func(l *logs.Line) bool { return l.Node == s.query.Node }, nil)
+	longest, typical := 0, time.Duration(0)
 	for i := 1; i < len(own); i++ {
 		gap := own[i].At.Sub(own[i-1].At)
-		usual += gap
+		typical += gap
 		if longest == 0 || gap > own[longest].At.Sub(own[longest-1].At) {
 			longest = i
 		}
@@ -222,8 +227,8 @@
 		return nil
 	}
 	gap := own[longest].At.Sub(own[longest-1].At)
-	usual = (usual - gap) / time.Duration(max(1, len(own)-2))
-	if gap < longGap || gap < gapFactor*usual || own[longest].At.Before(s.query.At) {
+	typical = (typical - gap) / time.Duration(max(1, len(own)-2))
+	if gap < minSilence || gap < minSilenceFactor*typical || own[longest].At.Before(s.query.At) {
 		return nil
 	}
 	return own[longest-1 : longest+1]
--- a/internal/logs/explain/explain.go
+++ b/internal/logs/explain/explain.go
@@ -1,20 +1,18 @@
-// Package explain tells from the logs of balancers what became of one flow, what each
-// balancer believed when it decided, and the most likely cause when the flow failed.
+// Package explain reconstructs the history of one flow from the logs of balancers: which
+// decisions were made, which settings were in force, and the most likely cause of a failure.
 //
-// A flow is named by its caller's address and port; a request's id is not in the logs,
-// since balancers do not read what flows carry, so callers log their address and port
-// beside the id. Where the caller is not known, the back end that served it, or the
-// balancer that took its packets, and the time do as well.
+// A flow is identified by its caller's address and port. Logs contain no request IDs, since
+// balancers do not inspect payloads; callers log their address and port beside the ID. If
+// the caller is unknown, the back end or the balancer together with a time also works.
 //
-// A cause is what the lines around the flow support, with those lines as evidence. The
-// rules are tried in the order of the table in causes.go; the first that has evidence is
-// given, and the others that have some are listed after it.
+// Each cause is reported with the log lines that support it. The rules in causes.go are
+// evaluated in order; the first cause with evidence is the most likely one.
 //
 // # Usage
 //
 //	lines, _, err := logs.ReadFiles(names, os.Stdin)
-//	story := explain.Explain(lines, explain.Query{Caller: "100.64.0.7:40001", At: when})
-//	story.WriteText(os.Stdout)
+//	report := explain.Explain(lines, explain.Query{Caller: "100.64.0.7:40001", At: when})
+//	report.WriteText(os.Stdout)
 package explain
 
 import (
@@ -26,63 +24,63 @@
 	"gaugeyard/internal/logs"
 )
 
-// Query names the flow. Empty fields match all; at least one of Caller, Backend, Node and At
-// is given. By At alone the balancers are found that were gone then.
+// Query selects a flow. Empty fields match everything; at least one of Caller, Backend, Node
+// and At must be set. At alone finds the balancers that were down at that time.
 type Query struct {
 	// Caller is the caller's address:port.
 	Caller string
 	// Backend is the identifier of the back end, as logs write it.
 	Backend string
-	// Node is the balancer that took the packets.
+	// Node is the name of the balancer that received the packets.
 	Node string
-	// At is when the request was sent; zero takes the flow's first line.
+	// At is when the request was sent. Zero means the time of the flow's first line.
 	At time.Time
-	// Window is how far around At evidence is looked for; zero is DefaultWindow.
+	// Window is the time before and after At that is searched. Zero means DefaultWindow.
 	Window time.Duration
 }
 
-// DefaultWindow is how far around a request evidence is looked for: a caller's deadline
-// and the time that a store needs to notice a dead server.
+// DefaultWindow covers a caller's deadline and the time in which the store detects a dead
+// server.
 const DefaultWindow = 5 * time.Second
 
-// Step is one thing that a balancer decided or came to believe.
+// Step is one log line about the flow, with the state of its balancer at that time.
 type Step struct {
 	Line logs.Line
-	// Version and Revision are what the balancer had in force, 0 while unknown.
+	// Version and Revision are those in force on the balancer, 0 if unknown.
 	Version  uint64
 	Revision uint64
-	// Age is how long ago the balancer took that over.
+	// Age is the time since the balancer applied Version.
 	Age time.Duration
 }
 
-// Finding is a cause with the lines that support it.
+// Finding is a possible cause with the lines that support it.
 type Finding struct {
 	Cause    Cause
 	Evidence []logs.Line
 }
 
-// Story is what the logs tell of one flow.
-type Story struct {
+// FlowReport is the history of one flow and the possible causes of its failure.
+type FlowReport struct {
 	Query Query
-	// Steps are the lines about the flow, in order.
+	// Steps are the lines about the flow, sorted by time.
 	Steps []Step
-	// Findings are causes with evidence, the most likely first.
+	// Findings are the causes that have evidence, the most likely first.
 	Findings []Finding
 }
 
-// Explain collects what the lines, which are in order of time, tell of a flow.
-func Explain(lines []logs.Line, query Query) Story {
+// Explain returns the report on the flow that query selects. lines must be sorted by time.
+func Explain(lines []logs.Line, query Query) FlowReport {
 	if query.Window == 0 {
 		query.Window = DefaultWindow
 	}
-	story := Story{}
+	report := FlowReport{}
 	if query.Caller != "" {
-		story.Steps = steps(lines, query)
+		report.Steps = flowSteps(lines, query)
 	}
-	if query.At.IsZero() && len(story.Steps) > 0 {
-		query.At = story.Steps[0].Line.At
+	if query.At.IsZero() && len(report.Steps) > 0 {
+		query.At = report.Steps[0].Line.At
 	}
-	for _, step := range story.Steps {
+	for _, step := range report.Steps {
 		if query.Backend == "" {
 			query.Backend = step.Line.Backend
 		}
@@ -90,44 +88,44 @@
 			query.Node = step.Line.Node
 		}
 	}
-	story.Query = query
-	s := &scene{query: query, steps: story.Steps, all: lines, near: between(lines, query.At.Add(-query.Window), query.At.Add(query.Window))}
+	report.Query = query
+	s := &analysis{query: query, steps: report.Steps, all: lines, near: linesWithin(lines, query.At.Add(-query.Window), query.At.Add(query.Window))}
 	for _, rule := range rules {
 		if evidence := rule.find(s); len(evidence) > 0 {
-			story.Findings = append(story.Findings, Finding{rule.cause, evidence})
+			report.Findings = append(report.Findings, Finding{rule.cause, evidence})
 		}
 	}
-	return story
+	return report
 }
 
-// between returns the lines of a span of time.
-func between(lines []logs.Line, from, to time.Time) []logs.Line {
+// linesWithin returns the lines from from, inclusive, to to, exclusive.
+func linesWithin(lines []logs.Line, from, to time.Time) []logs.Line {
 	first, _ := slices.BinarySearchFunc(lines, from, func(l logs.Line, t time.Time) int { return l.At.Compare(t) })
 	last, _ := slices.BinarySearchFunc(lines, to, func(l logs.Line, t time.Time) int { return l.At.Compare(t) })
 	return lines[first:last]
 }
 
-// steps are the lines about the caller's flow near the time, each with what its balancer
-// believed then.
-func steps(lines []logs.Line, query Query) []Step {
-	type belief struct {
+// flowSteps returns the lines of the caller's flow within the query's window, each with the
+// settings version in force on its balancer.
+func flowSteps(lines []logs.Line, query Query) []Step {
+	type settings struct {
 		version uint64
 		since   time.Time
 	}
-	beliefs := map[string]belief{}
+	inForce := map[string]settings{}
 	var found []Step
 	for _, line := range lines {
 		if line.Message == logs.Started {
-			delete(beliefs, line.Node)
+			delete(inForce, line.Node)
 		}
 		if line.Message == logs.SettingsApplied {
-			beliefs[line.Node] = belief{line.Version, line.At}
+			inForce[line.Node] = settings{line.Version, line.At}
 		}
 		if line.Caller != query.Caller || !query.At.IsZero() && line.At.Sub(query.At).Abs() > query.Window {
 			continue
 		}
 		step := Step{Line: line, Revision: line.Revision}
-		if known, ok := beliefs[line.Node]; ok {
+		if known, ok := inForce[line.Node]; ok {
 			step.Version, step.Age = known.version, line.At.Sub(known.since)
 		}
 		found = append(found, step)
@@ -135,8 +133,8 @@
 	return found
 }
 
-// WriteText writes the story for a reader.
-func (s *Story) WriteText(out io.Writer) error {
+// WriteText writes the report as text.
+func (s *FlowReport) WriteText(out io.Writer) error {
 	p := &logs.Printer{Out: out}
 	p.Line("flow of %s, back end %s, balancer %s, at %s", orNone(s.Query.Caller), orNone(s.Query.Backend), orNone(s.Query.Node), s.Query.At.Format(logs.ClockFormat))
 	for _, step := range s.Steps {
@@ -147,15 +145,15 @@
 		p.Line("  no balancer wrote of this flow")
 	}
 	for i, finding := range s.Findings {
-		word := "cause"
+		label := "cause"
 		if i > 0 {
-			word = "also"
+			label = "also"
 		}
-		p.Line("%s: %s", word, finding.Cause)
-		for _, line := range finding.Evidence[:min(len(finding.Evidence), maxEvidence)] {
+		p.Line("%s: %s", label, finding.Cause)
+		for _, line := range finding.Evidence[:min(len(finding.Evidence), maxEvidenceLines)] {
 			p.Line("  %s", Describe(line))
 		}
-		if more := len(finding.Evidence) - maxEvidence; more > 0 {
+		if more := len(finding.Evidence) - maxEvidenceLines; more > 0 {
 			p.Line("  and %d more lines", more)
 		}
 	}
@@ -165,8 +163,8 @@
 	return p.Err
 }
 
-// maxEvidence is how many lines are written for each finding.
-const maxEvidence = 6
+// maxEvidenceLines is the number of lines that WriteText prints for each finding.
+const maxEvidenceLines = 6
 
 func orNone(text string) string {
 	if text == "" {
@@ -175,16 +173,16 @@
 	return text
 }
 
-// Describe writes a line of a log in a form for readers.
+// Describe formats a log line as text, without the fields that are empty.
 func Describe(line logs.Line) string {
 	text := fmt.Sprintf("%s %s: %s", line.At.Format(logs.ClockFormat), line.Node, line.Message)
 	for _, field := range []struct {
 		name, value string
 	}{
-		{"backend", line.Backend}, {"before", line.Before}, {"service", line.Service}, {"reason", line.Reason},
+		{"backend", line.Backend}, {"before", line.PreviousBackend}, {"service", line.Service}, {"reason", line.Reason},
 		{"part", line.Part}, {"part_reason", line.PartReason},
-		{"from", line.From}, {"version", number(line.Version)}, {"revision", number(line.Revision)},
-		{"silent_ms", number(uint64(max(0, line.SilentMs)))}, {"age_ms", number(uint64(max(0, line.AgeMs)))},
+		{"from", line.From}, {"version", formatNonZero(line.Version)}, {"revision", formatNonZero(line.Revision)},
+		{"silent_ms", formatNonZero(uint64(max(0, line.SilentMs)))}, {"age_ms", formatNonZero(uint64(max(0, line.AgeMs)))},
 	} {
 		if field.value != "" {
 			text += " " + field.name + "=" + field.value
@@ -193,7 +191,8 @@
 	return text
 }
 
-func number(n uint64) string {
+// formatNonZero returns n in decimal, or "" for 0.
+func formatNonZero(n uint64) string {
 	if n == 0 {
 		return ""
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,15 +1,16 @@
-// Package logs reads what balancers on the platform wrote to standard output, so that a
-// failure can be traced afterwards. Lines are JSON objects, one each; whatever stands
-// before the object on a line is skipped, since collectors put times and names there, and
-// lines without an object are counted and left out. Files may be compressed by gzip.
+// Package logs parses the log lines that balancers write to standard output.
 //
-// Times are those of the balancers' own clocks. Clocks of machines differ and may jump,
-// so that the order of lines of two balancers is only as good as their clocks.
+// Each line is one JSON object. Text before the object, such as a collector's timestamp,
+// is ignored. Lines without a valid object are counted and skipped. Files may be
+// compressed with gzip.
+//
+// Timestamps come from each balancer's own clock, so the order of lines of different
+// balancers depends on how well their clocks agree.
 //
 // # Usage
 //
 //	lines, skipped, err := logs.ReadFiles([]string{"a.log", "b.log.gz"}, os.Stdin)
-//	for _, line := range lines { // in order of time
+//	for _, line := range lines { // sorted by time
 //		fmt.Println(line.At, line.Node, line.Message)
 //	}
 package logs
@@ -27,92 +28,92 @@
 	"time"
 )
 
-// Line is one line of a balancer. Fields that a message does not have are zero.
+// Line is one log line of a balancer. Fields that the message does not have are zero.
 type Line struct {
-	// At is the balancer's time of day.
+	// At is the balancer's wall-clock time.
 	At time.Time `json:"@timestamp"`
 	// Node is the balancer's name.
 	Node    string `json:"@module"`
 	Message string `json:"@message"`
 
-	// Caller and Service are the flow, as address:port.
+	// Caller and Service are the ends of the flow, as address:port.
 	Caller  string `json:"caller,omitempty"`
 	Service string `json:"service,omitempty"`
-	// Backend is the identifier of a back end, Before the one that was left.
-	Backend string `json:"backend,omitempty"`
-	Before  string `json:"before,omitempty"`
-	// Address is where the back end listens, Group what it serves.
+	// Backend is the identifier of a back end, PreviousBackend the one that a flow was moved from.
+	Backend         string `json:"backend,omitempty"`
+	PreviousBackend string `json:"before,omitempty"`
+	// Address is the back end's listening address, Group its group.
 	Address string `json:"address,omitempty"`
 	Group   string `json:"group,omitempty"`
-	// Zone is where the back end is, or the zone that operators evacuate or take back.
+	// Zone is the back end's zone, or the zone that operators evacuate or restore.
 	Zone   string `json:"zone,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// Error is an error as it was written, a text mostly.
+	// Error is the logged error as raw JSON, usually a string.
 	Error json.RawMessage `json:"error,omitempty"`
-	// From is who told: the store, or the address of a balancer.
+	// From is the source of the information: the store, or the address of a balancer.
 	From string `json:"from,omitempty"`
-	// Revision is the store's, Version the operators'.
+	// Revision is the store's revision, Version the version of the operators' settings.
 	Revision uint64 `json:"revision,omitempty"`
 	Version  uint64 `json:"version,omitempty"`
-	// AgeMs is how old what was told was, SilentMs how long a back end has been
-	// silent, ForMs how long it is avoided, in milliseconds.
+	// AgeMs is the age of the received information, SilentMs how long a back end has sent
+	// nothing, ForMs how long it is avoided, all in milliseconds.
 	AgeMs    int64 `json:"age_ms,omitempty"`
 	SilentMs int64 `json:"silent_ms,omitempty"`
 	ForMs    int64 `json:"for_ms,omitempty"`
-	// Load is that of the chosen back end for each slot, Mean that of the candidates.
+	// Load is the load per slot of the chosen back end, Mean the mean of the candidates.
 	Load       float64 `json:"load,omitempty"`
 	Mean       float64 `json:"mean,omitempty"`
 	Candidates int     `json:"candidates,omitempty"`
 	Spilled    bool    `json:"spilled,omitempty"`
-	// Part is the part of its service that a flow went to, and PartReason why: "turn" or "only", or what
-	// kept the part from it whose turn it was.
+	// Part is the part of the service that a flow was placed in. PartReason says why: "turn"
+	// (next in the rotation), "only" (the only part), or why the next part was skipped.
 	Part       string `json:"part,omitempty"`
 	PartReason string `json:"part_reason,omitempty"`
 	Attempt    int    `json:"attempt,omitempty"`
 	Count      int    `json:"count,omitempty"`
 }
 
-// Messages that readers of logs look for; package edge writes them.
+// Messages that the log tools recognize. Package edge writes them.
 const (
-	Started          = "started"
-	Stopped          = "stopped"
-	Leaving          = "leaving"
-	SettingsApplied  = "settings applied"
-	FlowPlaced       = "flow placed"
-	FlowMoved        = "flow moved before opening"
-	FlowRefused      = "flow refused"
-	FlowReset        = "flow reset"
-	PacketDropped    = "packet dropped"
-	BackendAdded     = "back end added"
-	BackendDraining  = "back end draining"
-	BackendGone      = "back end gone"
-	ZoneEvacuated    = "zone evacuated"
-	ZoneRestored     = "zone restored"
-	BackendDoubted   = "back end doubted"
-	BackendSuspected = "back end suspected"
-	BackendLost      = "back end lost"
-	BackendFaulty    = "back end leaves requests unanswered"
-	BackendAnswers   = "back end answers again"
-	StoreLost        = "store lost"
-	StoreRegained    = "store regained"
+	Started                = "started"
+	Stopped                = "stopped"
+	Leaving                = "leaving"
+	SettingsApplied        = "settings applied"
+	FlowPlaced             = "flow placed"
+	FlowMoved              = "flow moved before opening"
+	FlowRefused            = "flow refused"
+	FlowReset              = "flow reset"
+	PacketDropped          = "packet dropped"
+	BackendAdded           = "back end added"
+	BackendDraining        = "back end draining"
+	BackendRemoved         = "back end gone"
+	ZoneEvacuated          = "zone evacuated"
+	ZoneRestored           = "zone restored"
+	BackendSuspect         = "back end doubted"
+	BackendSilent          = "back end suspected"
+	BackendDown            = "back end lost"
+	BackendRequestFailures = "back end leaves requests unanswered"
+	BackendResponding      = "back end answers again"
+	StoreUnreachable       = "store lost"
+	StoreReachable         = "store regained"
 )
 
-// maxLine is the longest line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line. Read fails on a longer one.
+const maxLineBytes = 1 << 20
 
-// ReadFiles reads the files, and stdin where there are none or one is "-", and returns
-// their lines in order of time with how many were skipped.
+// ReadFiles reads the named files and returns their lines sorted by time, then by balancer,
+// and the number of skipped lines. It reads stdin for the name "-" or if names is empty.
 func ReadFiles(names []string, stdin io.Reader) (lines []Line, skipped int, err error) {
 	if len(names) == 0 {
 		names = []string{"-"}
 	}
 	for _, name := range names {
-		more, left, err := readFile(name, stdin)
+		fileLines, fileSkipped, err := readFile(name, stdin)
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		lines = append(lines, more...)
-		skipped += left
+		lines = append(lines, fileLines...)
+		skipped += fileSkipped
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node)) })
 	return lines, skipped, nil
@@ -130,10 +131,11 @@
 	return Read(file)
 }
 
-// gzipMagic are the first bytes of gzip.
+// gzipMagic is the signature at the start of a gzip file.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Read reads lines as they come, and returns how many were no line of a balancer.
+// Read returns the lines of in, plain or gzip, in their original order, and the number of
+// lines that are not log lines of a balancer.
 func Read(in io.Reader) (lines []Line, skipped int, err error) {
 	buffered := bufio.NewReader(in)
 	var text io.Reader = buffered
@@ -143,7 +145,7 @@
 		}
 	}
 	scanner := bufio.NewScanner(text)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		var line Line
 		object := bytes.IndexByte(scanner.Bytes(), '{')
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,27 +11,27 @@
 	"gaugeyard/internal/fuzzinput"
 )
 
-const two = `  0.5 front-1 {"@level":"info","@message":"started","@module":"front-1","@timestamp":"2026-06-09T14:41:17.5Z","zone":"a"}
+const sampleLog = `  0.5 front-1 {"@level":"info","@message":"started","@module":"front-1","@timestamp":"2026-06-09T14:41:17.5Z","zone":"a"}
 a line of something else
 {"@message":"broken
 {"@level":"info","@message":"flow placed","@module":"front-2","@timestamp":"2026-06-09T14:41:17.1Z","caller":"100.64.0.1:1024","backend":"ab","revision":7,"load":1.5}
 `
 
-// TestLinesOfManyFilesAreInOrderOfTime, whatever stands before the object, plain or
-// compressed, and what is no line of a balancer is counted.
-func TestLinesOfManyFilesAreInOrderOfTime(t *testing.T) {
-	var packed bytes.Buffer
-	writer := gzip.NewWriter(&packed)
-	_, _ = writer.Write([]byte(two))
+// TestReadFilesMergesLinesByTime checks plain and gzip files, text before the object, and
+// the count of skipped lines.
+func TestReadFilesMergesLinesByTime(t *testing.T) {
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	_, _ = writer.Write([]byte(sampleLog))
 	_ = writer.Close()
 	dir := t.TempDir()
-	plainFile, packedFile := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log.gz")
-	for name, data := range map[string][]byte{plainFile: []byte(two), packedFile: packed.Bytes()} {
+	plainFile, gzipFile := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log.gz")
+	for name, data := range map[string][]byte{plainFile: []byte(sampleLog), gzipFile: compressed.Bytes()} {
 		if err := os.WriteFile(name, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	lines, skipped, err := ReadFiles([]string{plainFile, packedFile, "-"}, strings.NewReader(two))
+	lines, skipped, err := ReadFiles([]string{plainFile, gzipFile, "-"}, strings.NewReader(sampleLog))
 	if err != nil || len(lines) != 6 || skipped != 6 {
 		t.Fatalf("%d lines, %d skipped, %v", len(lines), skipped, err)
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// FuzzRead: whatever a log holds, reading ends without a crash.
+// FuzzRead checks that Read does not panic on any input and returns only complete lines.
 func FuzzRead(f *testing.F) {
-	fuzzinput.Add(f, []byte(two), []byte{0x1f, 0x8b, 0})
+	fuzzinput.Add(f, []byte(sampleLog), []byte{0x1f, 0x8b, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		lines, _, _ := Read(bytes.NewReader(data))
 		for _, line := range lines {
--- a/internal/logs/timeline/timeline.go
+++ b/internal/logs/timeline/timeline.go
@@ -1,13 +1,13 @@
-// Package timeline draws a day from the logs of balancers: when each version of the
-// settings came into force, first and last; which balancers started, left or were gone
-// without a word; who lost the store and for how long; which back ends came and went.
+// Package timeline summarizes the logs of balancers over time: when each settings version
+// and zone evacuation took effect, the runs of each balancer and whether they ended with a
+// planned stop, outages of the store, and the back ends that were added and removed.
 //
 // # Usage
 //
 //	lines, _, err := logs.ReadFiles(names, os.Stdin)
-//	day := timeline.Of(lines)
-//	day.WriteText(os.Stdout)
-//	day.Draw("day.svg")
+//	t := timeline.FromLines(lines)
+//	t.WriteText(os.Stdout)
+//	t.Draw("day.svg")
 package timeline
 
 import (
@@ -20,112 +20,115 @@
 	"gaugeyard/internal/logs"
 )
 
-// Version is one version of the settings and when balancers had it in force.
+// Version is one version of the settings and when balancers applied it.
 type Version struct {
 	Version  uint64
 	Revision uint64
-	// First, Median and Last are when balancers that ran then took it over; a balancer
-	// that started later is not counted.
+	// First, Median and Last are when balancers applied the version. Only balancers that
+	// were already running at First are counted.
 	First, Median, Last time.Time
-	// Balancers is how many took it over, LastNode the last of them.
+	// Balancers is how many are counted, LastNode the last of them.
 	Balancers int
 	LastNode  string
 }
 
-// Run is one run of a balancer's process.
+// Run is one run of a balancer process.
 type Run struct {
 	Node string
 	From time.Time
-	// Until is its last line.
+	// Until is the time of its last line.
 	Until time.Time
-	// Left is set when it ended by a planned stop.
+	// Left reports whether it ended with a planned stop.
 	Left bool
-	// Known is when it had settings first, zero for never.
+	// Known is when it first applied settings, zero if never.
 	Known time.Time
 }
 
-// Outage is a time without the store, as one balancer saw it.
+// Outage is a period in which one balancer could not reach the store.
 type Outage struct {
 	Node string
 	From time.Time
-	// Until is zero when contact did not come back.
+	// Until is zero if the store did not become reachable again.
 	Until time.Time
 }
 
-// Evacuation is one word of the operators on a zone and when balancers heard it.
+// Evacuation is an evacuation or restoration of a zone and when balancers received it.
 type Evacuation struct {
 	Zone string
-	// Restored is set where the zone was taken back.
+	// Restored is set for a restoration.
 	Restored bool
 	Revision uint64
-	// First and Last are when balancers that ran then heard it; LastNode is the last of them.
+	// First and Last are when balancers received it. Only those that were already running at
+	// First are counted; LastNode is the last of them.
 	First, Last time.Time
 	Balancers   int
 	LastNode    string
 }
 
-// Moment is the sum over all balancers at one time.
-type Moment struct {
+// Sample is the state of all balancers at one time.
+type Sample struct {
 	At time.Time
-	// Running balancers, and those of them with the newest version.
+	// Running is the number of running balancers, Newest of those with the newest version.
 	Running, Newest int
-	// Lost counts those without the store.
+	// Lost is the number of balancers without the store.
 	Lost int
 }
 
-// Day is what the lines tell.
-type Day struct {
+// Timeline is the summary of a set of logs. Versions are sorted by number, Evacuations by
+// time, Runs, Outages and Moments as they occur in the logs.
+type Timeline struct {
 	From, Until time.Time
 	Versions    []Version
 	Evacuations []Evacuation
 	Runs        []Run
 	Outages     []Outage
-	// Added, Draining and Gone count back ends, each once.
+	// Added, Draining and Gone are the numbers of distinct back ends that were added, set to
+	// draining and removed.
 	Added, Draining, Gone int
-	Moments               []Moment
+	Moments               []Sample
 }
 
-// Of reads a day from lines in order of time.
-func Of(lines []logs.Line) Day {
-	day := Day{}
+// FromLines returns the timeline of lines, which must be sorted by time.
+func Of(lines []logs.Line) Timeline {
+	timeline := Timeline{}
 	if len(lines) == 0 {
-		return day
+		return timeline
 	}
-	day.From, day.Until = lines[0].At, lines[len(lines)-1].At
+	timeline.From, timeline.Until = lines[0].At, lines[len(lines)-1].At
 	b := &builder{
-		open: map[string]*Run{}, lost: map[string]*Outage{}, versions: map[uint64][]logs.Line{}, zones: map[zoneWord][]logs.Line{},
+		runningRuns: map[string]*Run{}, openOutages: map[string]*Outage{}, versions: map[uint64][]logs.Line{}, zones: map[zoneEvent][]logs.Line{},
 		seen: map[string]map[string]bool{}, version: map[string]uint64{},
 	}
 	for i := range lines {
 		b.add(&lines[i])
 	}
-	b.finish(&day)
-	return day
+	b.finish(&timeline)
+	return timeline
 }
 
-// builder is the state while lines are read.
+// builder accumulates the state while lines are processed.
 type builder struct {
-	runs     []*Run
-	open     map[string]*Run
-	outages  []*Outage
-	lost     map[string]*Outage
-	versions map[uint64][]logs.Line
-	// zones has the lines of each word on a zone.
-	zones map[zoneWord][]logs.Line
-	// seen has the back ends of each message.
+	runs        []*Run
+	runningRuns map[string]*Run
+	outages     []*Outage
+	openOutages map[string]*Outage
+	versions    map[uint64][]logs.Line
+	// zones holds the lines of each evacuation or restoration.
+	zones map[zoneEvent][]logs.Line
+	// seen holds the back ends by message.
 	seen    map[string]map[string]bool
 	version map[string]uint64
 	newest  uint64
-	moments []Moment
+	samples []Sample
 }
 
 func (b *builder) add(line *logs.Line) {
-	run := b.open[line.Node]
+	run := b.runningRuns[line.Node]
 	if run == nil || line.Message == logs.Started {
 		run = &Run{Node: line.Node, From: line.At}
-		b.open[line.Node] = run
+		b.runningRuns[line.Node] = run
 		b.runs = append(b.runs, run)
-		delete(b.lost, line.Node)
+		delete(b.openOutages, line.Node)
 		delete(b.version, line.Node)
 	}
 	run.Until = line.At
@@ -133,7 +136,7 @@
 	case logs.Leaving:
 		run.Left = true
 	case logs.Stopped:
-		delete(b.open, line.Node)
+		delete(b.runningRuns, line.Node)
 		delete(b.version, line.Node)
 	case logs.SettingsApplied:
 		if run.Known.IsZero() {
@@ -143,18 +146,18 @@
 		b.newest = max(b.newest, line.Version)
 		b.versions[line.Version] = append(b.versions[line.Version], *line)
 	case logs.ZoneEvacuated, logs.ZoneRestored:
-		word := zoneWord{line.Zone, line.Message, line.Revision}
-		b.zones[word] = append(b.zones[word], *line)
-	case logs.StoreLost:
+		event := zoneEvent{line.Zone, line.Message, line.Revision}
+		b.zones[event] = append(b.zones[event], *line)
+	case logs.StoreUnreachable:
 		outage := &Outage{Node: line.Node, From: line.At}
-		b.lost[line.Node] = outage
+		b.openOutages[line.Node] = outage
 		b.outages = append(b.outages, outage)
-	case logs.StoreRegained:
-		if outage := b.lost[line.Node]; outage != nil {
+	case logs.StoreReachable:
+		if outage := b.openOutages[line.Node]; outage != nil {
 			outage.Until = line.At
-			delete(b.lost, line.Node)
+			delete(b.openOutages, line.Node)
 		}
-	case logs.BackendAdded, logs.BackendDraining, logs.BackendGone:
+	case logs.BackendAdded, logs.BackendDraining, logs.BackendRemoved:
 		if b.seen[line.Message] == nil {
 			b.seen[line.Message] = map[string]bool{}
 		}
@@ -162,63 +165,65 @@
 	default:
 		return
 	}
-	b.note(line.At)
+	b.addSample(line.At)
 }
 
-// note adds the state after a line.
-func (b *builder) note(at time.Time) {
-	moment := Moment{At: at, Running: len(b.open), Lost: len(b.lost)}
+// addSample appends a sample of the current state.
+func (b *builder) addSample(at time.Time) {
+	sample := Sample{At: at, Running: len(b.runningRuns), Lost: len(b.openOutages)}
 	for _, version := range b.version {
 		if version == b.newest {
-			moment.Newest++
+			sample.Newest++
 		}
 	}
-	b.moments = append(b.moments, moment)
+	b.samples = append(b.samples, sample)
 }
 
-func (b *builder) finish(day *Day) {
+func (b *builder) finish(timeline *Timeline) {
 	for _, run := range b.runs {
-		day.Runs = append(day.Runs, *run)
+		timeline.Runs = append(timeline.Runs, *run)
 	}
 	for _, outage := range b.outages {
-		day.Outages = append(day.Outages, *outage)
+		timeline.Outages = append(timeline.Outages, *outage)
 	}
 	for version, lines := range b.versions {
-		day.Versions = append(day.Versions, b.spread(version, lines))
+		timeline.Versions = append(timeline.Versions, b.versionSummary(version, lines))
 	}
-	slices.SortFunc(day.Versions, func(x, y Version) int { return cmp.Compare(x.Version, y.Version) })
-	for word, lines := range b.zones {
-		day.Evacuations = append(day.Evacuations, b.heard(word, lines))
+	slices.SortFunc(timeline.Versions, func(x, y Version) int { return cmp.Compare(x.Version, y.Version) })
+	for event, lines := range b.zones {
+		timeline.Evacuations = append(timeline.Evacuations, b.evacuation(event, lines))
 	}
-	slices.SortFunc(day.Evacuations, func(x, y Evacuation) int { return x.First.Compare(y.First) })
-	day.Added, day.Draining, day.Gone = len(b.seen[logs.BackendAdded]), len(b.seen[logs.BackendDraining]), len(b.seen[logs.BackendGone])
-	day.Moments = b.moments
+	slices.SortFunc(timeline.Evacuations, func(x, y Evacuation) int { return x.First.Compare(y.First) })
+	timeline.Added, timeline.Draining, timeline.Gone = len(b.seen[logs.BackendAdded]), len(b.seen[logs.BackendDraining]), len(b.seen[logs.BackendRemoved])
+	timeline.Moments = b.samples
 }
 
-// zoneWord is what was said of which zone; it is told apart by the store's revision.
-type zoneWord struct {
+// zoneEvent identifies an evacuation or restoration of a zone by the store's revision.
+type zoneEvent struct {
 	zone, message string
 	revision      uint64
 }
 
-// heard tells when the balancers heard a word on a zone that ran when the first did.
-func (b *builder) heard(word zoneWord, lines []logs.Line) Evacuation {
-	told := Evacuation{Zone: word.zone, Restored: word.message == logs.ZoneRestored, Revision: word.revision, First: lines[0].At}
+// evacuation returns when the event was received by the balancers that ran when the first
+// of them received it.
+func (b *builder) evacuation(event zoneEvent, lines []logs.Line) Evacuation {
+	evacuation := Evacuation{Zone: event.zone, Restored: event.message == logs.ZoneRestored, Revision: event.revision, First: lines[0].At}
 	for _, line := range lines {
-		if b.ranAt(line.Node, told.First, line.At) {
-			told.Last, told.LastNode = line.At, line.Node
-			told.Balancers++
+		if b.ranThroughout(line.Node, evacuation.First, line.At) {
+			evacuation.Last, evacuation.LastNode = line.At, line.Node
+			evacuation.Balancers++
 		}
 	}
-	return told
+	return evacuation
 }
 
-// spread tells when a version came into force on the balancers that ran when it first did.
-func (b *builder) spread(version uint64, lines []logs.Line) Version {
+// versionSummary returns when a version was applied by the balancers that ran when the first
+// of them applied it.
+func (b *builder) versionSummary(version uint64, lines []logs.Line) Version {
 	first := lines[0].At
 	var running []logs.Line
 	for _, line := range lines {
-		if b.ranAt(line.Node, first, line.At) {
+		if b.ranThroughout(line.Node, first, line.At) {
 			running = append(running, line)
 		}
 	}
@@ -229,15 +234,15 @@
 	}
 }
 
-// ranAt tells whether one run of the balancer spans both times.
-func (b *builder) ranAt(node string, first, then time.Time) bool {
+// ranThroughout reports whether one run of the balancer covers both times.
+func (b *builder) ranThroughout(node string, first, then time.Time) bool {
 	return slices.ContainsFunc(b.runs, func(run *Run) bool {
 		return run.Node == node && !run.From.After(first) && !run.Until.Before(then)
 	})
 }
 
-// WriteText writes the day for a reader.
-func (d *Day) WriteText(out io.Writer) error {
+// WriteText writes the timeline as text.
+func (d *Timeline) WriteText(out io.Writer) error {
 	p := &logs.Printer{Out: out}
 	p.Line("%s to %s, %d runs of balancers, %d back ends added one by one, %d draining, %d gone", d.From.Format(logs.ClockFormat), d.Until.Format(logs.ClockFormat), len(d.Runs), d.Added, d.Draining, d.Gone)
 	p.Line("settings in force:")
@@ -249,11 +254,11 @@
 		p.Line("zones:")
 	}
 	for _, e := range d.Evacuations {
-		said := "evacuated"
+		change := "evacuated"
 		if e.Restored {
-			said = "restored"
+			change = "restored"
 		}
-		p.Line("  %s %s (revision %d): first %s, last +%d ms on %s, %d balancers", e.Zone, said, e.Revision,
+		p.Line("  %s %s (revision %d): first %s, last +%d ms on %s, %d balancers", e.Zone, change, e.Revision,
 			e.First.Format(logs.ClockFormat), e.Last.Sub(e.First).Milliseconds(), e.LastNode, e.Balancers)
 	}
 	p.Line("balancers:")
@@ -274,13 +279,13 @@
 }
 
 func describeRun(run *Run) string {
-	known := "never knew settings"
+	settings := "never knew settings"
 	if !run.Known.IsZero() {
-		known = fmt.Sprintf("knew settings after %d ms", run.Known.Sub(run.From).Milliseconds())
+		settings = fmt.Sprintf("knew settings after %d ms", run.Known.Sub(run.From).Milliseconds())
 	}
 	end := "last line"
 	if run.Left {
 		end = "left, last line"
 	}
-	return fmt.Sprintf("from %s, %s, %s %s", run.From.Format(logs.ClockFormat), known, end, run.Until.Format(logs.ClockFormat))
+	return fmt.Sprintf("from %s, %s, %s %s", run.From.Format(logs.ClockFormat), settings, end, run.Until.Format(logs.ClockFormat))
 }
--- a/internal/logs/timeline/timeline_test.go
+++ b/internal/logs/timeline/timeline_test.go
@@ -17,36 +17,36 @@
 	return logs.Line{At: base.Add(time.Duration(second * float64(time.Second))), Node: node, Message: message, Version: version, Backend: "ab"}
 }
 
-// aDay: n1 and n2 run, n1 loses the store for two seconds and is stopped as planned,
-// n2 is killed, and both start again.
-func aDay() Day {
+// sampleTimeline returns a timeline in which n1 loses the store for two seconds and is stopped
+// as planned, n2 is killed, and both start again.
+func sampleTimeline() Timeline {
 	return Of([]logs.Line{
 		at(0, "n1", logs.Started, 0), at(0, "n2", logs.Started, 0),
 		at(1, "n1", logs.SettingsApplied, 4), at(1.5, "n2", logs.SettingsApplied, 4),
-		at(3, "n1", logs.StoreLost, 0), at(5, "n1", logs.StoreRegained, 0),
+		at(3, "n1", logs.StoreUnreachable, 0), at(5, "n1", logs.StoreReachable, 0),
 		at(6, "n1", logs.SettingsApplied, 7), at(6.25, "n2", logs.SettingsApplied, 7),
-		at(7, "n1", logs.BackendGone, 0), at(7.1, "n2", logs.BackendGone, 0),
+		at(7, "n1", logs.BackendRemoved, 0), at(7.1, "n2", logs.BackendRemoved, 0),
 		at(8, "n1", logs.Leaving, 0), at(9, "n1", logs.Stopped, 0), at(10, "n1", logs.Started, 0),
-		at(10.5, "n1", logs.SettingsApplied, 7), at(12, "n2", logs.Started, 0), at(13, "n2", logs.StoreLost, 0),
+		at(10.5, "n1", logs.SettingsApplied, 7), at(12, "n2", logs.Started, 0), at(13, "n2", logs.StoreUnreachable, 0),
 	})
 }
 
-func TestADayIsReadFromItsLines(t *testing.T) {
-	day := aDay()
-	if len(day.Versions) != 2 || day.Versions[1].Version != 7 || day.Versions[1].Balancers != 2 ||
-		day.Versions[1].Last.Sub(day.Versions[1].First) != 250*time.Millisecond || day.Versions[1].LastNode != "n2" {
-		t.Errorf("versions %+v", day.Versions)
+func TestFromLines(t *testing.T) {
+	timeline := sampleTimeline()
+	if len(timeline.Versions) != 2 || timeline.Versions[1].Version != 7 || timeline.Versions[1].Balancers != 2 ||
+		timeline.Versions[1].Last.Sub(timeline.Versions[1].First) != 250*time.Millisecond || timeline.Versions[1].LastNode != "n2" {
+		t.Errorf("versions %+v", timeline.Versions)
 	}
-	if len(day.Runs) != 4 || !day.Runs[0].Left || day.Runs[1].Left || day.Runs[0].Known.Sub(day.Runs[0].From) != time.Second {
-		t.Errorf("runs %+v", day.Runs)
+	if len(timeline.Runs) != 4 || !timeline.Runs[0].Left || timeline.Runs[1].Left || timeline.Runs[0].Known.Sub(timeline.Runs[0].From) != time.Second {
+		t.Errorf("runs %+v", timeline.Runs)
 	}
-	if len(day.Outages) != 2 || day.Outages[0].Until.Sub(day.Outages[0].From) != 2*time.Second || !day.Outages[1].Until.IsZero() {
-		t.Errorf("outages %+v", day.Outages)
+	if len(timeline.Outages) != 2 || timeline.Outages[0].Until.Sub(timeline.Outages[0].From) != 2*time.Second || !timeline.Outages[1].Until.IsZero() {
+		t.Errorf("outages %+v", timeline.Outages)
 	}
-	if day.Gone != 1 {
-		t.Errorf("%d back ends gone", day.Gone)
+	if timeline.Gone != 1 {
+		t.Errorf("%d back ends gone", timeline.Gone)
 	}
-	last := day.Moments[len(day.Moments)-1]
+	last := timeline.Moments[len(timeline.Moments)-1]
 	if last.Running != 2 || last.Newest != 1 || last.Lost != 1 {
 		t.Errorf("last moment %+v", last)
 	}
@@ -55,10 +55,10 @@
 	}
 }
 
-func TestADayIsWrittenAndDrawn(t *testing.T) {
-	day := aDay()
+func TestWriteTextAndDraw(t *testing.T) {
+	timeline := sampleTimeline()
 	var text strings.Builder
-	if err := day.WriteText(&text); err != nil {
+	if err := timeline.WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"version 7", "last +250 ms on n2", "left, last line", "n1 from 14:41:03.000 for 2000 ms", "to the end of its logs"} {
@@ -67,7 +67,7 @@
 		}
 	}
 	file := filepath.Join(t.TempDir(), "day.svg")
-	if err := day.Draw(file); err != nil {
+	if err := timeline.Draw(file); err != nil {
 		t.Fatal(err)
 	}
 	if picture, err := os.ReadFile(file); err != nil || !strings.Contains(string(picture), "<svg") {
@@ -75,14 +75,15 @@
 	}
 }
 
-// TestEvacuationsOfZonesAreOnTheTimeline, each with when the balancers heard of it that ran then.
-func TestEvacuationsOfZonesAreOnTheTimeline(t *testing.T) {
+// TestEvacuationsCountBalancersThatRanAtTheFirst checks that a balancer that starts after an
+// evacuation does not count towards its propagation time.
+func TestEvacuationsCountBalancersThatRanAtTheFirst(t *testing.T) {
 	zone := func(second float64, node, message string, revision uint64) logs.Line {
 		line := at(second, node, message, 0)
 		line.Zone, line.Revision = "za", revision
 		return line
 	}
-	day := Of([]logs.Line{
+	timeline := Of([]logs.Line{
 		at(0, "n1", logs.Started, 0), at(0, "n2", logs.Started, 0),
 		zone(3, "n1", logs.ZoneEvacuated, 40), zone(3.2, "n2", logs.ZoneEvacuated, 40),
 		at(5, "n3", logs.Started, 0), zone(5.1, "n3", logs.ZoneEvacuated, 40),
@@ -92,11 +93,11 @@
 		{Zone: "za", Revision: 40, First: base.Add(3 * time.Second), Last: base.Add(3200 * time.Millisecond), Balancers: 2, LastNode: "n2"},
 		{Zone: "za", Restored: true, Revision: 52, First: base.Add(9 * time.Second), Last: base.Add(9400 * time.Millisecond), Balancers: 2, LastNode: "n1"},
 	}
-	if !slices.Equal(day.Evacuations, want) {
-		t.Fatalf("%+v", day.Evacuations)
+	if !slices.Equal(timeline.Evacuations, want) {
+		t.Fatalf("%+v", timeline.Evacuations)
 	}
 	var text strings.Builder
-	if err := day.WriteText(&text); err != nil || !strings.Contains(text.String(), "za evacuated (revision 40): first 14:41:03") {
+	if err := timeline.WriteText(&text); err != nil || !strings.Contains(text.String(), "za evacuated (revision 40): first 14:41:03") {
 		t.Errorf("%v in\n%s", err, text.String())
 	}
 }
