--- a/internal/fuzzinput/fuzzinput.go
+++ b/internal/fuzzinput/fuzzinput.go
@@ -1,13 +1,13 @@
-// Package fuzzinput makes many malformed inputs out of a few sound ones, for fuzz targets.
+// Package fuzzinput derives a seed corpus of malformed inputs for fuzz targets from a few
+// valid ones.
 //
-// The Go fuzzer draws other inputs at each run, so that the verdict of a run is one of
-// chance. The inputs of this package depend on the sound ones alone: go test tries the
-// same ones each time, and the fuzzer starts from them when it searches for more.
+// The mutations are deterministic: unlike with the inputs of the Go fuzzer, go test tries the
+// same ones in each run. The fuzzer also uses them as its seed corpus.
 //
 // # Usage
 //
 //	func FuzzDecode(f *testing.F) {
-//		fuzzinput.Add(f, soundDatagram, otherSoundDatagram)
+//		fuzzinput.Add(f, validDatagram, otherValidDatagram)
 //		f.Fuzz(func(t *testing.T, datagram []byte) { decode(datagram) })
 //	}
 package fuzzinput
@@ -20,64 +20,64 @@
 )
 
 const (
-	// perSound is how many inputs are made of each sound one.
-	perSound = 200
-	// mostSteps is how many changes one input has at most.
-	mostSteps = 4
-	// drawnFrom is the seed of the drawn numbers.
-	drawnFrom = 20261202
+	// mutationsPerInput is the number of inputs derived from each valid one.
+	mutationsPerInput = 200
+	// maxChanges is the maximum number of changes to one input.
+	maxChanges = 4
+	// seed is part of the seed of the random numbers.
+	seed = 20261202
 )
 
-// edges are numbers at which decoders of lengths and counts go wrong.
-var edges = []uint32{0, 1, 0x7f, 0x80, 0xff, 0x7fff, 0x8000, 0xffff, 1 << 20, 0x7fffffff, 0x80000000, 0xffffffff}
+// boundaryValues are integers that often expose faults in decoders of lengths and counts.
+var boundaryValues = []uint32{0, 1, 0x7f, 0x80, 0xff, 0x7fff, 0x8000, 0xffff, 1 << 20, 0x7fffffff, 0x80000000, 0xffffffff}
 
-// Add gives the fuzz target the sound inputs and those that are made of them.
-func Add(f *testing.F, sound ...[]byte) {
+// Add adds the valid inputs and their mutations to the seed corpus of the fuzz target.
+func Add(f *testing.F, valid ...[]byte) {
 	f.Helper()
-	for _, input := range Make(sound) {
+	for _, input := range Make(valid) {
 		f.Add(input)
 	}
 }
 
-// Make returns the sound inputs and those that are made of them, in an order that is the
-// same each time.
-func Make(sound [][]byte) [][]byte {
-	drawn := rand.New(rand.NewPCG(drawnFrom, uint64(len(sound))))
-	inputs := slices.Clone(sound)
-	for _, input := range sound {
-		for range perSound {
-			inputs = append(inputs, change(drawn, input, sound))
+// Make returns the valid inputs followed by their mutations. Equal arguments give equal
+// results.
+func Make(valid [][]byte) [][]byte {
+	rng := rand.New(rand.NewPCG(seed, uint64(len(valid))))
+	inputs := slices.Clone(valid)
+	for _, input := range valid {
+		for range mutationsPerInput {
+			inputs = append(inputs, mutate(rng, input, valid))
 		}
 	}
 	return inputs
 }
 
-// change returns a copy of the input with some changes.
-func change(drawn *rand.Rand, input []byte, others [][]byte) []byte {
-	changed := slices.Clone(input)
-	for range 1 + drawn.IntN(mostSteps) {
-		if len(changed) == 0 {
-			return changed
+// mutate returns a copy of the input with 1 to maxChanges random changes.
+func mutate(rng *rand.Rand, input []byte, inputs [][]byte) []byte {
+	mutated := slices.Clone(input)
+	for range 1 + rng.IntN(maxChanges) {
+		if len(mutated) == 0 {
+			return mutated
 		}
-		at := drawn.IntN(len(changed))
-		switch drawn.IntN(7) {
+		at := rng.IntN(len(mutated))
+		switch rng.IntN(7) {
 		case 0:
-			changed[at] ^= 1 << drawn.IntN(8)
+			mutated[at] ^= 1 << rng.IntN(8)
 		case 1:
-			changed[at] = byte(drawn.Uint32())
+			mutated[at] = byte(rng.Uint32())
 		case 2:
-			changed = changed[:at]
+			mutated = mutated[:at]
 		case 3:
-			changed = slices.Delete(changed, at, min(len(changed), at+1+drawn.IntN(8)))
+			mutated = slices.Delete(mutated, at, min(len(mutated), at+1+rng.IntN(8)))
 		case 4:
-			changed = slices.Insert(changed, at, changed[at:min(len(changed), at+1+drawn.IntN(32))]...)
+			mutated = slices.Insert(mutated, at, mutated[at:min(len(mutated), at+1+rng.IntN(32))]...)
 		case 5:
-			number := binary.BigEndian.AppendUint32(nil, edges[drawn.IntN(len(edges))])
-			changed = append(changed[:at], append(number, changed[min(len(changed), at+len(number)):]...)...)
+			value := binary.BigEndian.AppendUint32(nil, boundaryValues[rng.IntN(len(boundaryValues))])
+			mutated = append(mutated[:at], append(value, mutated[min(len(mutated), at+len(value)):]...)...)
 		case 6:
-			other := others[drawn.IntN(len(others))]
-			changed = append(changed[:at], other[min(len(other), at):]...)
+			other := inputs[rng.IntN(len(inputs))]
+			mutated = append(mutated[:at], other[min(len(other), at):]...)
 		}
 	}
-	return changed
+	return mutated
 }
--- a/internal/fuzzinput/fuzzinput_test.go
+++ b/internal/fuzzinput/fuzzinput_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-func TestMakeReturnsTheSameEachTime(t *testing.T) {
-	sound := [][]byte{[]byte("a datagram"), []byte("another one"), {}}
-	kept := bytes.Clone(sound[0])
-	first, second := Make(sound), Make(sound)
-	if len(first) != len(sound)*(1+perSound) {
+func TestMakeIsDeterministic(t *testing.T) {
+	valid := [][]byte{[]byte("a datagram"), []byte("another one"), {}}
+	original := bytes.Clone(valid[0])
+	first, second := Make(valid), Make(valid)
+	if len(first) != len(valid)*(1+mutationsPerInput) {
 		t.Fatalf("%d inputs", len(first))
 	}
 	different := 0
 	for i := range first {
 		if !bytes.Equal(first[i], second[i]) {
-			t.Fatalf("input %d is %q, then %q", i, first[i], second[i])
+			t.Fatalf("input %d differs between calls: %q, %q", i, first[i], second[i])
 		}
-		if !bytes.Equal(first[i], sound[i%len(sound)]) {
+		if !bytes.Equal(first[i], valid[i%len(valid)]) {
 			different++
 		}
 	}
-	if different < len(sound)*perSound/2 {
-		t.Errorf("only %d inputs are changed", different)
+	if different < len(valid)*mutationsPerInput/2 {
+		t.Errorf("only %d inputs differ from the valid ones", different)
 	}
-	if !bytes.Equal(sound[0], kept) {
-		t.Error("a sound input was changed")
+	if !bytes.Equal(valid[0], original) {
+		t.Error("Make modified a valid input")
 	}
 }
--- a/internal/processtest/process_test.go
+++ b/internal/processtest/process_test.go
@@ -1,6 +1,6 @@
-// Package processtest runs the programs as separate processes on loopback and
-// kills, freezes and cuts them. What is asserted is what callers were told and
-// what back ends ran, never how fast.
+// Package processtest runs the programs as separate processes on loopback and kills,
+// suspends and disconnects them. The tests check which results callers received and which
+// requests back ends executed, not latency.
 package processtest
 
 import (
@@ -39,15 +39,15 @@
 }
 
 const (
-	// firstPort and portsPerScript keep scripts that run at once apart, below
-	// the ports that the kernel hands out by itself.
+	// firstPort and portsPerScript give concurrent scripts disjoint ports, below the
+	// kernel's ephemeral range.
 	firstPort      = 21000
 	portsPerScript = 100
-	retryTime      = 40 * time.Second
+	retryTimeout   = 40 * time.Second
 	retryPause     = 100 * time.Millisecond
 )
 
-var scripts atomic.Int32
+var scriptCount atomic.Int32
 
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
@@ -68,8 +68,8 @@
 	})
 }
 
-// names are the ports that scripts refer to, as $NAME with 127.0.0.1 in front.
-var names = []string{
+// addressNames are the variables that scripts use for addresses on 127.0.0.1.
+var addressNames = []string{
 	"STORE", "MACHINES", "RETURN", "DELIVER", "FEEDS", "RUNS", "UPLOADS",
 	"DATA1", "PEER1", "ADMIN1", "DATA2", "PEER2", "ADMIN2", "DATA3", "PEER3", "ADMIN3",
 	"B1", "R1", "B2", "R2", "B3", "R3", "B4", "R4",
@@ -109,9 +109,9 @@
 type processes map[string]*exec.Cmd
 
 func setUp(env *testscript.Env) error {
-	base := firstPort + int(scripts.Add(1))*portsPerScript
+	base := firstPort + int(scriptCount.Add(1))*portsPerScript
 	addresses := map[string]string{}
-	for i, name := range names {
+	for i, name := range addressNames {
 		addresses[name] = "127.0.0.1:" + strconv.Itoa(base+i)
 		env.Setenv(name, addresses[name])
 	}
@@ -129,13 +129,13 @@
 	return os.WriteFile(filepath.Join(env.WorkDir, "tree.yaml"), []byte(tree), 0o600)
 }
 
-// startProcess runs "start NAME PROGRAM ARGUMENT..." in the background; output
-// goes to NAME.out and NAME.log.
+// startProcess implements "start NAME PROGRAM ARGUMENT...": it runs the program in the
+// background, with standard output to NAME.out and standard error to NAME.log.
 func startProcess(ts *testscript.TestScript, _ bool, args []string) {
 	name := args[0]
 	path, err := exec.LookPath(args[1])
-	if lookup := lookIn(ts.Getenv("PATH"), args[1]); lookup != "" {
-		path, err = lookup, nil
+	if found := findProgram(ts.Getenv("PATH"), args[1]); found != "" {
+		path, err = found, nil
 	}
 	ts.Check(err)
 	command := exec.Command(path, args[2:]...)
@@ -150,7 +150,7 @@
 	ts.Value("processes").(processes)[name] = command
 }
 
-func lookIn(path, program string) string {
+func findProgram(path, program string) string {
 	for _, folder := range filepath.SplitList(path) {
 		candidate := filepath.Join(folder, program)
 		if _, err := os.Stat(candidate); err == nil {
@@ -162,22 +162,23 @@
 
 var signals = map[string]syscall.Signal{"KILL": syscall.SIGKILL, "TERM": syscall.SIGTERM, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "HUP": syscall.SIGHUP}
 
-// stdoutOf runs "stdout_of NAME PATTERN": what the process printed must match.
+// stdoutOf implements "stdout_of NAME PATTERN": the standard output of the process must
+// match the pattern.
 func stdoutOf(ts *testscript.TestScript, _ bool, args []string) {
 	printed, err := os.ReadFile(ts.MkAbs(args[0] + ".out"))
 	ts.Check(err)
 	if !regexp.MustCompile(args[1]).Match(printed) {
-		ts.Fatalf("%s printed no %q:\n%s", args[0], args[1], printed)
+		ts.Fatalf("standard output of %s does not match %q:\n%s", args[0], args[1], printed)
 	}
 }
 
-// signalProcess runs "signal NAME KILL|TERM|STOP|CONT|HUP".
+// signalProcess implements "signal NAME KILL|TERM|STOP|CONT|HUP".
 func signalProcess(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(ts.Value("processes").(processes)[args[0]].Process.Signal(signals[args[1]]))
 }
 
-// awaitProcess runs "await NAME": the process must end with status 0, or with
-// another one after "!".
+// awaitProcess implements "await NAME": the process must exit with status 0, or with another
+// status if the command is negated.
 func awaitProcess(ts *testscript.TestScript, negated bool, args []string) {
 	started := ts.Value("processes").(processes)
 	err := started[args[0]].Wait()
@@ -188,34 +189,34 @@
 	}
 }
 
-// retry runs "retry PATTERN PROGRAM ARGUMENT..." until the program succeeds and
-// prints the pattern. It bounds how long a script waits and asserts no speed.
+// retry implements "retry PATTERN PROGRAM ARGUMENT...": it runs the program until it succeeds
+// and its output contains PATTERN, a plain string, for at most retryTimeout.
 func retry(ts *testscript.TestScript, _ bool, args []string) {
-	end := time.Now().Add(retryTime)
+	end := time.Now().Add(retryTimeout)
 	output := ""
 	for time.Now().Before(end) {
-		command := exec.Command(lookIn(ts.Getenv("PATH"), args[1]), args[2:]...)
+		command := exec.Command(findProgram(ts.Getenv("PATH"), args[1]), args[2:]...)
 		command.Dir = ts.Getenv("WORK")
 		command.Env = []string{"PATH=" + ts.Getenv("PATH"), "GAUGEYARD_STORE=" + ts.Getenv("GAUGEYARD_STORE"), "GAUGEYARD_MACHINES=" + ts.Getenv("GAUGEYARD_MACHINES")}
 		printed, err := command.CombinedOutput()
 		output = string(printed)
-		if err == nil && strings.Count(output, args[0]) >= needed(args[0]) {
+		if err == nil && strings.Count(output, args[0]) >= minOccurrences(args[0]) {
 			return
 		}
 		time.Sleep(retryPause)
 	}
-	ts.Fatalf("no %q within %v; last output:\n%s", args[0], retryTime, output)
+	ts.Fatalf("no %q within %v; last output:\n%s", args[0], retryTimeout, output)
 }
 
-// needed is how often a pattern must occur: each of three balancers serves.
-func needed(pattern string) int {
+// minOccurrences returns how often a pattern must occur. All three balancers must be serving.
+func minOccurrences(pattern string) int {
 	if pattern == `"phase":"serving"` {
 		return 3
 	}
 	return 1
 }
 
-// noise runs "noise ADDRESS...": truncated, oversized and random datagrams.
+// noise implements "noise ADDRESS...": it sends random datagrams of various sizes.
 func noise(ts *testscript.TestScript, _ bool, args []string) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, address := range args {
@@ -232,7 +233,7 @@
 	}
 }
 
-// exitStatus runs "status N PROGRAM ARGUMENT..." and wants exit status N.
+// exitStatus implements "status N PROGRAM ARGUMENT...": the exit status must be N.
 func exitStatus(ts *testscript.TestScript, _ bool, args []string) {
 	wanted, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -242,11 +243,11 @@
 		got = exit.ExitCode()
 	}
 	if got != wanted {
-		ts.Fatalf("exit status %d, not %d", got, wanted)
+		ts.Fatalf("exit status %d, want %d", got, wanted)
 	}
 }
 
-// fetch runs "fetch URL PATTERN".
+// fetch implements "fetch URL PATTERN": the body at URL must match the pattern.
 func fetch(ts *testscript.TestScript, _ bool, args []string) {
 	reply, err := http.Get(args[0])
 	ts.Check(err)
@@ -254,11 +255,11 @@
 	body, err := io.ReadAll(reply.Body)
 	ts.Check(err)
 	if !regexp.MustCompile(args[1]).Match(body) {
-		ts.Fatalf("%s has no %q:\n%s", args[0], args[1], body)
+		ts.Fatalf("body of %s does not match %q:\n%s", args[0], args[1], body)
 	}
 }
 
-// post runs "post URL BODY".
+// post implements "post URL BODY". It does not check the response status.
 func post(ts *testscript.TestScript, _ bool, args []string) {
 	reply, err := http.Post(args[0], "application/json", strings.NewReader(args[1]))
 	ts.Check(err)
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -25,13 +25,13 @@
 	exitInvalid = 2
 )
 
-// Bounds of what may be asked for.
+// Bounds of the options.
 const (
-	mostBalancers = 120
-	mostMinutes   = 120
+	maxBalancers = 120
+	maxMinutes   = 120
 )
 
-// common are the options of all verbs that run.
+// common holds the options of all commands that run schedules.
 type common struct {
 	Program   string  `arg:"--program" default:"bin/gaugeyard-platform" help:"path of gaugeyard-platform"`
 	Folder    string  `arg:"--folder" help:"takes settings files and logs (default: a new temporary one)"`
@@ -73,10 +73,10 @@
 	return "gaugeyard-soak runs balancers as real processes over loopback, lets things fail and judges the rules."
 }
 
-var errFailed = errors.New("a rule is broken, or a process surprised")
+var errRunFailed = errors.New("a rule was violated or a process failed")
 
-// Main runs the command line and returns the exit status: 0 if all rules were kept, 1 if
-// not, 2 for wrong arguments.
+// Main runs the command line and returns the exit status: 0 if no rule was violated and no
+// process failed, 1 otherwise, 2 for invalid arguments.
 func Main(args []string, out, errOut io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "gaugeyard-soak"}, &parsed)
@@ -90,7 +90,7 @@
 		return exitOK
 	}
 	if err == nil && parser.Subcommand() == nil {
-		err = errors.New("a verb is missing: run, replay, regressions or list")
+		err = errors.New("missing command: run, replay, regressions or list")
 	}
 	if err == nil {
 		err = parsed.check()
@@ -101,14 +101,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := parsed.carryOut(ctx, out, errOut); err != nil {
+	if err := parsed.run(ctx, out, errOut); err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// check returns what is wrong with the options.
+// check returns an error that names the first invalid option.
 func (a *arguments) check() error {
 	var options *common
 	switch {
@@ -121,11 +121,11 @@
 	default:
 		return nil
 	}
-	if options.Balancers < 2 || options.Balancers > mostBalancers {
-		return fmt.Errorf("--balancers=%d: wants 2 to %d", options.Balancers, mostBalancers)
+	if options.Balancers < 2 || options.Balancers > maxBalancers {
+		return fmt.Errorf("--balancers=%d: must be within 2 to %d", options.Balancers, maxBalancers)
 	}
-	if options.Minutes <= 0 || options.Minutes > mostMinutes {
-		return fmt.Errorf("--minutes=%v: wants more than 0 and at most %d", options.Minutes, mostMinutes)
+	if options.Minutes <= 0 || options.Minutes > maxMinutes {
+		return fmt.Errorf("--minutes=%v: must be more than 0 and at most %d", options.Minutes, maxMinutes)
 	}
 	if _, known := Sabotages[options.Sabotage]; options.Sabotage != "" && !known {
 		return fmt.Errorf("--sabotage=%s: allowed are %s", options.Sabotage, strings.Join(slices.Sorted(maps.Keys(Sabotages)), ", "))
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (a *arguments) carryOut(ctx context.Context, out, errOut io.Writer) error {
+func (a *arguments) run(ctx context.Context, out, errOut io.Writer) error {
 	switch {
 	case a.Run != nil:
 		seed := rand.Uint64N(1 << 32)
@@ -146,10 +146,10 @@
 	case a.Regressions != nil:
 		return a.Regressions.runAll(ctx, out, errOut)
 	}
-	return list(out)
+	return printList(out)
 }
 
-func list(out io.Writer) error {
+func printList(out io.Writer) error {
 	fmt.Fprintln(out, "troubles:")
 	for _, kind := range slices.Concat(Kinds, SeriesKinds) {
 		fmt.Fprintln(out, " ", kind)
@@ -178,7 +178,8 @@
 	return failures
 }
 
-// run runs one seed and prints the result; progress goes to a terminal alone.
+// run runs the schedule of a seed and prints the result. Progress is logged to events.log and
+// copied to errOut if that is a terminal.
 func (c *common) run(ctx context.Context, seed uint64, out, errOut io.Writer) error {
 	folder := c.Folder
 	if folder == "" {
@@ -221,20 +222,20 @@
 		return err
 	}
 	if result.Failed() {
-		return errFailed
+		return errRunFailed
 	}
 	return nil
 }
 
-// schedule draws what is to happen.
+// schedule returns the schedule of a seed.
 func (c *common) schedule(seed uint64, length time.Duration) []Event {
 	if c.Overlap {
-		return DrawOverlapping(seed, length, c.Balancers)
+		return GenerateOverlappingSchedule(seed, length, c.Balancers)
 	}
-	return Draw(seed, length, c.Balancers)
+	return GenerateSchedule(seed, length, c.Balancers)
 }
 
-// isTerminal tells whether someone looks at the writer.
+// isTerminal reports whether out is a character device, such as a terminal.
 func isTerminal(out io.Writer) bool {
 	file, ok := out.(*os.File)
 	if !ok {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -11,14 +11,14 @@
 const (
 	pictureWidth  = 28 * vg.Centimeter
 	pictureHeight = 12 * vg.Centimeter
-	dotSize       = 1
+	dotRadius     = 1
 )
 
-// unansweredMs is where requests without an answer are drawn, in milliseconds.
+// unansweredMs is the latency at which unanswered requests are drawn.
 const unansweredMs = 10_000
 
-// SavePlot draws the latency of each request over time, those without an answer at the
-// top, and a line for each trouble, into a file whose ending says the format.
+// SavePlot plots the latency of each request over time, with unanswered requests at the top
+// and a vertical line for each fault. The extension of path selects the format.
 func (r *Result) SavePlot(path string) error {
 	picture := plot.New()
 	picture.Title.Text = "requests of the soak"
@@ -28,7 +28,7 @@
 	picture.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	var answered, missing plotter.XYs
 	for _, outcome := range r.Report.Outcomes {
-		at := outcome.AskedS - r.begin.Seconds()
+		at := outcome.AskedS - r.start.Seconds()
 		if outcome.Answered {
 			answered = append(answered, plotter.XY{X: at, Y: max(0.1, outcome.LatencyMs)})
 		} else {
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		scatter.GlyphStyle.Color, scatter.GlyphStyle.Radius = dots.color, vg.Points(dotSize)
+		scatter.GlyphStyle.Color, scatter.GlyphStyle.Radius = dots.color, vg.Points(dotRadius)
 		picture.Add(scatter)
 	}
 	return picture.Save(pictureWidth, pictureHeight, path)
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// latenessInterval is how often it is looked how late a timer comes.
+	// latenessInterval is the interval between measurements.
 	latenessInterval = 20 * time.Millisecond
-	// mostLate is how late the soak's own timers may come at a machine that keeps up: rules with a time bound
-	// are not judged otherwise, since balancers are late as well.
-	mostLate = 250 * time.Millisecond
+	// maxLateness is the maximum lateness of the soak's timers at which timed rules are checked.
+	// On a more overloaded machine, the balancers are late as well.
+	maxLateness = 250 * time.Millisecond
 )
 
-// lateness measures how late timers come.
+// lateness measures how late timers fire. Its methods may be called concurrently.
 type lateness struct {
 	mutex sync.Mutex
-	most  time.Duration
+	max   time.Duration
 }
 
 // run measures until ctx ends.
@@ -28,26 +28,27 @@
 		due := time.Now().Add(latenessInterval)
 		time.Sleep(latenessInterval)
 		l.mutex.Lock()
-		l.most = max(l.most, time.Since(due))
+		l.max = max(l.max, time.Since(due))
 		l.mutex.Unlock()
 	}
 }
 
-// worst is how late the latest one came.
+// worst returns the maximum lateness so far.
 func (l *lateness) worst() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.most
+	return l.max
 }
 
-// judgeable divides breaches into those that count and, where timers came too late, those of rules with a time bound.
-func judgeable(breaches []tagged.Breach, late time.Duration) (counted, unjudged []tagged.Breach) {
+// partitionBreaches divides breaches into those that count and those of timed rules, which are
+// excluded if lateness exceeds maxLateness.
+func partitionBreaches(breaches []tagged.Breach, lateness time.Duration) (counted, excluded []tagged.Breach) {
 	for _, breach := range breaches {
-		if late > mostLate && breach.Rule.Timed() {
-			unjudged = append(unjudged, breach)
+		if lateness > maxLateness && breach.Rule.Timed() {
+			excluded = append(excluded, breach)
 		} else {
 			counted = append(counted, breach)
 		}
 	}
-	return counted, unjudged
+	return counted, excluded
 }
--- a/internal/soak/overlap.go
+++ b/internal/soak/overlap.go
@@ -7,60 +7,63 @@
 	"time"
 )
 
-// The kinds of trouble that come in a series, at one balancer where Event.Balancer names it.
+// The kinds of faults that consist of a series of actions.
 const (
-	// StopTwice asks a process twice to stop, StopKilled ends it by force while it stops, and StopPaused asks
-	// one that stands still.
+	// StopTwice sends SIGTERM twice, StopKilled sends SIGKILL while the process stops, and
+	// StopPaused sends SIGTERM to a suspended process.
 	StopTwice  Kind = "stop-twice"
 	StopKilled Kind = "stop-killed"
 	StopPaused Kind = "stop-paused"
-	// StartStopped stops a process again as soon as it has started, a few times.
-	StartStopped Kind = "start-stopped"
-	// Roll stops all balancers in turn, each before the one before is back.
-	Roll Kind = "roll"
-	// ReloadSeries sends SIGHUP ten times within a second, beside an edit.
+	// StopAfterStart repeatedly stops a process shortly after its start.
+	StopAfterStart Kind = "start-stopped"
+	// RollingRestart restarts all balancers one after another, several of them at a time.
+	RollingRestart Kind = "roll"
+	// ReloadSeries sends SIGHUP several times in quick succession, together with an edit.
 	ReloadSeries Kind = "reload-series"
-	// PeersDisordered doubles datagrams of other balancers and changes their order.
+	// PeersDisordered duplicates and reorders datagrams from other balancers.
 	PeersDisordered Kind = "peers-disordered"
-	// ServerFlapped drains, is back and drains again within one interval of its entry.
+	// ServerFlapped repeatedly drains a server and takes it back within one renewal interval of
+	// its entry.
 	ServerFlapped Kind = "server-flapped"
-	// InputHostile sends what no sound sender does to every port.
+	// InputHostile sends malformed input to every port.
 	InputHostile Kind = "input-hostile"
 )
 
-// SeriesKinds are those kinds.
-var SeriesKinds = []Kind{StopTwice, StopKilled, StopPaused, StartStopped, Roll, ReloadSeries, PeersDisordered, ServerFlapped, InputHostile}
+// SeriesKinds are all kinds of series. Their order is part of each seed's schedule.
+var SeriesKinds = []Kind{StopTwice, StopKilled, StopPaused, StopAfterStart, RollingRestart, ReloadSeries, PeersDisordered, ServerFlapped, InputHostile}
 
 const (
-	// overlapGap is the mean time between two troubles, several of which go on at once: each lasts for
-	// 2.6 s in the middle.
-	overlapGap = 600 * time.Millisecond
-	// overlapTime is how long they go on, and overlapQuiet how long then none comes.
-	overlapTime  = 30 * time.Second
-	overlapQuiet = 12 * time.Second
-	// overlapStream names the random numbers by which they are drawn.
-	overlapStream = 1 << 36
+	// overlapMeanFaultGap is the mean time between two faults. It is shorter than a typical
+	// fault, so that several faults are active at once.
+	overlapMeanFaultGap = 600 * time.Millisecond
+	// overlapPhaseDuration is the length of a phase with faults, overlapQuietDuration that of
+	// the quiet period after it.
+	overlapPhaseDuration = 30 * time.Second
+	overlapQuietDuration = 12 * time.Second
+	// overlapSeed seeds the random sequence of overlapping schedules.
+	overlapSeed = 1 << 36
 )
 
-// DrawOverlapping returns the schedule of a seed in which troubles overlap. Equal arguments give equal schedules.
-func DrawOverlapping(seed uint64, length time.Duration, balancers int) []Event {
-	drawn := rand.New(rand.NewPCG(seed, overlapStream+uint64(balancers)))
-	// Series come as often as all the others together.
+// GenerateOverlappingSchedule returns the schedule of a seed in which faults overlap, sorted
+// by time. Equal arguments give equal schedules.
+func GenerateOverlappingSchedule(seed uint64, length time.Duration, balancers int) []Event {
+	rng := rand.New(rand.NewPCG(seed, overlapSeed+uint64(balancers)))
+	// Repetition makes series about as frequent as single faults.
 	kinds := slices.Concat(Kinds, SeriesKinds, SeriesKinds, SeriesKinds)
 	var events []Event
 	add := func(at time.Duration, kind Kind) {
 		events = append(events, Event{
-			At: at.Round(time.Millisecond), Kind: kind, Balancer: drawn.IntN(balancers),
-			For: (leastFor + time.Duration(drawn.Int64N(int64(mostFor-leastFor)))).Round(time.Millisecond),
+			At: at.Round(time.Millisecond), Kind: kind, Balancer: rng.IntN(balancers),
+			For: (minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))).Round(time.Millisecond),
 		})
 	}
-	for phase := calmStart; phase < length-calmEnd; phase += overlapTime + overlapQuiet {
-		end := min(phase+overlapTime, length-calmEnd)
-		for at := phase; at < end; at += time.Duration(drawn.Int64N(int64(2 * overlapGap))) {
-			add(at, kinds[drawn.IntN(len(kinds))])
+	for phase := faultFreeStart; phase < length-faultFreeEnd; phase += overlapPhaseDuration + overlapQuietDuration {
+		end := min(phase+overlapPhaseDuration, length-faultFreeEnd)
+		for at := phase; at < end; at += time.Duration(rng.Int64N(int64(2 * overlapMeanFaultGap))) {
+			add(at, kinds[rng.IntN(len(kinds))])
 		}
 		for _, kind := range quietKinds {
-			add(end+time.Duration(drawn.Int64N(int64(overlapQuiet/4))), kind)
+			add(end+time.Duration(rng.Int64N(int64(overlapQuietDuration/4))), kind)
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,7 +14,7 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// Ports of each balancer's address.
+// Ports at each balancer's address.
 const (
 	dataPort    = 9000
 	readyPort   = 9001
@@ -24,17 +24,18 @@
 )
 
 const (
-	// graceTime is how long a planned stop may take before it counts as hung.
-	graceTime = 6 * time.Second
-	// signalTime is how long a process may take until it receives signals, on a machine that is busy.
-	signalTime = 100 * time.Millisecond
-	// endPoll is how often it is looked whether a process stands still.
-	endPoll = 20 * time.Millisecond
-	// zoneCount is how many zones the balancers are in.
+	// stopTimeout is the time after which a planned stop counts as hung.
+	stopTimeout = 6 * time.Second
+	// signalSetupTime is the time that a process may need until it handles signals, also on a
+	// busy machine.
+	signalSetupTime = 100 * time.Millisecond
+	// exitPollInterval is the interval at which a wait checks whether the process is suspended.
+	exitPollInterval = 20 * time.Millisecond
+	// zoneCount is the number of zones of the balancers.
 	zoneCount = 2
 )
 
-// fleet are the balancer processes of a soak.
+// fleet manages the balancer processes of a run.
 type fleet struct {
 	program string
 	folder  string
@@ -42,7 +43,7 @@
 	members []*member
 }
 
-// member is one balancer.
+// member is one balancer. The mutex protects the fields below it.
 type member struct {
 	number   int
 	settings string
@@ -50,58 +51,60 @@
 
 	mutex   sync.Mutex
 	process *os.Process
-	ended   chan struct{}
-	// expected is set while the soak itself ends the process.
-	expected bool
-	// surprises are ends that nobody asked for.
-	surprises []string
-	// started is when the process that runs was started.
-	started time.Time
-	// paused is set while the process stands still.
+	exited  chan struct{}
+	// exitExpected is set once the soak itself ends the process.
+	exitExpected bool
+	// failures describes unexpected exits, hung stops and failed starts.
+	failures []string
+	// startedAt is when the current process was started.
+	startedAt time.Time
+	// paused is set while the process is suspended.
 	paused bool
 }
 
-// address is 127.network.third.fourth.
-func (f *fleet) address(third, fourth int) netip.Addr {
+// loopbackAddress returns 127.network.third.fourth.
+func (f *fleet) loopbackAddress(third, fourth int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, f.network, byte(third), byte(fourth)})
 }
 
-// own is the address of a balancer, relayed the one at which others reach it, and front
-// the store as it meets it.
-func (f *fleet) own(number int) netip.Addr     { return f.address(0, 1+number) }
-func (f *fleet) relayed(number int) netip.Addr { return f.address(1, 1+number) }
-func (f *fleet) front(number int) netip.AddrPort {
-	return netip.AddrPortFrom(f.address(2, 1+number), storePort)
+// balancerAddress returns the address of a balancer, relayAddress the address at which its
+// peers reach it through a relay, and storeProxyAddress the store's address for it.
+func (f *fleet) balancerAddress(number int) netip.Addr { return f.loopbackAddress(0, 1+number) }
+func (f *fleet) relayAddress(number int) netip.Addr    { return f.loopbackAddress(1, 1+number) }
+func (f *fleet) storeProxyAddress(number int) netip.AddrPort {
+	return netip.AddrPortFrom(f.loopbackAddress(2, 1+number), storePort)
 }
 
 func zoneOf(number int) string { return fmt.Sprintf("zone-%c", 'a'+number%zoneCount) }
 
-// shareOf returns the share of a core that a balancer's settings file tells: one in three is able.
-func shareOf(number int) float64 {
+// cpuShare returns the CPU share in a balancer's settings file. One in three balancers has a
+// high capacity.
+func cpuShare(number int) float64 {
 	if number%3 == 1 {
 		return 0.8
 	}
 	return 0.045
 }
 
-// ports are where a balancer's own sockets listen.
+// ports returns the addresses on which a balancer listens.
 func (f *fleet) ports(number int) (data, ready, control, peer netip.AddrPort) {
-	own := f.own(number)
-	return netip.AddrPortFrom(own, dataPort), netip.AddrPortFrom(own, readyPort), netip.AddrPortFrom(own, controlPort), netip.AddrPortFrom(own, peerPort)
+	address := f.balancerAddress(number)
+	return netip.AddrPortFrom(address, dataPort), netip.AddrPortFrom(address, readyPort), netip.AddrPortFrom(address, controlPort), netip.AddrPortFrom(address, peerPort)
 }
 
-// newFleet writes the settings files of the balancers into folder.
+// newFleet returns a fleet after writing the settings files of its balancers into folder. It
+// starts no process.
 func newFleet(program, folder string, network byte, balancers int, snapshot bool) (*fleet, error) {
 	f := &fleet{program: program, folder: folder, network: network}
 	var seeds []string
 	for number := range min(3, balancers) {
-		seeds = append(seeds, netip.AddrPortFrom(f.relayed(number), controlPort).String())
+		seeds = append(seeds, netip.AddrPortFrom(f.relayAddress(number), controlPort).String())
 	}
 	for number := range balancers {
-		own := f.own(number)
+		address := f.balancerAddress(number)
 		text := fmt.Sprintf("node: balancer-%d\nzone: %s\ndata: %s:%d\nready: %s:%d\ncontrol: %s:%d\nadvertise: %s:%d\npeer_port: %d\nseeds: [%s]\nstore: %s\nready_path: /readiness\nlink_mbps: 200\ncpu_share: %v\nsnapshot: %v\n",
-			number, zoneOf(number), own, dataPort, own, readyPort, own, controlPort, f.relayed(number), controlPort, peerPort,
-			strings.Join(seeds, ", "), f.front(number), shareOf(number), snapshot)
+			number, zoneOf(number), address, dataPort, address, readyPort, address, controlPort, f.relayAddress(number), controlPort, peerPort,
+			strings.Join(seeds, ", "), f.storeProxyAddress(number), cpuShare(number), snapshot)
 		settings := filepath.Join(folder, fmt.Sprintf("balancer-%d.yaml", number))
 		if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 			return nil, err
@@ -115,17 +118,17 @@
 	return f, nil
 }
 
-// balancers are the members as the platform's routers know them.
+// balancers returns the members in the form that the platform's routers use.
 func (f *fleet) balancers() []tagged.Balancer {
 	var list []tagged.Balancer
 	for number := range f.members {
-		own := f.own(number)
-		list = append(list, tagged.Balancer{Zone: zoneOf(number), Data: netip.AddrPortFrom(own, dataPort), Ready: netip.AddrPortFrom(own, readyPort)})
+		address := f.balancerAddress(number)
+		list = append(list, tagged.Balancer{Zone: zoneOf(number), Data: netip.AddrPortFrom(address, dataPort), Ready: netip.AddrPortFrom(address, readyPort)})
 	}
 	return list
 }
 
-// start starts the member's process unless it runs.
+// start starts the member's process unless it is running.
 func (f *fleet) start(m *member) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -139,31 +142,31 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	m.process, m.ended, m.expected, m.paused, m.started = command.Process, ended, false, false, time.Now()
+	exited := make(chan struct{})
+	m.process, m.exited, m.exitExpected, m.paused, m.startedAt = command.Process, exited, false, false, time.Now()
 	go func() {
 		err := command.Wait()
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		if !m.expected {
-			m.surprises = append(m.surprises, fmt.Sprintf("balancer %d ended by itself after %v: %v", m.number, time.Since(m.started), err))
+		if !m.exitExpected {
+			m.failures = append(m.failures, fmt.Sprintf("balancer %d exited unexpectedly after %v: %v", m.number, time.Since(m.startedAt), err))
 		}
 		m.process = nil
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the member's process, if one runs, and returns what is closed once that has ended, nil for
-// none.
-func (m *member) signal(signal syscall.Signal) (ended <-chan struct{}) {
+// signal sends a signal to the member's process and returns a channel that is closed when that
+// process has exited. It returns nil if no process is running.
+func (m *member) signal(signal syscall.Signal) (exited <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.process == nil {
 		return nil
 	}
 	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
-		m.expected = true
+		m.exitExpected = true
 	}
 	switch signal {
 	case syscall.SIGSTOP:
@@ -171,48 +174,49 @@
 	case syscall.SIGCONT:
 		m.paused = false
 	}
-	// A process that has just ended hears nothing.
+	// The process may have just exited.
 	_ = m.process.Signal(signal)
-	return m.ended
+	return m.exited
 }
 
-// reload sends SIGHUP, but for a process that has just been started: until its runtime receives signals, the kernel's
-// default ends it, and only who starts a process could hold the signal back.
+// reload sends SIGHUP unless the process has just been started: the kernel's default action
+// would end it before its runtime handles signals.
 func (m *member) reload() {
 	m.mutex.Lock()
-	young := time.Since(m.started) < signalTime
+	starting := time.Since(m.startedAt) < signalSetupTime
 	m.mutex.Unlock()
-	if !young {
+	if !starting {
 		m.signal(syscall.SIGHUP)
 	}
 }
 
-// signalIf sends a signal if the process that ends with ended still runs.
-func (m *member) signalIf(ended <-chan struct{}, signal syscall.Signal) {
+// signalIfRunning sends a signal if the member's current process is the one whose exit closes
+// exited.
+func (m *member) signalIfRunning(exited <-chan struct{}, signal syscall.Signal) {
 	m.mutex.Lock()
-	same := m.ended == ended
+	isCurrent := m.exited == exited
 	m.mutex.Unlock()
-	if same {
+	if isCurrent {
 		m.signal(signal)
 	}
 }
 
-// awaitEnd waits until a process has ended, nil for none; false when it runs for longer than limit. While it stands still
-// it can't end.
-func (m *member) awaitEnd(ended <-chan struct{}, limit time.Duration) bool {
-	if ended == nil {
+// waitExit waits until exited is closed and reports whether that happened within limit. The time
+// in which the process is suspended does not count. A nil channel means no process.
+func (m *member) waitExit(exited <-chan struct{}, limit time.Duration) bool {
+	if exited == nil {
 		return true
 	}
-	ticker := time.NewTicker(endPoll)
+	ticker := time.NewTicker(exitPollInterval)
 	defer ticker.Stop()
 	for ran := time.Duration(0); ran < limit; {
 		select {
-		case <-ended:
+		case <-exited:
 			return true
 		case <-ticker.C:
 			m.mutex.Lock()
-			if !m.paused || m.ended != ended {
-				ran += endPoll
+			if !m.paused || m.exited != exited {
+				ran += exitPollInterval
 			}
 			m.mutex.Unlock()
 		}
@@ -220,21 +224,21 @@
 	return false
 }
 
-// end ends all processes of the fleet.
-func (f *fleet) end() {
+// killProcesses kills all processes of the fleet and closes their logs.
+func (f *fleet) killProcesses() {
 	for _, m := range f.members {
 		m.signal(syscall.SIGCONT)
-		m.awaitEnd(m.signal(syscall.SIGKILL), graceTime)
+		m.waitExit(m.signal(syscall.SIGKILL), stopTimeout)
 		m.log.Close()
 	}
 }
 
-// surprises are the ends of processes that nobody asked for, and stops that hung.
-func (f *fleet) surprises() []string {
+// processFailures returns the unexpected exits, hung stops and failed starts of all members.
+func (f *fleet) processFailures() []string {
 	var all []string
 	for _, m := range f.members {
 		m.mutex.Lock()
-		all = append(all, m.surprises...)
+		all = append(all, m.failures...)
 		m.mutex.Unlock()
 	}
 	return all
--- a/internal/soak/regressions.go
+++ b/internal/soak/regressions.go
@@ -10,18 +10,18 @@
 //go:embed regressions.yaml
 var regressionsFile []byte
 
-// Regression is a run that once failed.
+// Regression is a run that failed in the past.
 type Regression struct {
 	Seed      uint64        `yaml:"seed"`
 	Length    time.Duration `yaml:"length"`
 	Balancers int           `yaml:"balancers"`
-	// Overlap is set where its troubles overlap.
+	// Overlap selects a schedule with overlapping faults.
 	Overlap bool `yaml:"overlap"`
-	// Cause says what it was, or that it is open.
+	// Cause describes the cause of the failure, or says that it is unknown.
 	Cause string `yaml:"cause"`
 }
 
-// Regressions returns the runs that ever failed.
+// Regressions returns the runs listed in regressions.yaml.
 func Regressions() ([]Regression, error) {
 	var list []Regression
 	err := yaml.Unmarshal(regressionsFile, &list)
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -11,51 +11,53 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// Result is what a run saw. In JSON its durations are whole nanoseconds.
+// Result is the result of a run. In JSON, durations are whole nanoseconds.
 type Result struct {
-	Seed     uint64         `json:"seed"`
-	Length   time.Duration  `json:"length"`
-	Sabotage string         `json:"sabotage,omitempty"`
-	Schedule []Event        `json:"schedule"`
-	Hits     map[Kind]int   `json:"hits"`
-	Report   tagged.Report  `json:"report"`
-	Latency  []LatencyShare `json:"latency"`
-	// Late is how late the soak's own timers came at most, and Unjudged what is not judged for it.
-	Late     time.Duration   `json:"late"`
-	Unjudged []tagged.Breach `json:"unjudged,omitempty"`
-	// Surprises are processes that ended by themselves, or did not end in time.
-	Surprises []string `json:"surprises"`
-	// Logs is the folder with the logs of the balancers.
+	Seed        uint64         `json:"seed"`
+	Length      time.Duration  `json:"length"`
+	Sabotage    string         `json:"sabotage,omitempty"`
+	Schedule    []Event        `json:"schedule"`
+	FaultCounts map[Kind]int   `json:"hits"`
+	Report      tagged.Report  `json:"report"`
+	Latency     []LatencyShare `json:"latency"`
+	// MaxLateness is the maximum lateness of the soak's own timers. Excluded are the breaches
+	// of timed rules that do not count because of it.
+	MaxLateness time.Duration   `json:"late"`
+	Excluded    []tagged.Breach `json:"unjudged,omitempty"`
+	// ProcessFailures describes processes that failed to start, exited unexpectedly, or did not
+	// exit in time.
+	ProcessFailures []string `json:"surprises"`
+	// Logs is the directory with the logs of the balancers.
 	Logs string `json:"logs"`
-	// begin is when clients began to ask, on the world's clock.
-	begin time.Duration
+	// start is when clients began to send requests, on the world's clock.
+	start time.Duration
 }
 
-// LatencyShare is the time within which a share of the answers came.
+// LatencyShare is a latency quantile: Share of the answers took at most Ms milliseconds.
 type LatencyShare struct {
 	Share float64 `json:"share"`
 	Ms    float64 `json:"ms"`
 }
 
-// latencyShares are the shares that a report gives.
+// latencyShares are the quantiles of the report.
 var latencyShares = []float64{0.5, 0.9, 0.99, 0.999, 1}
 
-func (r *runner) result(begin time.Duration) *Result {
+func (r *runner) result(start time.Duration) *Result {
 	result := &Result{
 		Seed: r.options.Seed, Length: r.options.Length, Sabotage: r.options.Sabotage, Schedule: r.options.Schedule,
-		Hits: r.hits, Report: r.world.Report(), Surprises: r.fleet.surprises(), Logs: r.options.Folder, begin: begin,
+		FaultCounts: r.faultCounts, Report: r.world.Report(), ProcessFailures: r.fleet.processFailures(), Logs: r.options.Folder, start: start,
 	}
-	result.Late = r.late.worst()
-	result.Report.Broken, result.Unjudged = judgeable(result.Report.Broken, result.Late)
+	result.MaxLateness = r.lateness.worst()
+	result.Report.Broken, result.Excluded = partitionBreaches(result.Report.Broken, result.MaxLateness)
 	for _, share := range latencyShares {
 		result.Latency = append(result.Latency, LatencyShare{share, result.Report.Quantile(share)})
 	}
 	return result
 }
 
-// Failed tells whether a rule broke or a process surprised.
+// Failed reports whether a rule was violated or a process failed.
 func (r *Result) Failed() bool {
-	return len(r.Report.Broken) > 0 || len(r.Surprises) > 0
+	return len(r.Report.Broken) > 0 || len(r.ProcessFailures) > 0
 }
 
 // WriteJSON writes the result as one JSON document.
@@ -65,7 +67,7 @@
 	return encoder.Encode(r)
 }
 
-// Write writes the result for a reader.
+// Write writes the result as text.
 func (r *Result) Write(out io.Writer) error {
 	p := &logs.Printer{Out: out}
 	p.Line("seed %d, %v, sabotage %q, logs in %s", r.Seed, r.Length, r.Sabotage, r.Logs)
@@ -74,40 +76,40 @@
 	for _, latency := range r.Latency {
 		p.Line("  %5.1f%% of the answers within %8.1f ms", 100*latency.Share, latency.Ms)
 	}
-	p.Line("timers came at most %d ms late", r.Late.Milliseconds())
+	p.Line("timers came at most %d ms late", r.MaxLateness.Milliseconds())
 	p.Line("troubles:")
 	for _, kind := range slices.Concat(Kinds, SeriesKinds) {
-		if r.Hits[kind] > 0 {
-			p.Line("  %-16s %d", kind, r.Hits[kind])
+		if r.FaultCounts[kind] > 0 {
+			p.Line("  %-16s %d", kind, r.FaultCounts[kind])
 		}
 	}
 	p.Line("rules, and how often each had something to judge:")
 	for _, rule := range tagged.Rules {
 		broken := len(slices.DeleteFunc(slices.Clone(r.Report.Broken), func(b tagged.Breach) bool { return b.Rule != rule }))
-		verdict := "kept"
+		status := "kept"
 		switch {
 		case broken > 0:
-			verdict = fmt.Sprintf("BROKEN %d times", broken)
+			status = fmt.Sprintf("BROKEN %d times", broken)
 		case r.Report.Occasions[rule] == 0:
-			verdict = "never had anything to judge"
+			status = "never had anything to judge"
 		}
-		p.Line("  %-8s %6d  %s", rule, r.Report.Occasions[rule], verdict)
+		p.Line("  %-8s %6d  %s", rule, r.Report.Occasions[rule], status)
 	}
 	for i, breach := range r.Report.Broken {
-		if i == mostBreaches {
+		if i == maxListedBreaches {
 			p.Line("  and %d more", len(r.Report.Broken)-i)
 			break
 		}
 		p.Line("  %7.2f s  %s: %s", breach.At, breach.Rule, breach.Text)
 	}
-	for _, breach := range r.Unjudged {
+	for _, breach := range r.Excluded {
 		p.Line("  %7.2f s  not judged, timers came too late: %s: %s", breach.At, breach.Rule, breach.Text)
 	}
-	for _, surprise := range r.Surprises {
-		p.Line("  %s", surprise)
+	for _, failure := range r.ProcessFailures {
+		p.Line("  %s", failure)
 	}
 	return p.Err
 }
 
-// mostBreaches is how many breaches a report for a reader lists.
-const mostBreaches = 20
+// maxListedBreaches is the maximum number of breaches that Write lists.
+const maxListedBreaches = 20
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -13,63 +13,63 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
 	Seed     uint64
 	Schedule []Event
 	Length   time.Duration
 	// Program is the path of gaugeyard-platform.
 	Program string
-	// Folder takes settings files and logs.
+	// Folder is the directory for settings files and logs.
 	Folder string
 	// Network is the second byte of all addresses, 127.Network.x.y.
 	Network   byte
 	Balancers int
-	// Sabotage breaks a rule on purpose; see Sabotages.
+	// Sabotage is a deliberate violation of a rule, empty for none; see Sabotages.
 	Sabotage string
-	// Untimed leaves out the rules that have a time bound.
+	// Untimed skips the rules that have a time bound.
 	Untimed bool
-	// Overlap keeps a snapshot of the back ends in the store, and lets open flows pass a balancer that stops until its
-	// process is gone.
+	// Overlap makes balancers store snapshots of the back ends, and routes packets of open
+	// flows to a stopping balancer until its process has exited.
 	Overlap bool
-	// Progress takes a line for each thing that happens.
+	// Progress receives a line for each event.
 	Progress io.Writer
 }
 
-// Ways to break a rule that are the soak's own, beside those of the stand-in.
+// Sabotages that the soak itself implements, in addition to those of the stand-in.
 const (
-	// SabotageStale lets one balancer read an old state of the store as if it were new.
+	// SabotageStale makes the store serve an old state to one balancer as the current one.
 	SabotageStale = "stale-store"
-	// SabotageNoStart leaves all balancers dead after they were killed.
-	SabotageNoStart = "no-start"
-	// SabotageForget lets the operators' configuration lose its newest routes while all are
-	// dead.
+	// SabotageNoRestart does not restart the balancers after KillAll.
+	SabotageNoRestart = "no-start"
+	// SabotageForget removes the newest routes from the operators' configuration while all
+	// balancers are down.
 	SabotageForget = "forgetful-store"
 )
 
-// Sabotages are the ways to break a rule on purpose, with the rule that must show it.
+// Sabotages maps each deliberate violation to the rule that must detect it.
 var Sabotages = map[string]tagged.Rule{
 	string(tagged.WrongBody): tagged.Mixed, string(tagged.RunTwice): tagged.Unasked, string(tagged.WrongService): tagged.Route,
 	string(tagged.WrongTag): tagged.Flow, string(tagged.ForgedReset): tagged.Flow, string(tagged.HiddenDrain): tagged.Drain,
 	string(tagged.HiddenEvacuation): tagged.Evac,
-	SabotageStale:                   tagged.Config, SabotageNoStart: tagged.Recover, SabotageForget: tagged.Lost,
+	SabotageStale:                   tagged.Config, SabotageNoRestart: tagged.Recover, SabotageForget: tagged.Lost,
 }
 
-// runner is one run.
+// runner is the state of one run.
 type runner struct {
 	options Options
 	fleet   *fleet
 	world   *tagged.World
 	relays  []*tagged.Relay
-	drawn   *rand.Rand
-	// tasks are troubles that are under way.
-	tasks sync.WaitGroup
-	hits  map[Kind]int
-	late  lateness
+	rng     *rand.Rand
+	// tasks counts the faults in progress.
+	tasks       sync.WaitGroup
+	faultCounts map[Kind]int
+	lateness    lateness
 }
 
-// Run runs a schedule and returns what was seen. It ends all that it started, also when
-// ctx ends early.
+// Run runs a schedule and returns the result. Before it returns, it ends all processes that
+// it started, also if ctx ends early.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -77,14 +77,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.checkFree(); err != nil {
+	if err := f.checkAddressesFree(); err != nil {
 		return nil, err
 	}
-	r := &runner{options: options, fleet: f, drawn: rand.New(rand.NewPCG(options.Seed, 1)), hits: map[Kind]int{}}
+	r := &runner{options: options, fleet: f, rng: rand.New(rand.NewPCG(options.Seed, 1)), faultCounts: map[Kind]int{}}
 	if err := r.build(ctx); err != nil {
 		return nil, err
 	}
-	defer f.end()
+	defer f.killProcesses()
 	for _, m := range f.members {
 		if err := f.start(m); err != nil {
 			return nil, err
@@ -95,24 +95,24 @@
 	}
 	serving, stop := context.WithTimeout(ctx, options.Length)
 	defer stop()
-	begin := r.world.Now()
-	r.tasks.Go(func() { r.play(serving, begin) })
-	go r.late.run(serving)
+	start := r.world.Now()
+	r.tasks.Go(func() { r.runSchedule(serving, start) })
+	go r.lateness.run(serving)
 	r.world.Serve(serving)
 	r.tasks.Wait()
-	return r.result(begin), nil
+	return r.result(start), nil
 }
 
-// checkFree refuses to run where one of the addresses is taken.
-func (f *fleet) checkFree() error {
+// checkAddressesFree returns an error if an address of the run is in use.
+func (f *fleet) checkAddressesFree() error {
 	for number := range f.members {
 		for _, address := range []netip.AddrPort{
-			netip.AddrPortFrom(f.own(number), readyPort), netip.AddrPortFrom(f.own(number), controlPort),
-			netip.AddrPortFrom(f.relayed(number), controlPort), f.front(number),
+			netip.AddrPortFrom(f.balancerAddress(number), readyPort), netip.AddrPortFrom(f.balancerAddress(number), controlPort),
+			netip.AddrPortFrom(f.relayAddress(number), controlPort), f.storeProxyAddress(number),
 		} {
 			listener, err := net.Listen("tcp4", address.String())
 			if err != nil {
-				return fmt.Errorf("network %d is in use: %w", f.network, err)
+				return fmt.Errorf("loopback network 127.%d is in use: %w", f.network, err)
 			}
 			listener.Close()
 		}
@@ -122,14 +122,14 @@
 
 func (r *runner) build(ctx context.Context) error {
 	config := tagged.WorldConfig{
-		Store: netip.AddrPortFrom(r.fleet.address(3, 1), storePort), Balancers: r.fleet.balancers(), ReadyPath: "/readiness",
+		Store: netip.AddrPortFrom(r.fleet.loopbackAddress(3, 1), storePort), Balancers: r.fleet.balancers(), ReadyPath: "/readiness",
 		Network: r.options.Network, Untimed: r.options.Untimed,
-		// The soak's own ways mean nothing to the world.
+		// The world ignores the sabotages that the soak implements.
 		Sabotage: tagged.Sabotage(r.options.Sabotage),
 	}
 	for number := range r.fleet.members {
-		config.Fronts = append(config.Fronts, r.fleet.front(number))
-		relay, err := tagged.NewRelay(ctx, r.fleet.relayed(number), r.fleet.own(number), controlPort, peerPort)
+		config.Fronts = append(config.Fronts, r.fleet.storeProxyAddress(number))
+		relay, err := tagged.NewRelay(ctx, r.fleet.relayAddress(number), r.fleet.balancerAddress(number), controlPort, peerPort)
 		if err != nil {
 			return err
 		}
@@ -140,8 +140,8 @@
 	return err
 }
 
-// play lets the events of the schedule happen at their times.
-func (r *runner) play(ctx context.Context, begin time.Duration) {
+// runSchedule injects the events of the schedule at their times, relative to start.
+func (r *runner) runSchedule(ctx context.Context, start time.Duration) {
 	if r.options.Sabotage == SabotageStale {
 		r.world.FaultStore(0, tagged.StaleStore, r.options.Length)
 		for _, relay := range r.relays {
@@ -149,15 +149,15 @@
 		}
 	}
 	for _, event := range r.options.Schedule {
-		if !sleepUntil(ctx, r.world, begin+event.At) {
+		if !sleepUntil(ctx, r.world, start+event.At) {
 			return
 		}
-		r.hits[event.Kind]++
-		r.strike(ctx, event)
+		r.faultCounts[event.Kind]++
+		r.inject(ctx, event)
 	}
 }
 
-// sleepUntil waits until the world is so old; false if ctx ends before.
+// sleepUntil waits until the world's clock reaches at. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, world *tagged.World, at time.Duration) bool {
 	timer := time.NewTimer(at - world.Now())
 	defer timer.Stop()
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,14 +1,14 @@
-// Package soak runs the real programs as separate processes over loopback for minutes,
-// lets things fail by a schedule that is drawn from a seed, and judges the rules from what
-// clients and servers see. The platform is the stand-in of package tagged, in the soak's
-// own process; the balancers are processes that it starts, and that it alone ends.
+// Package soak runs balancers as separate processes over loopback for minutes, injects faults
+// by a schedule that a seed determines, and checks the rules against what clients and servers
+// observe. The platform is the stand-in of package tagged, within the soak's own process. The
+// soak starts the balancer processes and is the only one to end them.
 //
-// What it does not do: it leaves the machine's clock alone, and since balancers measure
-// time by the steady clock alone, jumps of the time of day are left to the emulator.
+// The soak does not change the machine's clock. Jumps of the wall clock are tested in the
+// emulator.
 //
 // # Usage
 //
-//	schedule := soak.Draw(seed, 2*time.Minute, soak.Fleet{Balancers: 6})
+//	schedule := soak.GenerateSchedule(seed, 2*time.Minute, 6)
 //	result, err := soak.Run(ctx, soak.Options{Seed: seed, Schedule: schedule, Program: path, Network: 90})
 //	result.Write(os.Stdout)
 package soak
@@ -22,162 +22,165 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// Kind is a sort of trouble.
+// Kind is a kind of fault. Its value appears in results.
 type Kind string
 
-// The kinds. Those of a balancer name one in Event.Balancer.
+// The kinds of single faults. Event.Balancer selects the balancer for those of one balancer.
 const (
-	// Stop is a planned stop, Kill the end by force; the process starts again after For.
+	// Stop is a planned stop, Kill sends SIGKILL. The process starts again after For.
 	Stop Kind = "stop"
 	Kill Kind = "kill"
-	// KillAll ends all balancers by force at once.
+	// KillAll kills all balancers at once.
 	KillAll Kind = "kill-all"
-	// Pause lets a process stand still for For.
+	// Pause suspends a process for For.
 	Pause Kind = "pause"
 	// Reload sends SIGHUP.
 	Reload Kind = "reload"
-	// Cut silences the datagrams of a balancer and the store to it; CutInward and
-	// CutOutward one direction of datagrams alone. Lossy and Delayed harm them.
+	// Cut drops a balancer's datagrams and makes the store unresponsive to it. CutInward and
+	// CutOutward drop datagrams in one direction, Lossy drops some, and Delayed delays them.
 	Cut        Kind = "cut"
 	CutInward  Kind = "cut-inward"
 	CutOutward Kind = "cut-outward"
 	Lossy      Kind = "lossy"
 	Delayed    Kind = "delayed"
-	// PeersCut silences what other balancers say to one, PeersDelayed delays it, and
+	// PeersCut drops what other balancers send to one, PeersDelayed delays it, and
 	// PeersReset resets its connections.
 	PeersCut     Kind = "peers-cut"
 	PeersDelayed Kind = "peers-delayed"
 	PeersReset   Kind = "peers-reset"
-	// StoreSilent and the others are how the store treats one balancer.
+	// The following are faults of the store towards one balancer.
 	StoreSilent     Kind = "store-silent"
 	StoreBusy       Kind = "store-busy"
 	StoreThrottling Kind = "store-throttling"
 	StoreResetting  Kind = "store-resetting"
 	StoreSlow       Kind = "store-slow"
 	StoreLosing     Kind = "store-losing"
-	// StoreDown is the store silent to all, StoreCompacted its history lost.
+	// StoreDown makes the store unresponsive to all, StoreCompacted discards its history.
 	StoreDown      Kind = "store-down"
 	StoreCompacted Kind = "store-compacted"
-	// ConnectionsSilent lets all connections that are open fall silent, to the store and between
-	// balancers; new ones work.
+	// ConnectionsSilent makes all open connections to the store and between balancers
+	// unresponsive. New ones work.
 	ConnectionsSilent Kind = "connections-silent"
-	// ServerReplaced leaves by its state, ServerQuiet by its entry alone, ServerCrashed
-	// without a word, and its address goes to another service.
+	// ServerReplaced replaces a server that announces its end by its state, ServerQuiet one that
+	// only removes its entry, and ServerCrashed one that announces nothing and whose address is
+	// taken over by a server of another service.
 	ServerReplaced Kind = "server-replaced"
 	ServerQuiet    Kind = "server-quiet"
 	ServerCrashed  Kind = "server-crashed"
-	// ServerRestarted starts again under its identifier, and EntriesForeign are left by another writer.
+	// ServerRestarted restarts a server under its identifier. EntriesForeign adds entries of
+	// another writer.
 	ServerRestarted Kind = "server-restarted"
 	EntriesForeign  Kind = "entries-foreign"
-	// ZoneEvacuated lets a zone take no new flow for evacuatedFor.
+	// ZoneEvacuated evacuates a zone for evacuationDuration.
 	ZoneEvacuated Kind = "zone-evacuated"
-	// EntriesLapsed is the store down to all for so long that the entries of servers lapse; they are back
-	// one by one after its return.
-	EntriesLapsed Kind = "entries-lapsed"
-	// RouteAdded, RouteDropped, RoutesStorm and RoutesMany are edits of the operators.
+	// EntriesExpired makes the store unresponsive to all until the entries of servers expire.
+	// They come back one by one after its return.
+	EntriesExpired Kind = "entries-lapsed"
+	// RouteAdded, RouteDropped, RoutesStorm and RoutesMany are edits by the operators.
 	RouteAdded   Kind = "route-added"
 	RouteDropped Kind = "route-dropped"
 	RoutesStorm  Kind = "routes-storm"
 	RoutesMany   Kind = "routes-many"
 )
 
-// Kinds are all kinds.
+// Kinds are all kinds of single faults. Their order is part of each seed's schedule.
 var Kinds = []Kind{
 	Stop, Kill, KillAll, Pause, Reload, Cut, CutInward, CutOutward, Lossy, Delayed, PeersCut, PeersDelayed, PeersReset,
 	StoreSilent, StoreBusy, StoreThrottling, StoreResetting, StoreSlow, StoreLosing, StoreDown, StoreCompacted,
 	ServerReplaced, ServerQuiet, ServerCrashed, RouteAdded, RouteDropped, RoutesStorm, RoutesMany, ConnectionsSilent, ZoneEvacuated,
-	EntriesLapsed, ServerRestarted, EntriesForeign,
+	EntriesExpired, ServerRestarted, EntriesForeign,
 }
 
-// drawnKinds are those of which a phase has some by chance. Connections that fall silent and zones that are
-// evacuated come once in each phase, as do entries of another writer and, three times, servers that start again under
-// their identifiers; entries that lapse in every second one. They are drawn apart, so that
-// the rest of the schedules of earlier seeds stays what it was.
-var drawnKinds = Kinds[:len(Kinds)-5]
+// randomKinds are the kinds that a phase chooses from at random. The last five kinds occur a
+// fixed number of times per phase and have their own random sequences, so that the other
+// faults of a seed's schedule do not depend on them.
+var randomKinds = Kinds[:len(Kinds)-5]
 
-// quietKinds come after each phase: edits and servers that leave in the quiet show whether they are in force in time.
+// quietKinds follow each phase. Without other faults, they must take effect within the bounds
+// of the timed rules.
 var quietKinds = []Kind{RouteAdded, RouteDropped, ServerReplaced, ServerQuiet}
 
-// Event is one trouble of a schedule.
+// Event is one fault of a schedule.
 type Event struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Balancer is the number of the one that is struck, where the kind strikes one.
+	// Balancer is the number of the affected balancer, for kinds that affect one.
 	Balancer int `json:"balancer"`
-	// For is how long it lasts, where it lasts.
+	// For is the duration, for kinds that have one.
 	For time.Duration `json:"for"`
 }
 
 const (
-	// calmStart and calmEnd have no trouble, so that the begin is sound, and what
-	// happened last can be judged.
-	calmStart = 3 * time.Second
-	calmEnd   = 8 * time.Second
-	// meanGap is the mean time between two troubles of a phase.
-	meanGap = 1500 * time.Millisecond
-	// phaseTime is how long trouble goes on, and quietTime how long then none comes: rules
-	// with a time bound hold for balancers in touch alone.
-	phaseTime = 15 * time.Second
-	quietTime = 16 * time.Second
-	// leastFor and mostFor bound how long a trouble lasts.
-	leastFor = 300 * time.Millisecond
-	mostFor  = 5 * time.Second
-	// silentStream names the random numbers by which ConnectionsSilent is drawn.
-	silentStream = 1 << 32
-	// zoneStream names those by which ZoneEvacuated is drawn, lapseStream those of EntriesLapsed.
-	zoneStream  = 1 << 33
-	lapseStream = 1 << 34
-	// startStream names those of ServerRestarted and EntriesForeign.
-	startStream = 1 << 35
-	// restarts is how often servers start again in a phase.
-	restarts = 3
-	// lapsedFor is how long the store is down where entries lapse: longer than they live without a word.
-	lapsedFor = 4500 * time.Millisecond
+	// faultFreeStart and faultFreeEnd are periods without faults, so that the run starts in a
+	// healthy state and the effects of the last fault can be checked.
+	faultFreeStart = 3 * time.Second
+	faultFreeEnd   = 8 * time.Second
+	// meanFaultGap is the mean time between two faults of a phase.
+	meanFaultGap = 1500 * time.Millisecond
+	// phaseDuration is the length of a phase with faults, quietDuration that of the quiet
+	// period after it: timed rules hold only for balancers that reach the store or a peer.
+	phaseDuration = 15 * time.Second
+	quietDuration = 16 * time.Second
+	// minFaultDuration and maxFaultDuration bound the random duration of a fault.
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 5 * time.Second
+	// silenceSeed seeds the random sequence of ConnectionsSilent.
+	silenceSeed = 1 << 32
+	// zoneSeed seeds that of ZoneEvacuated, expirySeed that of EntriesExpired.
+	zoneSeed   = 1 << 33
+	expirySeed = 1 << 34
+	// restartSeed seeds that of ServerRestarted and EntriesForeign.
+	restartSeed = 1 << 35
+	// restartsPerPhase is the number of ServerRestarted events in a phase.
+	restartsPerPhase = 3
+	// expiryOutage is the duration of EntriesExpired. It exceeds the lifetime of entries that
+	// are not renewed.
+	expiryOutage = 4500 * time.Millisecond
 )
 
-// Draw returns the schedule of a seed: phases of trouble with quiet between them. Equal
-// arguments give equal schedules.
-func Draw(seed uint64, length time.Duration, balancers int) []Event {
-	drawn, apart := rand.New(rand.NewPCG(seed, uint64(balancers))), rand.New(rand.NewPCG(seed, silentStream))
-	starts := rand.New(rand.NewPCG(seed, startStream))
-	zones, lapses := rand.New(rand.NewPCG(seed, zoneStream)), rand.New(rand.NewPCG(seed, lapseStream))
+// GenerateSchedule returns the schedule of a seed: phases of faults with quiet periods between
+// them, sorted by time. Equal arguments give equal schedules.
+func GenerateSchedule(seed uint64, length time.Duration, balancers int) []Event {
+	rng, silenceRNG := rand.New(rand.NewPCG(seed, uint64(balancers))), rand.New(rand.NewPCG(seed, silenceSeed))
+	restartRNG := rand.New(rand.NewPCG(seed, restartSeed))
+	zoneRNG, expiryRNG := rand.New(rand.NewPCG(seed, zoneSeed)), rand.New(rand.NewPCG(seed, expirySeed))
 	var events []Event
-	for phase, lapse := calmStart, false; phase < length-calmEnd; phase, lapse = phase+phaseTime+quietTime, !lapse {
-		end := min(phase+phaseTime, length-calmEnd)
-		for at := phase; at < end; at += time.Duration(drawn.Int64N(int64(2 * meanGap))) {
+	for phase, withExpiry := faultFreeStart, false; phase < length-faultFreeEnd; phase, withExpiry = phase+phaseDuration+quietDuration, !withExpiry {
+		end := min(phase+phaseDuration, length-faultFreeEnd)
+		for at := phase; at < end; at += time.Duration(rng.Int64N(int64(2 * meanFaultGap))) {
 			events = append(events, Event{
-				At: at.Round(time.Millisecond), Kind: drawnKinds[drawn.IntN(len(drawnKinds))], Balancer: drawn.IntN(balancers),
-				For: (leastFor + time.Duration(drawn.Int64N(int64(mostFor-leastFor)))).Round(time.Millisecond),
+				At: at.Round(time.Millisecond), Kind: randomKinds[rng.IntN(len(randomKinds))], Balancer: rng.IntN(balancers),
+				For: (minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))).Round(time.Millisecond),
 			})
 		}
 		if end > phase {
-			at := phase + time.Duration(apart.Int64N(int64(end-phase)))
-			events = append(events, Event{At: at.Round(time.Millisecond), Kind: ConnectionsSilent, For: leastFor})
-			at = phase + (end-phase)/2 + time.Duration(zones.Int64N(int64((end-phase)/2)))
-			events = append(events, Event{At: at.Round(time.Millisecond), Kind: ZoneEvacuated, For: leastFor})
+			at := phase + time.Duration(silenceRNG.Int64N(int64(end-phase)))
+			events = append(events, Event{At: at.Round(time.Millisecond), Kind: ConnectionsSilent, For: minFaultDuration})
+			at = phase + (end-phase)/2 + time.Duration(zoneRNG.Int64N(int64((end-phase)/2)))
+			events = append(events, Event{At: at.Round(time.Millisecond), Kind: ZoneEvacuated, For: minFaultDuration})
 		}
-		for i := 0; i <= restarts && end > phase; i++ {
+		for i := 0; i <= restartsPerPhase && end > phase; i++ {
 			kind := ServerRestarted
-			if i == restarts {
+			if i == restartsPerPhase {
 				kind = EntriesForeign
 			}
-			at := phase + time.Duration(starts.Int64N(int64(end-phase)))
-			events = append(events, Event{At: at.Round(time.Millisecond), Kind: kind, For: leastFor})
+			at := phase + time.Duration(restartRNG.Int64N(int64(end-phase)))
+			events = append(events, Event{At: at.Round(time.Millisecond), Kind: kind, For: minFaultDuration})
 		}
-		if lapse && end > phase {
-			at := phase + time.Duration(lapses.Int64N(int64(end-phase)))
-			events = append(events, Event{At: at.Round(time.Millisecond), Kind: EntriesLapsed, For: lapsedFor})
+		if withExpiry && end > phase {
+			at := phase + time.Duration(expiryRNG.Int64N(int64(end-phase)))
+			events = append(events, Event{At: at.Round(time.Millisecond), Kind: EntriesExpired, For: expiryOutage})
 		}
 		for _, kind := range quietKinds {
-			at := end + time.Duration(drawn.Int64N(int64(quietTime/4)))
-			events = append(events, Event{At: at.Round(time.Millisecond), Kind: kind, For: leastFor})
+			at := end + time.Duration(rng.Int64N(int64(quietDuration/4)))
+			events = append(events, Event{At: at.Round(time.Millisecond), Kind: kind, For: minFaultDuration})
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
 }
 
-// storeFaults are the faults of the store to one balancer.
+// storeFaults are the faults of the store towards one balancer.
 var storeFaults = map[Kind]tagged.StoreFault{
 	StoreSilent: tagged.SilentStore, StoreBusy: tagged.BusyStore, StoreThrottling: tagged.ThrottlingStore,
 	StoreResetting: tagged.ResettingStore, StoreSlow: tagged.SlowStore, StoreLosing: tagged.LosingStore,
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -11,118 +11,119 @@
 )
 
 const (
-	// soonMost bounds the pause between two signals of a series.
-	soonMost = 700 * time.Millisecond
-	// startStops is how often a process that has just started is stopped again.
-	startStops = 3
-	// rollGap is the pause between two stops of a roll.
+	// maxSignalPause bounds the random pause between two signals of a series.
+	maxSignalPause = 700 * time.Millisecond
+	// stopsAfterStart is the number of stops of StopAfterStart.
+	stopsAfterStart = 3
+	// rollGap is the pause between two stops of a rolling restart.
 	rollGap = 400 * time.Millisecond
-	// reloads within reloadTime.
-	reloads    = 10
-	reloadTime = time.Second
-	// flapGap is the pause between two states of a server.
+	// ReloadSeries sends reloadCount signals within reloadSeriesDuration.
+	reloadCount          = 10
+	reloadSeriesDuration = time.Second
+	// flapGap is the pause between two state changes of a flapping server.
 	flapGap = 300 * time.Millisecond
 )
 
-// strikeSeries carries out an event of a series; it is not one of those otherwise.
-func (r *runner) strikeSeries(ctx context.Context, event Event) (is bool) {
+// injectSeries injects the fault of an event whose kind is a series, and reports whether it
+// is one.
+func (r *runner) injectSeries(ctx context.Context, event Event) (injected bool) {
 	m := r.fleet.members[event.Balancer]
 	switch event.Kind {
 	case StopTwice, StopKilled, StopPaused:
-		r.tasks.Go(func() { r.stopOddly(ctx, event, m) })
-	case StartStopped:
-		r.tasks.Go(func() { r.stopStarts(ctx, event, m) })
-	case Roll:
-		r.tasks.Go(func() { r.roll(ctx, event) })
+		r.tasks.Go(func() { r.interruptedStop(ctx, event, m) })
+	case StopAfterStart:
+		r.tasks.Go(func() { r.stopAfterStart(ctx, event, m) })
+	case RollingRestart:
+		r.tasks.Go(func() { r.rollingRestart(ctx, event) })
 	case ReloadSeries:
 		r.world.AddRoutes(1)
-		r.tasks.Go(func() { r.reload(ctx, m) })
+		r.tasks.Go(func() { r.reloadSeries(ctx, m) })
 	case PeersDisordered:
 		relay := r.relays[event.Balancer]
 		relay.SetDisorder(true)
 		time.AfterFunc(event.For, func() { relay.SetDisorder(false) })
 	case ServerFlapped:
-		r.world.FlapServer(r.drawn, flapGap)
+		r.world.FlapServer(r.rng, flapGap)
 	case InputHostile:
-		r.tasks.Go(func() { tagged.SendHostile(ctx, r.targets(event.Balancer)) })
+		r.tasks.Go(func() { tagged.SendHostile(ctx, r.hostileTargets(event.Balancer)) })
 	default:
 		return false
 	}
 	return true
 }
 
-// targets are the ports of a balancer that hostile input goes to.
-func (r *runner) targets(number int) tagged.HostileTargets {
+// hostileTargets returns the ports of a balancer that receive malformed input.
+func (r *runner) hostileTargets(number int) tagged.HostileTargets {
 	data, ready, control, peer := r.fleet.ports(number)
 	return tagged.HostileTargets{Data: data, Peer: peer, HTTP: []string{ready.String(), control.String()}}
 }
 
-func soon() time.Duration { return rand.N(soonMost) }
+func randomPause() time.Duration { return rand.N(maxSignalPause) }
 
-// stopOddly asks a process to stop, and does more to it before it has ended.
-func (r *runner) stopOddly(ctx context.Context, event Event, m *member) {
+// interruptedStop stops a process and signals it again before it has exited.
+func (r *runner) interruptedStop(ctx context.Context, event Event, m *member) {
 	r.world.Disturbed(m.number, event.For, false)
 	if event.Kind == StopPaused {
 		m.signal(syscall.SIGSTOP)
 		defer r.world.Disturbed(m.number, 0, false)
 	}
 	r.world.Linger(m.number, true)
-	ended := m.signal(syscall.SIGTERM)
-	if !sleepUntil(ctx, r.world, r.world.Now()+soon()) && event.Kind != StopPaused {
+	exited := m.signal(syscall.SIGTERM)
+	if !sleepUntil(ctx, r.world, r.world.Now()+randomPause()) && event.Kind != StopPaused {
 		return
 	}
 	switch event.Kind {
 	case StopTwice:
-		m.signalIf(ended, syscall.SIGTERM)
+		m.signalIfRunning(exited, syscall.SIGTERM)
 	case StopKilled:
-		m.signalIf(ended, syscall.SIGKILL)
+		m.signalIfRunning(exited, syscall.SIGKILL)
 	case StopPaused:
 		m.signal(syscall.SIGCONT)
 	}
-	r.awaitStop(m, ended)
-	r.startAgain(ctx, event, m)
+	r.waitStopped(m, exited)
+	r.restart(ctx, event, m)
 }
 
-// awaitStop waits for a process that was asked to stop, and ends it by force if it takes too long.
-func (r *runner) awaitStop(m *member, ended <-chan struct{}) {
-	if !m.awaitEnd(ended, graceTime) {
-		m.note(fmt.Sprintf("balancer %d did not end within %v of the request", m.number, graceTime))
-		m.signalIf(ended, syscall.SIGKILL)
-		m.awaitEnd(ended, graceTime)
+// waitStopped waits for a process that is stopping and kills it after stopTimeout.
+func (r *runner) waitStopped(m *member, exited <-chan struct{}) {
+	if !m.waitExit(exited, stopTimeout) {
+		m.recordFailure(fmt.Sprintf("balancer %d did not exit within %v of SIGTERM", m.number, stopTimeout))
+		m.signalIfRunning(exited, syscall.SIGKILL)
+		m.waitExit(exited, stopTimeout)
 	}
 	r.world.Linger(m.number, false)
 }
 
-// stopStarts stops a process again and again as soon as it has started.
-func (r *runner) stopStarts(ctx context.Context, event Event, m *member) {
-	for range startStops {
+// stopAfterStart repeatedly stops a process shortly after its start.
+func (r *runner) stopAfterStart(ctx context.Context, event Event, m *member) {
+	for range stopsAfterStart {
 		r.world.Disturbed(m.number, event.For, false)
 		r.world.Linger(m.number, true)
-		r.awaitStop(m, m.signal(syscall.SIGTERM))
-		r.startAgain(ctx, Event{}, m)
-		if !sleepUntil(ctx, r.world, r.world.Now()+soon()) {
+		r.waitStopped(m, m.signal(syscall.SIGTERM))
+		r.restart(ctx, Event{}, m)
+		if !sleepUntil(ctx, r.world, r.world.Now()+randomPause()) {
 			return
 		}
 	}
 }
 
-// roll stops all balancers in turn; several are down at once.
-func (r *runner) roll(ctx context.Context, event Event) {
+// rollingRestart restarts all balancers one after another, several of them at a time.
+func (r *runner) rollingRestart(ctx context.Context, event Event) {
 	for _, m := range r.fleet.members {
 		stop := event
-		stop.Balancer, stop.Kind, stop.For = m.number, Stop, leastFor
-		r.tasks.Go(func() { r.strikeProcess(ctx, stop) })
+		stop.Balancer, stop.Kind, stop.For = m.number, Stop, minFaultDuration
+		r.tasks.Go(func() { r.injectProcessFault(ctx, stop) })
 		if !sleepUntil(ctx, r.world, r.world.Now()+rollGap) {
 			return
 		}
 	}
 }
 
-// reload sends SIGHUP many times.
-func (r *runner) reload(ctx context.Context, m *member) {
-	for range reloads {
+// reloadSeries sends reloadCount reloads to a member.
+func (r *runner) reloadSeries(ctx context.Context, m *member) {
+	for range reloadCount {
 		m.reload()
-		if !sleepUntil(ctx, r.world, r.world.Now()+reloadTime/reloads) {
+		if !sleepUntil(ctx, r.world, r.world.Now()+reloadSeriesDuration/reloadCount) {
 			return
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,27 +13,27 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-func TestEqualSeedsGiveEqualSchedules(t *testing.T) {
-	first, again, other := Draw(7, 2*time.Minute, 6), Draw(7, 2*time.Minute, 6), Draw(8, 2*time.Minute, 6)
+func TestScheduleIsDeterministic(t *testing.T) {
+	first, again, other := GenerateSchedule(7, 2*time.Minute, 6), GenerateSchedule(7, 2*time.Minute, 6), GenerateSchedule(8, 2*time.Minute, 6)
 	if !reflect.DeepEqual(first, again) {
-		t.Error("a seed gives two schedules")
+		t.Error("equal seeds give different schedules")
 	}
 	if reflect.DeepEqual(first, other) {
-		t.Error("two seeds give one schedule")
+		t.Error("different seeds give equal schedules")
 	}
 }
 
-func TestASchedulesEventsAreOrderedAndLeaveTheEndsCalm(t *testing.T) {
+func TestScheduleIsSortedAndWithinBounds(t *testing.T) {
 	const length = 5 * time.Minute
 	seen := map[Kind]bool{}
 	for seed := range uint64(20) {
-		events := Draw(seed, length, 6)
+		events := GenerateSchedule(seed, length, 6)
 		if !slices.IsSortedFunc(events, func(a, b Event) int { return int(a.At - b.At) }) {
-			t.Fatalf("seed %d: events are not in order", seed)
+			t.Fatalf("seed %d: events are not sorted by time", seed)
 		}
 		for _, event := range events {
 			seen[event.Kind] = true
-			if event.At < calmStart || event.At > length || event.Balancer < 0 || event.Balancer >= 6 || event.For < leastFor || event.For > mostFor {
+			if event.At < faultFreeStart || event.At > length || event.Balancer < 0 || event.Balancer >= 6 || event.For < minFaultDuration || event.For > maxFaultDuration {
 				t.Errorf("seed %d: %v", seed, event)
 			}
 		}
@@ -45,19 +45,20 @@
 	}
 }
 
-// TestTroublesOverlap: as many go on at once as the schedule is for, each kind comes, and a seed draws one schedule.
-func TestTroublesOverlap(t *testing.T) {
+// TestFaultsOverlap checks that at least half of the faults overlap the previous one, that all
+// kinds occur, and that a seed determines the schedule.
+func TestFaultsOverlap(t *testing.T) {
 	const length = 3 * time.Minute
 	seen := map[Kind]bool{}
 	for seed := range uint64(20) {
-		events := DrawOverlapping(seed, length, 6)
-		if !reflect.DeepEqual(events, DrawOverlapping(seed, length, 6)) {
-			t.Fatalf("seed %d gives two schedules", seed)
+		events := GenerateOverlappingSchedule(seed, length, 6)
+		if !reflect.DeepEqual(events, GenerateOverlappingSchedule(seed, length, 6)) {
+			t.Fatalf("seed %d gives different schedules", seed)
 		}
 		overlapping := 0
 		for i, event := range events {
 			seen[event.Kind] = true
-			if event.At < calmStart || event.At > length || event.Balancer < 0 || event.Balancer >= 6 {
+			if event.At < faultFreeStart || event.At > length || event.Balancer < 0 || event.Balancer >= 6 {
 				t.Errorf("seed %d: %v", seed, event)
 			}
 			if i > 0 && event.At < events[i-1].At+events[i-1].For {
@@ -65,7 +66,7 @@
 			}
 		}
 		if overlapping < len(events)/2 {
-			t.Errorf("seed %d: %d of %d troubles begin while the one before goes on", seed, overlapping, len(events))
+			t.Errorf("seed %d: %d of %d faults begin while the previous one is active", seed, overlapping, len(events))
 		}
 	}
 	for _, kind := range slices.Concat(Kinds, SeriesKinds) {
@@ -75,30 +76,30 @@
 	}
 }
 
-func TestRulesWithATimeBoundWantAMachineThatKeepsUp(t *testing.T) {
+func TestTimedRulesAreExcludedOnASlowMachine(t *testing.T) {
 	breaches := []tagged.Breach{{Rule: tagged.Drain}, {Rule: tagged.Flow}}
-	if counted, unjudged := judgeable(breaches, mostLate); len(counted) != 2 || unjudged != nil {
-		t.Errorf("in time: %v, %v", counted, unjudged)
+	if counted, excluded := partitionBreaches(breaches, maxLateness); len(counted) != 2 || excluded != nil {
+		t.Errorf("in time: %v, %v", counted, excluded)
 	}
-	if counted, unjudged := judgeable(breaches, mostLate+1); len(counted) != 1 || counted[0].Rule != tagged.Flow || len(unjudged) != 1 {
-		t.Errorf("too late: %v, %v", counted, unjudged)
+	if counted, excluded := partitionBreaches(breaches, maxLateness+1); len(counted) != 1 || counted[0].Rule != tagged.Flow || len(excluded) != 1 {
+		t.Errorf("too late: %v, %v", counted, excluded)
 	}
 }
 
-// TestEachRuleHasAWayToBreakIt: a check that cannot fail proves nothing.
-func TestEachRuleHasAWayToBreakIt(t *testing.T) {
+// TestEachRuleHasASabotage guards against a rule whose check is never shown to fail.
+func TestEachRuleHasASabotage(t *testing.T) {
 	broken := map[tagged.Rule]bool{}
 	for _, rule := range Sabotages {
 		broken[rule] = true
 	}
 	for _, rule := range tagged.Rules {
 		if !broken[rule] {
-			t.Errorf("nothing breaks %s on purpose", rule)
+			t.Errorf("no sabotage violates %s", rule)
 		}
 	}
 }
 
-func TestAReportSaysWhichRulesHadNothingToJudge(t *testing.T) {
+func TestAReportNamesRulesThatWereNeverChecked(t *testing.T) {
 	result := &Result{Seed: 5, Report: tagged.Report{
 		Asked: 3, Answered: 2, Refused: 1,
 		Occasions: map[tagged.Rule]int{tagged.Mixed: 2, tagged.Flow: 9},
@@ -114,20 +115,20 @@
 		}
 	}
 	if !result.Failed() {
-		t.Error("a broken rule is no failure")
+		t.Error("a violated rule is not reported as a failure")
 	}
 }
 
-func TestTheCommandLineNamesWhatIsWrong(t *testing.T) {
+func TestCommandLineErrors(t *testing.T) {
 	for _, c := range []struct {
 		arguments string
 		want      string
 	}{
-		{"run --balancers 1", "--balancers=1: wants 2 to 120"},
-		{"run --minutes 0", "--minutes=0: wants more than 0"},
+		{"run --balancers 1", "--balancers=1: must be within 2 to 120"},
+		{"run --minutes 0", "--minutes=0: must be more than 0"},
 		{"run --sabotage nothing", "--sabotage=nothing: allowed are"},
 		{"replay", "SEED"},
-		{"", "a verb is missing"},
+		{"", "missing command"},
 	} {
 		var out, errOut bytes.Buffer
 		if status := Main(strings.Fields(c.arguments), &out, &errOut); status != exitInvalid || !strings.Contains(errOut.String(), c.want) {
@@ -136,7 +137,7 @@
 	}
 }
 
-func TestRegressionsAreReadable(t *testing.T) {
+func TestRegressionsAreValid(t *testing.T) {
 	list, err := Regressions()
 	if err != nil {
 		t.Fatal(err)
@@ -148,8 +149,8 @@
 	}
 }
 
-func TestAPlotIsDrawn(t *testing.T) {
-	result := &Result{Schedule: Draw(1, time.Minute, 3), Report: tagged.Report{Outcomes: []tagged.Outcome{
+func TestSavePlot(t *testing.T) {
+	result := &Result{Schedule: GenerateSchedule(1, time.Minute, 3), Report: tagged.Report{Outcomes: []tagged.Outcome{
 		{AskedS: 1, Answered: true, LatencyMs: 2}, {AskedS: 2},
 	}}}
 	path := filepath.Join(t.TempDir(), "soak.svg")
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -8,50 +8,50 @@
 	"gaugeyard/internal/standin/tagged"
 )
 
-// strike carries out an event.
-func (r *runner) strike(ctx context.Context, event Event) {
-	storeFault, ofStore := storeFaults[event.Kind]
-	if r.options.Sabotage == SabotageStale && event.Balancer == 0 && (ofStore || event.Kind == Cut) {
-		// The store stays stale to it.
+// inject injects the fault of an event.
+func (r *runner) inject(ctx context.Context, event Event) {
+	storeFault, isStoreFault := storeFaults[event.Kind]
+	if r.options.Sabotage == SabotageStale && event.Balancer == 0 && (isStoreFault || event.Kind == Cut) {
+		// The store must stay stale to this balancer.
 		return
 	}
-	if ofStore {
+	if isStoreFault {
 		r.world.FaultStore(event.Balancer, storeFault, event.For)
 		return
 	}
-	if fault, is := linkFaults[event.Kind]; is {
+	if fault, isLinkFault := linkFaults[event.Kind]; isLinkFault {
 		r.world.FaultLink(event.Balancer, fault, event.For)
 		if event.Kind == Cut {
 			r.world.FaultStore(event.Balancer, tagged.SilentStore, event.For)
 		}
 		return
 	}
-	if r.strikeSeries(ctx, event) {
+	if r.injectSeries(ctx, event) {
 		return
 	}
 	switch event.Kind {
 	case Stop, Kill, KillAll, Pause, Reload:
-		r.tasks.Go(func() { r.strikeProcess(ctx, event) })
+		r.tasks.Go(func() { r.injectProcessFault(ctx, event) })
 	case PeersCut, PeersDelayed, PeersReset:
-		r.strikePeers(event)
+		r.injectPeerFault(event)
 	case ConnectionsSilent:
 		r.silenceConnections()
 	case StoreDown:
 		r.world.StopStore(event.For)
-	case EntriesLapsed:
-		r.world.LapseEntries(r.drawn, event.For)
+	case EntriesExpired:
+		r.world.LapseEntries(r.rng, event.For)
 	case StoreCompacted:
 		r.world.CompactStore()
 	case ServerReplaced, ServerQuiet:
-		r.world.ReplaceServer(r.drawn, event.Kind == ServerQuiet)
+		r.world.ReplaceServer(r.rng, event.Kind == ServerQuiet)
 	case ServerCrashed:
-		r.world.CrashServer(r.drawn)
+		r.world.CrashServer(r.rng)
 	case ServerRestarted:
-		r.world.RestartServer(r.drawn)
+		r.world.RestartServer(r.rng)
 	case EntriesForeign:
 		r.world.WriteForeignEntries()
 	case ZoneEvacuated:
-		r.world.EvacuateZone(r.drawn, evacuatedFor)
+		r.world.EvacuateZone(r.rng, evacuationDuration)
 	case RouteAdded:
 		r.world.AddRoutes(1)
 	case RouteDropped:
@@ -59,24 +59,25 @@
 	case RoutesMany:
 		r.world.AddRoutes(manyRoutes)
 	case RoutesStorm:
-		r.tasks.Go(func() { r.storm(ctx) })
+		r.tasks.Go(func() { r.editStorm(ctx) })
 	}
 }
 
 const (
-	// manyRoutes is how many routes a large edit adds.
+	// manyRoutes is the number of routes that RoutesMany adds.
 	manyRoutes = 300
-	// stormEdits follow each other by stormGap.
+	// RoutesStorm consists of stormEdits edits, stormGap apart.
 	stormEdits = 10
 	stormGap   = 200 * time.Millisecond
-	// evacuatedFor is how long a zone stays evacuated: until the quiet after the phase shows whether all
-	// balancers know it.
-	evacuatedFor = 14 * time.Second
-	// peersDelay is by how much the words of other balancers are delayed.
+	// evacuationDuration extends into the quiet period after the phase, in which all balancers
+	// must have applied the evacuation.
+	evacuationDuration = 14 * time.Second
+	// peersDelay is the delay of PeersDelayed.
 	peersDelay = 300 * time.Millisecond
 )
 
-func (r *runner) storm(ctx context.Context) {
+// editStorm alternately adds and drops a route.
+func (r *runner) editStorm(ctx context.Context) {
 	for i := range stormEdits {
 		if i%2 == 0 {
 			r.world.AddRoutes(1)
@@ -89,10 +90,10 @@
 	}
 }
 
-// silenceConnections lets the connections of all balancers fall silent at once.
+// silenceConnections makes the open connections of all balancers unresponsive.
 func (r *runner) silenceConnections() {
 	if r.options.Sabotage == SabotageStale {
-		// The stale store must stay what the balancer hears of.
+		// The balancer must not reconnect to a store that is up to date.
 		return
 	}
 	r.world.SilenceConnections()
@@ -101,9 +102,9 @@
 	}
 }
 
-func (r *runner) strikePeers(event Event) {
+func (r *runner) injectPeerFault(event Event) {
 	if r.options.Sabotage == SabotageStale {
-		// Nobody may tell the balancer what is new.
+		// The balancer must not learn the current state from its peers.
 		return
 	}
 	relay := r.relays[event.Balancer]
@@ -120,8 +121,9 @@
 	}
 }
 
-// strikeProcess strikes the processes of balancers, and starts again those that ended.
-func (r *runner) strikeProcess(ctx context.Context, event Event) {
+// injectProcessFault injects a fault into balancer processes and restarts those that ended.
+// It returns once the fault is over.
+func (r *runner) injectProcessFault(ctx context.Context, event Event) {
 	m := r.fleet.members[event.Balancer]
 	switch event.Kind {
 	case Reload:
@@ -136,25 +138,25 @@
 		r.world.Disturbed(m.number, event.For, false)
 		r.world.Linger(m.number, r.options.Overlap)
 		m.signal(syscall.SIGCONT)
-		r.awaitStop(m, m.signal(syscall.SIGTERM))
-		r.startAgain(ctx, event, m)
+		r.waitStopped(m, m.signal(syscall.SIGTERM))
+		r.restart(ctx, event, m)
 	case Kill:
 		r.kill(m)
-		r.startAgain(ctx, event, m)
+		r.restart(ctx, event, m)
 	case KillAll:
 		r.killAll(ctx, event)
 	}
 }
 
-func (m *member) note(surprise string) {
+func (m *member) recordFailure(failure string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.surprises = append(m.surprises, surprise)
+	m.failures = append(m.failures, failure)
 }
 
 func (r *runner) kill(m *member) {
 	r.world.Disturbed(m.number, 0, false)
-	m.awaitEnd(m.signal(syscall.SIGKILL), graceTime)
+	m.waitExit(m.signal(syscall.SIGKILL), stopTimeout)
 }
 
 func (r *runner) killAll(ctx context.Context, event Event) {
@@ -167,24 +169,24 @@
 	if r.options.Sabotage == SabotageForget {
 		r.world.ForgetConfiguration()
 	}
-	if r.options.Sabotage == SabotageNoStart {
+	if r.options.Sabotage == SabotageNoRestart {
 		r.world.AllKilled()
 		return
 	}
 	for _, m := range r.fleet.members {
-		r.startAgain(ctx, event, m)
+		r.restart(ctx, event, m)
 		event.For = 0
 	}
 	r.world.AllKilled()
 }
 
-// startAgain starts the member once the event is over.
-func (r *runner) startAgain(ctx context.Context, event Event, m *member) {
+// restart starts the member after the event's duration, unless ctx ends first.
+func (r *runner) restart(ctx context.Context, event Event, m *member) {
 	if event.For > 0 && !sleepUntil(ctx, r.world, r.world.Now()+event.For) {
 		return
 	}
 	r.world.Disturbed(m.number, 0, true)
 	if err := r.fleet.start(m); err != nil {
-		m.note(err.Error())
+		m.recordFailure(err.Error())
 	}
 }
