--- a/internal/logs/explain/explain_test.go
+++ b/internal/logs/explain/explain_test.go
@@ -51,7 +51,7 @@
 		{"a crashed server", []string{known, placedRow, `10.3|n2|back end doubted|"backend":"ab","silent_ms":80`, `13|n1|back end gone|"backend":"ab"`}, BackendUnresponsive},
 		{"a flow reset at a lost server", []string{known, placedRow, `10.3|n2|back end lost|"backend":"ab","silent_ms":350`, `10.3|n1|flow reset|"caller":"100.64.0.7:40001","backend":"ab"`}, BackendDown},
 		{"a request refused at a lost server", []string{known, placedRow, `10.4|n1|flow refused|"caller":"100.64.0.7:40001","reason":"backend_lost"`}, BackendDown},
-		{"a doubt that was a lost packet", []string{known, placedRow, `10.3|n1|back end doubted|"backend":"ab"`, `10.4|n1|back end answers again|"backend":"ab"`, `11|n1|back end draining|"backend":"ab"`}, BackendRemoved},
+		{"a suspicion due to a lost packet", []string{known, placedRow, `10.3|n1|back end doubted|"backend":"ab"`, `10.4|n1|back end answers again|"backend":"ab"`, `11|n1|back end draining|"backend":"ab"`}, BackendRemoved},
 		{"a server that fails requests", []string{known, placedRow, `10.5|n3|back end leaves requests unanswered|"backend":"ab"`, `10.6|n3|back end doubted|"backend":"ab"`, `10.7|n3|back end answers again|"backend":"ab"`}, BackendFailing},
 		{"a crashed server whose requests wait", []string{known, placedRow, `10.3|n2|back end doubted|"backend":"ab"`, `10.5|n3|back end leaves requests unanswered|"backend":"ab"`}, BackendUnresponsive},
 		{"a balancer that wrote nothing for a while", []string{known, `9.5|n1|flow placed`, `9.8|n1|flow placed`, placedRow, `10.2|n1|flow placed`, `13|n1|flow placed`, `13.2|n1|flow placed`}, BalancerSilent},
--- a/internal/logs/timeline/draw.go
+++ b/internal/logs/timeline/draw.go
@@ -23,11 +23,11 @@
 	picture.Y.Label.Text = "balancers"
 	picture.Y.Min = 0
 	var running, newest, withoutStore plotter.XYs
-	for _, sample := range d.Moments {
+	for _, sample := range d.Samples {
 		x := sample.At.Sub(d.From).Seconds()
 		running = append(running, plotter.XY{X: x, Y: float64(sample.Running)})
 		newest = append(newest, plotter.XY{X: x, Y: float64(sample.Newest)})
-		withoutStore = append(withoutStore, plotter.XY{X: x, Y: float64(sample.Lost)})
+		withoutStore = append(withoutStore, plotter.XY{X: x, Y: float64(sample.StoreUnreachable)})
 	}
 	if len(running) > 0 {
 		if err := plotutil.AddLines(picture, "running", running, "with the newest settings", newest, "without the store", withoutStore); err != nil {
--- a/internal/logs/timeline/timeline.go
+++ b/internal/logs/timeline/timeline.go
@@ -38,10 +38,10 @@
 	From time.Time
 	// Until is the time of its last line.
 	Until time.Time
-	// Left reports whether it ended with a planned stop.
-	Left bool
-	// Known is when it first applied settings, zero if never.
-	Known time.Time
+	// PlannedStop reports whether it ended with a planned stop.
+	PlannedStop bool `json:"Left"`
+	// SettingsAt is when it first applied settings, zero if never.
+	SettingsAt time.Time `json:"Known"`
 }
 
 // Outage is a period in which one balancer could not reach the store.
@@ -70,12 +70,12 @@
 	At time.Time
 	// Running is the number of running balancers, Newest of those with the newest version.
 	Running, Newest int
-	// Lost is the number of balancers without the store.
-	Lost int
+	// StoreUnreachable is the number of balancers without the store.
+	StoreUnreachable int `json:"Lost"`
 }
 
 // Timeline is the summary of a set of logs. Versions are sorted by number, Evacuations by
-// time, Runs, Outages and Moments as they occur in the logs.
+// time, Runs, Outages and Samples as they occur in the logs.
 type Timeline struct {
 	From, Until time.Time
 	Versions    []Version
@@ -85,7 +85,7 @@
 	// Added, Draining and Gone are the numbers of distinct back ends that were added, set to
 	// draining and removed.
 	Added, Draining, Gone int
-	Moments               []Sample
+	Samples               []Sample `json:"Moments"`
 }
 
 // FromLines returns the timeline of lines, which must be sorted by time.
@@ -134,13 +134,13 @@
 	run.Until = line.At
 	switch line.Message {
 	case logs.Leaving:
-		run.Left = true
+		run.PlannedStop = true
 	case logs.Stopped:
 		delete(b.runningRuns, line.Node)
 		delete(b.version, line.Node)
 	case logs.SettingsApplied:
-		if run.Known.IsZero() {
-			run.Known = line.At
+		if run.SettingsAt.IsZero() {
+			run.SettingsAt = line.At
 		}
 		b.version[line.Node] = line.Version
 		b.newest = max(b.newest, line.Version)
@@ -170,7 +170,7 @@
 
 // addSample appends a sample of the current state.
 func (b *builder) addSample(at time.Time) {
-	sample := Sample{At: at, Running: len(b.runningRuns), Lost: len(b.openOutages)}
+	sample := Sample{At: at, Running: len(b.runningRuns), StoreUnreachable: len(b.openOutages)}
 	for _, version := range b.version {
 		if version == b.newest {
 			sample.Newest++
@@ -195,7 +195,7 @@
 	}
 	slices.SortFunc(timeline.Evacuations, func(x, y Evacuation) int { return x.First.Compare(y.First) })
 	timeline.Added, timeline.Draining, timeline.Gone = len(b.seen[logs.BackendAdded]), len(b.seen[logs.BackendDraining]), len(b.seen[logs.BackendRemoved])
-	timeline.Moments = b.samples
+	timeline.Samples = b.samples
 }
 
 // zoneEvent identifies an evacuation or restoration of a zone by the store's revision.
@@ -280,11 +280,11 @@
 
 func describeRun(run *Run) string {
 	settings := "never knew settings"
-	if !run.Known.IsZero() {
-		settings = fmt.Sprintf("knew settings after %d ms", run.Known.Sub(run.From).Milliseconds())
+	if !run.SettingsAt.IsZero() {
+		settings = fmt.Sprintf("knew settings after %d ms", run.SettingsAt.Sub(run.From).Milliseconds())
 	}
 	end := "last line"
-	if run.Left {
+	if run.PlannedStop {
 		end = "left, last line"
 	}
 	return fmt.Sprintf("from %s, %s, %s %s", run.From.Format(logs.ClockFormat), settings, end, run.Until.Format(logs.ClockFormat))
--- a/internal/logs/timeline/timeline_test.go
+++ b/internal/logs/timeline/timeline_test.go
@@ -37,20 +37,20 @@
 		timeline.Versions[1].Last.Sub(timeline.Versions[1].First) != 250*time.Millisecond || timeline.Versions[1].LastNode != "n2" {
 		t.Errorf("versions %+v", timeline.Versions)
 	}
-	if len(timeline.Runs) != 4 || !timeline.Runs[0].Left || timeline.Runs[1].Left || timeline.Runs[0].Known.Sub(timeline.Runs[0].From) != time.Second {
+	if len(timeline.Runs) != 4 || !timeline.Runs[0].PlannedStop || timeline.Runs[1].PlannedStop || timeline.Runs[0].SettingsAt.Sub(timeline.Runs[0].From) != time.Second {
 		t.Errorf("runs %+v", timeline.Runs)
 	}
 	if len(timeline.Outages) != 2 || timeline.Outages[0].Until.Sub(timeline.Outages[0].From) != 2*time.Second || !timeline.Outages[1].Until.IsZero() {
 		t.Errorf("outages %+v", timeline.Outages)
 	}
 	if timeline.Gone != 1 {
-		t.Errorf("%d back ends gone", timeline.Gone)
+		t.Errorf("%d back ends removed", timeline.Gone)
 	}
-	last := timeline.Moments[len(timeline.Moments)-1]
-	if last.Running != 2 || last.Newest != 1 || last.Lost != 1 {
-		t.Errorf("last moment %+v", last)
+	last := timeline.Samples[len(timeline.Samples)-1]
+	if last.Running != 2 || last.Newest != 1 || last.StoreUnreachable != 1 {
+		t.Errorf("last sample %+v", last)
 	}
-	if empty := Of(nil); len(empty.Moments) != 0 {
+	if empty := Of(nil); len(empty.Samples) != 0 {
 		t.Errorf("no lines: %+v", empty)
 	}
 }
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -93,7 +93,7 @@
 // silenceConnections makes the open connections of all balancers unresponsive.
 func (r *runner) silenceConnections() {
 	if r.options.Sabotage == SabotageStale {
-		// The balancer must not reconnect to a store that is up to date.
+		// The balancer must keep receiving the stale state.
 		return
 	}
 	r.world.SilenceConnections()
