--- a/bench/bound/bound.go
+++ b/bench/bound/bound.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// windowTime is how long a window of a report is, and stepTime how finely the bound looks
-	// at it.
+	// windowTime is the length of a window of a report, stepTime the step at which the bound
+	// samples it.
 	windowTime = 2 * time.Second
 	stepTime   = 5 * time.Millisecond
-	// worstWindows is how many windows the part "worst windows" is the mean of.
+	// worstWindows is the number of windows averaged in the part "worst windows".
 	worstWindows = 2
 )
 
@@ -28,19 +28,20 @@
 	priceHandshake = "new connections to servers"
 )
 
-// credit is what was owed, what no balancer could have exceeded, and what was got.
+// credit is the credit owed, its upper bound for any balancer, and the credit earned.
 type credit struct {
 	name string
-	// begin is the begin of a window.
-	begin            time.Duration
-	owed, bound, got float64
+	// begin is the start of a window.
+	begin               time.Duration
+	owed, bound, earned float64
 	// late and failed count requests.
 	late, failed float64
 }
 
-// avoidable is what was lost of what could have been had.
-func (c *credit) avoidable() float64 { return c.bound - c.got }
+// avoidable returns the loss that a better balancer could have avoided.
+func (c *credit) avoidable() float64 { return c.bound - c.earned }
 
+// share returns the value as a share of the credit owed, 1 if none was owed.
 func (c *credit) share(value float64) float64 {
 	if c.owed == 0 {
 		return 1
@@ -53,11 +54,11 @@
 	report                  *Report
 	windows, classes, zones []credit
 	parts                   []Part
-	// prices is what is paid at the least, worth the upper bound.
+	// prices is the lower bound of all prices, worth the upper bound of the day's worth.
 	prices, worth float64
 }
 
-// bound works out what no balancer could have exceeded.
+// bound computes the upper bound for the day of a report.
 func bound(site *Site, report *Report) (*result, error) {
 	fleet, err := newFleet(site, report)
 	if err != nil {
@@ -80,25 +81,26 @@
 				}
 			}
 		}
-		result.windows[i].got = window.Worth * result.windows[i].owed
+		result.windows[i].earned = window.Worth * result.windows[i].owed
 	}
 	for k, class := range report.Classes {
-		tally(&result.classes[k], class)
+		setTally(&result.classes[k], class)
 	}
 	for z, zone := range report.Zones {
-		tally(&result.zones[z], zone)
+		setTally(&result.zones[z], zone)
 	}
 	result.sum(site)
 	return result, nil
 }
 
-func tally(c *credit, t Tally) {
+// setTally copies the counts of a tally into the credit and sets the credit earned.
+func setTally(c *credit, t Tally) {
 	c.name, c.late, c.failed = t.Name, t.Late, t.Failed
-	c.got = t.Worth * c.owed
+	c.earned = t.Worth * c.owed
 }
 
-// addWindow adds what a class and a zone could have earned in a window. Classes and zones have
-// the same shares in each window.
+// addWindow adds the bound of a class and a zone in a window. It assumes that classes and zones
+// have the same shares in each window.
 func (r *result) addWindow(site *Site, fleet *fleet, i, k, z int, begin time.Duration) error {
 	at := slices.IndexFunc(site.Classes, func(c Class) bool { return c.Name == r.report.Classes[k].Name })
 	if at < 0 {
@@ -110,36 +112,37 @@
 		total += c.Count
 	}
 	owed := class.Worth * r.report.Windows[i].Count * r.report.Classes[k].Count / total * r.report.Zones[z].Count / total
-	best := owed * site.bestInWindow(class, fleet, r.report.Zones[z].Name, begin)
+	limit := owed * site.maxInWindow(class, fleet, r.report.Zones[z].Name, begin)
 	for _, c := range []*credit{&r.windows[i], &r.classes[k], &r.zones[z]} {
 		c.owed += owed
-		c.bound += best
+		c.bound += limit
 	}
 	return nil
 }
 
-// bestInWindow is the mean of what requests that begin in a window can earn.
-func (s *Site) bestInWindow(class *Class, fleet *fleet, zone string, begin time.Duration) float64 {
+// maxInWindow returns the mean bound of requests that begin in a window, as a share of their
+// worth.
+func (s *Site) maxInWindow(class *Class, fleet *fleet, zone string, begin time.Duration) float64 {
 	if !fleet.disturbed(begin) {
 		return 1
 	}
 	sum, steps := 0.0, 0
 	for at := begin; at < begin+windowTime; at += stepTime {
 		for _, reach := range fleet.reaches(zone, at) {
-			sum += reach.share * s.bestCredit(class, reach.from-at)
+			sum += reach.share * s.maxCredit(class, reach.from-at)
 		}
 		steps++
 	}
 	return sum / float64(steps)
 }
 
-// disturbed tells whether a balancer is down in the window.
+// disturbed reports whether a balancer is down in the window.
 func (f *fleet) disturbed(begin time.Duration) bool {
-	return slices.ContainsFunc(f.downs, func(d down) bool { return d.from < begin+windowTime && d.to > begin })
+	return slices.ContainsFunc(f.outages, func(d outage) bool { return d.from < begin+windowTime && d.to > begin })
 }
 
-// sum puts parts and prices together. The mean of the windows for which the bound is lowest is
-// no less than that of those that were worst, and so for classes and zones.
+// sum adds up parts and prices. The mean of the windows with the lowest bounds is no less than
+// that of the worst windows; the same holds for classes and zones.
 func (r *result) sum(site *Site) {
 	for _, part := range r.report.Parts {
 		value := 1.0
@@ -147,11 +150,11 @@
 		case partDay:
 			value = r.day().share(r.day().bound)
 		case partWindows:
-			value = lowest(r.windows, worstWindows)
+			value = meanOfLowest(r.windows, worstWindows)
 		case partClass:
-			value = lowest(r.classes, 1)
+			value = meanOfLowest(r.classes, 1)
 		case partZone:
-			value = lowest(r.zones, 1)
+			value = meanOfLowest(r.zones, 1)
 		}
 		r.parts = append(r.parts, Part{part.Name, part.Weight, value})
 		r.worth += part.Weight * value
@@ -173,21 +176,21 @@
 	r.worth -= r.prices
 }
 
-// day is the sum over the windows.
+// day returns the sum over the windows.
 func (r *result) day() *credit {
 	day := &credit{name: "day"}
 	for _, w := range r.windows {
 		day.owed += w.owed
 		day.bound += w.bound
-		day.got += w.got
+		day.earned += w.earned
 		day.late += w.late
 		day.failed += w.failed
 	}
 	return day
 }
 
-// lowest returns the mean of the lowest count bounds.
-func lowest(list []credit, count int) float64 {
+// meanOfLowest returns the mean of the count lowest bounds as shares, NaN if there are none.
+func meanOfLowest(list []credit, count int) float64 {
 	shares := []float64{}
 	for i := range list {
 		shares = append(shares, list[i].share(list[i].bound))
--- a/bench/bound/bound_test.go
+++ b/bench/bound/bound_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// testSite has one kind of request on long flows and one that opens a flow for each.
+// testSite has a class of requests on long flows and one that opens a flow for each request.
 func testSite() *Site {
 	site := &Site{}
 	site.Bounds.TouchMs = 4000
@@ -42,7 +42,7 @@
 	return report
 }
 
-func quietMachines() map[string]string {
+func undisturbedMachines() map[string]string {
 	return map[string]string{"front-a-1": "", "front-a-2": "", "front-b-1": "", "front-b-2": ""}
 }
 
@@ -55,9 +55,9 @@
 	return got
 }
 
-func TestACalmDayCanEarnAllButPrices(t *testing.T) {
-	got := mustBound(t, testReport(nil, quietMachines()))
-	// Machines, and a connection for each of the 200 edits out of 400 connections.
+func TestUndisturbedDayLosesOnlyPrices(t *testing.T) {
+	got := mustBound(t, testReport(nil, undisturbedMachines()))
+	// The prices of machines, and of a connection for each of 200 edits, of 400 connections.
 	if want := 1 - 0.01 - 0.002; math.Abs(got.worth-want) > 1e-9 {
 		t.Errorf("bound %v, want %v", got.worth, want)
 	}
@@ -66,20 +66,21 @@
 	}
 }
 
-// TestAllBalancersDownLoseWhatCannotWait: all are down from 2.0 to 3.0 s.
-func TestAllBalancersDownLoseWhatCannotWait(t *testing.T) {
-	out := quietMachines()
+// TestAllBalancersDownLoseRequestsPastDeadline checks the bound when all balancers are down from 2.0
+// to 3.0 s.
+func TestAllBalancersDownLoseRequestsPastDeadline(t *testing.T) {
+	out := undisturbedMachines()
 	for machine := range out {
 		out[machine] = "2.000 to 7.000"
 	}
 	got := mustBound(t, testReport([]Event{{At: 2, To: 8, Kind: "closing (kill_all)", What: "front-a-1 and 3 more"}}, out))
 	feed, edit := &got.classes[0], &got.classes[1]
-	// Sent again after 0.2 and 0.6 s, and after 1.4 s, which is past the deadline: what begins
-	// in the first 0.4 s fails, what begins in the next 0.6 s is late.
+	// Retransmissions follow after 0.2, 0.6 and 1.4 s, the last one past the deadline: requests of
+	// the first 0.4 s fail, those of the next 0.6 s are late.
 	if want := 600.0 - 75*(0.4+0.6*0.7); math.Abs(feed.bound-want) > 1 {
 		t.Errorf("feed %v, want %v", feed.bound, want)
 	}
-	// An edit opens another flow after 1.4 s and is late then.
+	// An edit opens another flow after 1.4 s and is then late.
 	if want := 2 * (200.0 - 25*(1.0*0.7)); math.Abs(edit.bound-want) > 1 {
 		t.Errorf("edit %v, want %v", edit.bound, want)
 	}
@@ -88,14 +89,14 @@
 	}
 }
 
-// TestADeadBalancerCostsItsShareUntilItIsLeftOut: one of two is down for long; routers need
-// half a second at the least.
-func TestADeadBalancerCostsItsShareUntilItIsLeftOut(t *testing.T) {
-	out := quietMachines()
+// TestDeadBalancerCostsItsShareUntilEjected checks the bound when one of two balancers is down and
+// routers need at least half a second to eject it.
+func TestDeadBalancerCostsItsShareUntilEjected(t *testing.T) {
+	out := undisturbedMachines()
 	out["front-a-1"] = "2.000 to 12.000"
 	got := mustBound(t, testReport([]Event{{At: 2, To: 8, Kind: "node_kill (power)", What: "front-a-1"}}, out))
-	// In the half second half of the flows of zone a are late: 0.2 s are over before the
-	// packet that arrives.
+	// Half of the flows of zone a are late for half a second: the packet that arrives is a
+	// retransmission after 0.2 s or more.
 	if want := 600.0 - 75*0.5*0.5*0.5*0.7; math.Abs(got.classes[0].bound-want) > 0.5 {
 		t.Errorf("feed %v, want %v", got.classes[0].bound, want)
 	}
@@ -104,8 +105,9 @@
 	}
 }
 
-// TestMachinesThatWereNeverOutOfTouchCount: reports do not name them.
-func TestMachinesThatWereNeverOutOfTouchCount(t *testing.T) {
+// TestUnreportedMachinesCount checks that machines that were never out of touch, which reports do
+// not name, count as balancers.
+func TestUnreportedMachinesCount(t *testing.T) {
 	site := testSite()
 	site.Machines = []Machines{{Class: "front", Zone: "a", Count: 4}}
 	report := testReport([]Event{{At: 2, To: 8, Kind: "node_kill (power)", What: "front-a-1"}}, map[string]string{"front-a-1": "2.000 to 12.000"})
@@ -120,20 +122,20 @@
 }
 
 func TestOtherDisturbancesCostNothing(t *testing.T) {
-	out := quietMachines()
+	out := undisturbedMachines()
 	out["front-a-1"] = "2.000 to 9.000"
 	events := []Event{
 		{At: 2, To: 3, Kind: "roll_term", What: "front-a-1"},
 		{At: 2, To: 5, Kind: "node_cut", What: "front-a-1"},
 		{At: 2, To: 3, Kind: "node_kill", What: "front-b-1"},
 	}
-	// The killed one was in touch all the time, so that the kill did not happen.
+	// front-b-1 was never out of touch, so the kill does not count.
 	if got := mustBound(t, testReport(events, out)); got.day().bound != got.day().owed {
 		t.Errorf("bound %v of %v", got.day().bound, got.day().owed)
 	}
 }
 
-func TestBestCredit(t *testing.T) {
+func TestMaxCredit(t *testing.T) {
 	site := testSite()
 	feed, edit := &site.Classes[0], &site.Classes[1]
 	for _, test := range []struct {
@@ -147,7 +149,7 @@
 		{edit, 601 * time.Millisecond, 0.3},
 		{edit, 1401 * time.Millisecond, 0},
 	} {
-		if got := site.bestCredit(test.class, test.reached); math.Abs(got-test.want) > 1e-9 {
+		if got := site.maxCredit(test.class, test.reached); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s reached after %v: %v, want %v", test.class.Name, test.reached, got, test.want)
 		}
 	}
@@ -165,8 +167,8 @@
 	}
 }
 
-// TestFilesAreRead plays the command on files as the bench writes them.
-func TestFilesAreRead(t *testing.T) {
+// TestRunReadsFiles runs the command on files in the format of the bench.
+func TestRunReadsFiles(t *testing.T) {
 	folder := t.TempDir()
 	site := filepath.Join(folder, "site.toml")
 	write(t, site, []byte(`
@@ -197,7 +199,7 @@
 	}
 }
 
-func TestBadFilesAreRefused(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	folder := t.TempDir()
 	empty := filepath.Join(folder, "empty")
 	write(t, empty, nil)
@@ -208,12 +210,12 @@
 	}
 	report := testReport(nil, map[string]string{"front-a-1": "early to late"})
 	if _, err := bound(testSite(), report); err == nil {
-		t.Error("a span without numbers is taken")
+		t.Error("a span without numbers is accepted")
 	}
-	report = testReport(nil, quietMachines())
+	report = testReport(nil, undisturbedMachines())
 	report.Classes[0].Name = "other"
 	if _, err := bound(testSite(), report); err == nil {
-		t.Error("a class that the site does not have is taken")
+		t.Error("a class that the site does not have is accepted")
 	}
 }
 
@@ -224,28 +226,29 @@
 	}
 }
 
-// TestNobodyKnowsSettingsWhenAllStartInAnOutage: all are down from 2.0 to 3.0 s, and the store answers from
-// 3.5 s on, or answers some all the time, or was away before; where a balancer goes on running, it tells the others.
-func TestNobodyKnowsSettingsWhenAllStartInAnOutage(t *testing.T) {
+// TestRestartOfAllInStoreOutageWaitsForStore checks that a restart of all balancers lasts until a full
+// outage of the store ends, but not longer if the outage is partial or ends before, or if a balancer
+// keeps running.
+func TestRestartOfAllInStoreOutageWaitsForStore(t *testing.T) {
 	closing := Event{At: 2, To: 8, Kind: "closing (kill_all)", What: "front-a-1 and 3 more"}
 	bestOf := func(out map[string]string, events ...Event) float64 {
 		return mustBound(t, testReport(append(events, closing), out)).day().bound
 	}
-	down := quietMachines()
+	down := undisturbedMachines()
 	for machine := range down {
 		down[machine] = "2.000 to 7.000"
 	}
-	alone := bestOf(down)
-	if got := bestOf(down, Event{At: 1, To: 3.5, Kind: "platform_down (busy lapse)"}); got >= alone {
-		t.Errorf("bound %v with an outage until 3.5 s, %v without", got, alone)
+	withoutOutage := bestOf(down)
+	if got := bestOf(down, Event{At: 1, To: 3.5, Kind: "platform_down (busy lapse)"}); got >= withoutOutage {
+		t.Errorf("bound %v with an outage until 3.5 s, %v without", got, withoutOutage)
 	}
 	for _, event := range []Event{
 		{At: 1, To: 3.5, Kind: "platform_down (nodes silent)"},
 		{At: 0, To: 1.5, Kind: "platform_down (silent)"},
 		{At: 1, To: 2.9, Kind: "platform_down (silent)"},
 	} {
-		if got := bestOf(down, event); got != alone {
-			t.Errorf("bound %v with %+v, %v without", got, event, alone)
+		if got := bestOf(down, event); got != withoutOutage {
+			t.Errorf("bound %v with %+v, %v without", got, event, withoutOutage)
 		}
 	}
 	down["front-b-2"] = ""
--- a/bench/bound/credit.go
+++ b/bench/bound/credit.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// openPatience is how long a caller waits for a flow to open before it tries another.
-	openPatience = 1400 * time.Millisecond
-	// serverHops is how many links between balancer and server a request crosses at least on
-	// its way there and back; answers go straight to the caller.
+	// openTimeout is how long a caller waits for a flow to open before it tries another.
+	openTimeout = 1400 * time.Millisecond
+	// serverHops is the minimum number of crossings between balancer and server for a request
+	// and its answer; answers bypass the balancer.
 	serverHops = 1
 )
 
-// The times after which callers send again what was not answered.
+// The times since the first transmission at which callers send and retransmit a packet that opens
+// a flow, and one with data.
 var (
-	openTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
-	dataTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond, 3 * time.Second, 4600 * time.Millisecond, 6200 * time.Millisecond}
+	openSendTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+	dataSendTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond, 3 * time.Second, 4600 * time.Millisecond, 6200 * time.Millisecond}
 )
 
-// sendTimes returns when, from its begin, a request of the class sends packets that can lead
-// to its answer.
+// sendTimes returns the times since its begin at which a request of the class sends packets that
+// can lead to its answer.
 func (c *Class) sendTimes() []time.Duration {
 	if !c.fresh() {
-		return dataTimes
+		return dataSendTimes
 	}
 	var times []time.Duration
 	for try := range 1 + c.Retries {
-		for _, after := range openTimes {
-			times = append(times, time.Duration(try)*openPatience+after)
+		for _, after := range openSendTimes {
+			times = append(times, time.Duration(try)*openTimeout+after)
 		}
 	}
 	return times
 }
 
-// bestCredit returns the most that a request of the class can earn on the mean, as a part of
-// its worth, if its packets reach a running balancer from reached after its begin on.
-func (s *Site) bestCredit(c *Class, reached time.Duration) float64 {
+// maxCredit returns the maximum mean credit of a request of the class, as a share of its worth,
+// if its packets reach a running balancer only after the time reached since its begin.
+func (s *Site) maxCredit(c *Class, reached time.Duration) float64 {
 	if reached <= 0 {
 		return 1
 	}
@@ -45,28 +46,28 @@
 		if sent < reached {
 			continue
 		}
-		taken := sent + s.leastTransit(c)
-		inAim := c.workWithin(milliseconds(c.AimMs) - taken)
-		inTime := c.workWithin(deadline - taken)
+		transit := sent + s.minTransit(c)
+		inAim := c.workWithin(milliseconds(c.AimMs) - transit)
+		inTime := c.workWithin(deadline - transit)
 		return inAim + c.lateShare()*(inTime-inAim)
 	}
 	return 0
 }
 
-// lateShare is what a late answer earns of what one within its aim does.
+// lateShare returns the credit of a late answer as a share of that of one within its aim.
 func (c *Class) lateShare() float64 { return c.LateWorth / c.Worth }
 
-// leastTransit is the time that packets of a request need at least: there and back, and
-// once more where a flow must open first.
-func (s *Site) leastTransit(c *Class) time.Duration {
-	turns := 1.0
+// minTransit returns the minimum network time of a request: one round trip, and another one if it
+// must open a flow first.
+func (s *Site) minTransit(c *Class) time.Duration {
+	roundTrips := 1.0
 	if c.fresh() {
-		turns = 2
+		roundTrips = 2
 	}
-	return milliseconds(turns * (2*s.Net.ClientMs + serverHops*s.Net.InZoneMs))
+	return milliseconds(roundTrips * (2*s.Net.ClientMs + serverHops*s.Net.InZoneMs))
 }
 
-// workWithin returns the share of requests whose work takes no longer than the time.
+// workWithin returns the share of requests whose work takes at most the time.
 func (c *Class) workWithin(time time.Duration) float64 {
 	if time <= 0 {
 		return 0
--- a/bench/bound/main.go
+++ b/bench/bound/main.go
@@ -1,28 +1,26 @@
-// Command bound tells what no balancer could have saved of a day on the users' bench, and so
-// how much of what was lost could have been:
+// Command bound computes an upper bound of the worth of a day on the users' bench, for any
+// balancer, and so how much of the loss was avoidable:
 //
 //	bound SITE REPORT...
 //
 // REPORT is what the bench writes with --report for a day of the site file SITE. For each
-// day it prints the worth that was got and an upper bound of it, by the parts that count, by
-// class and by moment.
+// day it prints the worth earned and its upper bound, by part, by class and by window.
 //
-// The bound counts as lost only what the protocol makes lost, whoever balances:
+// The bound has only the losses that the protocol makes unavoidable:
 //
-//   - A packet that its router hands to a balancer that does not run is lost. The caller sends
-//     again at fixed times; until the flow's packets can reach a running balancer, nothing
-//     can answer it. A balancer runs again when its machine does, without any time for its
-//     own start, and routers leave a dead one out as early as their probes allow.
-//   - While the store answers nobody, balancers learn from others that run. After a moment at which
-//     none runs nobody knows the settings until the store answers again.
-//   - Machines in use are paid for, and so is a connection for each request that uses a flow
-//     of its own.
+//   - A packet that a router sends to a balancer that is down is lost. The caller
+//     retransmits at fixed times until its packets reach a running balancer. A balancer
+//     runs as soon as its machine does, and routers eject a dead one as early as their
+//     probes allow.
+//   - While the store is silent, balancers read settings from running peers. Once none runs,
+//     no balancer has settings until the store answers again.
+//   - Machines in use are paid for, and so is a connection for each request with its own
+//     flow.
 //
-// Left out, so that the bound is above what can be reached: the time of a start, runs lost
-// with their server, requests that meet a server before anybody can know that it is silent,
-// servers that are cold or slow, queues, lost packets, and all other prices. Requests are
-// taken to begin evenly within each window of the report, and the time of a request's work
-// to be log-normal with the mean and spread of the site file.
+// It ignores start-up times, runs lost with their server, requests sent to a silent server
+// before that can be detected, cold and slow servers, queues, lost packets, and all other
+// prices. It assumes that requests begin evenly within each window of the report, and that
+// the time of their work is log-normal with the mean and spread of the site file.
 package main
 
 import (
--- a/bench/bound/print.go
+++ b/bench/bound/print.go
@@ -5,11 +5,11 @@
 	"io"
 )
 
-// minAvoidable is the avoidable loss from which a window is printed, in requests' worth.
+// minAvoidable is the avoidable loss from which a window is printed, in the unit of worth.
 const minAvoidable = 2
 
-// print writes the bound of a day: the parts, then classes and moments with what was owed, the
-// bound, what was got and what of the difference could have been had.
+// print writes the bound of a day: the parts, then the credits of the day, of classes, and of
+// windows with an avoidable or bounded loss.
 func (r *result) print(out io.Writer, name string) {
 	fmt.Fprintf(out, "%s: worth %.4f, bound %.4f, below it by %.4f; prices %.4f of which %.4f must be paid\n",
 		name, r.report.Worth, r.worth, r.worth-r.report.Worth, r.paid(), r.prices)
@@ -35,10 +35,10 @@
 }
 
 func printCredit(out io.Writer, c *credit) {
-	fmt.Fprintf(out, "  %-14s %9.1f %9.1f %9.1f %9.1f %6.0f %6.0f\n", c.name, c.owed, c.bound, c.got, c.avoidable(), c.late, c.failed)
+	fmt.Fprintf(out, "  %-14s %9.1f %9.1f %9.1f %9.1f %6.0f %6.0f\n", c.name, c.owed, c.bound, c.earned, c.avoidable(), c.late, c.failed)
 }
 
-// paid is the sum of all prices.
+// paid returns the sum of all prices.
 func (r *result) paid() float64 {
 	sum := 0.0
 	for _, price := range r.report.Prices {
--- a/bench/bound/report.go
+++ b/bench/bound/report.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Report is what the bound needs of the bench's report on a day.
+// Report is the part of the bench's report on a day that the bound needs.
 type Report struct {
-	// Worth is the day's credit less prices.
+	// Worth is the day's credit minus prices.
 	Worth   float64 `json:"G"`
 	Parts   []Part  `json:"parts"`
 	Prices  []Price `json:"prices"`
 	Classes []Tally `json:"classes"`
 	Zones   []Tally `json:"zones"`
-	// Windows are of two seconds each, named by their first second.
+	// Windows are two seconds long each and named by their first second.
 	Windows []Tally `json:"windows"`
 	Events  []Event `json:"events"`
 	Touch   struct {
-		// Out tells by machine when it was out of touch: "FROM to TO, FROM to TO" in seconds.
+		// Out has by machine the times out of touch, as "FROM to TO, FROM to TO" in seconds.
 		Out map[string]string `json:"out"`
 	} `json:"touch"`
 }
@@ -33,7 +33,7 @@
 	InAim  float64 `json:"in_aim"`
 	Late   float64 `json:"late"`
 	Failed float64 `json:"failed"`
-	// Worth is the credit earned of what was owed.
+	// Worth is the credit earned as a share of the credit owed.
 	Worth float64 `json:"worth"`
 }
 
@@ -42,11 +42,11 @@
 	At   float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
 	Kind string  `json:"kind"`
-	// What names the machines that it struck, not always all of them.
+	// What names the machines that it struck, but not always all of them.
 	What string `json:"what"`
 }
 
-// Part is a part of the credit with its weight.
+// Part is a weighted part of the credit.
 type Part struct {
 	Name          string
 	Weight, Value float64
@@ -57,7 +57,7 @@
 	return json.Unmarshal(data, &[]any{&p.Name, &p.Weight, &p.Value})
 }
 
-// Price is what was taken off for something.
+// Price is a deduction from the credit.
 type Price struct {
 	Name         string
 	Amount, Cost float64
@@ -80,15 +80,15 @@
 	return report, nil
 }
 
-// span is a time of the day, from the start of traffic.
+// span is an interval of the day, in time since the start of traffic.
 type span struct {
 	from, to time.Duration
 }
 
-// has tells whether the moment is in the span.
-func (s span) has(at time.Duration) bool { return s.from <= at && at < s.to }
+// contains reports whether the moment is in the span.
+func (s span) contains(at time.Duration) bool { return s.from <= at && at < s.to }
 
-// outOfTouch returns by machine when it was out of touch.
+// outOfTouch returns the spans out of touch by machine.
 func (r *Report) outOfTouch() (map[string][]span, error) {
 	machines := map[string][]span{}
 	for machine, text := range r.Touch.Out {
@@ -100,7 +100,7 @@
 			fromS, err := strconv.ParseFloat(from, 64)
 			toS, toErr := strconv.ParseFloat(to, 64)
 			if !found || err != nil || toErr != nil {
-				return nil, fmt.Errorf("machine %s: %q is no span of time", machine, part)
+				return nil, fmt.Errorf("machine %s: %q is not of the form \"FROM to TO\" in seconds", machine, part)
 			}
 			machines[machine] = append(machines[machine], span{seconds(fromS), seconds(toS)})
 		}
--- a/bench/bound/site.go
+++ b/bench/bound/site.go
@@ -7,10 +7,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Site is what the bound needs of a site file. Times are in milliseconds, as there.
+// Site is the part of a site file that the bound needs.
 type Site struct {
 	Classes []Class `toml:"classes"`
-	// Machines are those that are there from the start.
+	// Machines are those that exist from the start.
 	Machines []Machines `toml:"machines"`
 	Net      struct {
 		InZoneMs float64 `toml:"in_zone_ms"`
@@ -22,7 +22,7 @@
 	} `toml:"bounds"`
 }
 
-// Machines are alike machines of one zone.
+// Machines are identical machines of one zone.
 type Machines struct {
 	Class string `toml:"class"`
 	Zone  string `toml:"zone"`
@@ -35,11 +35,11 @@
 	AimMs      float64 `toml:"aim_ms"`
 	DeadlineMs float64 `toml:"deadline_ms"`
 	// Worth is the credit of a request within its aim, LateWorth that of one within its
-	// deadline, as a part of Worth's unit.
+	// deadline, in the same unit.
 	Worth     float64 `toml:"worth"`
 	LateWorth float64 `toml:"late_worth"`
 	Retries   int     `toml:"retries"`
-	// Habit is "fresh" where each request has a flow of its own.
+	// Habit is "fresh" if each request opens a flow.
 	Habit  string `toml:"habit"`
 	WorkMs struct {
 		Mean   float64 `toml:"mean"`
@@ -47,7 +47,7 @@
 	} `toml:"work_ms"`
 }
 
-// fresh tells whether each request opens a flow.
+// fresh reports whether each request opens a flow.
 func (c *Class) fresh() bool { return c.Habit == "fresh" }
 
 // contact is how long a machine stays out of touch after a disturbance.
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if len(site.Classes) == 0 || site.Bounds.TouchMs == 0 {
-		return nil, fmt.Errorf("%s: no classes or no touch_ms", name)
+		return nil, fmt.Errorf("%s: classes or bounds.touch_ms is missing", name)
 	}
 	return site, nil
 }
--- a/bench/variant/main.go
+++ b/bench/variant/main.go
@@ -1,9 +1,9 @@
-// Command variant writes a changed copy of a site file of the users' bench, so that days
-// can be hunted on deployments that nobody has seen:
+// Command variant writes a changed copy of a site file of the users' bench, to test days on
+// other deployments:
 //
 //	go run ./bench/variant SITE VARIANT > FILE
 //
-// The copy keeps the site's days; files that it names (wire) must lie beside it.
+// The copy keeps the site's days. Files that it names (wire) must be in the same folder.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// edit replaces what an expression matches.
+// edit replaces all matches of a regular expression.
 type edit struct {
 	pattern string
 	with    string
@@ -24,28 +24,28 @@
 
 // variants are the changes by name.
 var variants = map[string][]edit{
-	// Routers move only the flows of the node that comes or goes.
+	// Routers hash consistently: only the flows of an added or removed node move.
 	"steady": {{`hash = "mod"`, `hash = "steady"`}},
-	// Everything must be in force in half of the time.
+	// Shorter limits for applying changes.
 	"hasty": {
 		{`(?m)^config_ms = .*$`, `config_ms = 1500`}, {`(?m)^drain_ms = .*$`, `drain_ms = 1500`},
 		{`(?m)^touch_ms = .*$`, `touch_ms = 3000`}, {`(?m)^grace_s = .*$`, `grace_s = 4.0`},
 	},
-	// Machines with half of the processor behind a tenth of the link.
+	// Machines with less CPU time and bandwidth.
 	"weak": {{`cpu_share = [0-9.]+`, `cpu_share = 0.15`}, {`link_mbps = [0-9.]+`, `link_mbps = 20.0`}},
-	// Zones far from each other.
+	// Higher latency between zones and to clients.
 	"far": {{`(?m)^cross_zone_ms = .*$`, `cross_zone_ms = 12.0`}, {`(?m)^client_ms = .*$`, `client_ms = 8.0`}},
 	// One machine in each zone.
 	"sparse": {{`(zone = "[^"]+"), count = [0-9]+, spare = [0-9]+`, `$1, count = 1, spare = 1`}},
-	// Servers with a short queue that shed early, and start cold for long.
+	// Servers with a queue of one and a long cold start.
 	"tight": {{`queue = [0-9]+`, `queue = 1`}, {`cold_s = [0-9.]+`, `cold_s = 8.0`}, {`cold_x = [0-9.]+`, `cold_x = 3.0`}},
-	// Servers with two slots that start cold for long: most slots are in use on each day.
+	// Servers with two slots and a long cold start, so that most slots are in use.
 	"lean": {{`slots = [0-9]+`, `slots = 2`}, {`cold_s = [0-9.]+`, `cold_s = 5.0`}, {`cold_x = [0-9.]+`, `cold_x = 2.5`}},
-	// A store that allows few calls and answers slowly.
+	// A store with low rate limits.
 	"scarce": {{`(?m)^writes_per_s = .*$`, `writes_per_s = 10.0`}, {`(?m)^reads_per_s = .*$`, `reads_per_s = 25.0`}},
-	// More servers than the store lists at once.
+	// More servers than fit in one page of a listing.
 	"crowded": {{`(\{ zone = "[^"]+", count = )[0-9]+( \})`, `${1}100${2}`}},
-	// Servers that start during traffic take so many new flows a second until they are warm.
+	// Servers that start during traffic accept only 2, 4 or 8 new flows a second until warm.
 	"cold2": {{`cold_s = [0-9.]+`, `cold_s = 10.0, cold_per_s = 2.0`}},
 	"cold4": {{`cold_s = [0-9.]+`, `cold_s = 4.0, cold_per_s = 4.0`}},
 	"cold8": {{`cold_s = [0-9.]+`, `cold_s = 6.0, cold_per_s = 8.0`}},
@@ -67,7 +67,7 @@
 	}
 	edits, known := variants[args[1]]
 	if !known {
-		return fmt.Errorf("variant %q: allowed are %s", args[1], names)
+		return fmt.Errorf("unknown variant %q; variants: %s", args[1], names)
 	}
 	site, err := os.ReadFile(args[0])
 	if err != nil {
@@ -77,7 +77,7 @@
 	for _, edit := range edits {
 		pattern := regexp.MustCompile(edit.pattern)
 		if !pattern.MatchString(text) {
-			return fmt.Errorf("variant %s: nothing in %s matches %s", args[1], args[0], edit.pattern)
+			return fmt.Errorf("variant %s: file %s has no match for pattern %s", args[1], args[0], edit.pattern)
 		}
 		text = pattern.ReplaceAllString(text, edit.with)
 	}
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples holds the settings files of the two deployments, as tests,
-// the simulator and the demo load them.
+// Package examples embeds the settings files of two deployments for tests, the simulator and
+// the demo.
 package examples
 
 import "embed"
 
-// Files are the settings files.
+// Files contains the settings files.
 //
 //go:embed *.yaml
 var Files embed.FS
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,6 +1,5 @@
-// Package backend is a small stand-in for a back end: a CoAP server behind the
-// PROXY protocol, with slots, a queue, a limit of connections and a record of
-// what it ran.
+// Package backend is a stand-in for a back end: a CoAP server behind the PROXY
+// protocol, with a limited number of slots and a record of what it ran.
 package backend
 
 import (
@@ -31,16 +30,17 @@
 	"gaugeyard/internal/wire"
 )
 
-// Config is what a back end is started with.
+// Config configures a back end.
 type Config struct {
-	// Address receives datagrams of balancers; Report is the HTTP address of
-	// load and record.
+	// Address receives datagrams of balancers; Report serves load and record
+	// over HTTP.
 	Address, Report netip.AddrPort
-	// Return is where the fabric takes answers.
+	// Return is the fabric's address for answers.
 	Return netip.AddrPort
-	// Services are the addresses whose datagrams belong here.
+	// Services are the service addresses that the back end serves.
 	Services []netip.AddrPort
-	Slots    int
+	// Slots is the number of requests served at once; others wait.
+	Slots int
 	// Work is how long a request holds a slot.
 	Work time.Duration
 	// Interval is the time between two notifications of a feed.
@@ -52,13 +52,13 @@
 	Name string `json:"name"`
 	// Runs counts how often each identified request ran.
 	Runs map[string]int `json:"runs"`
-	// Uploads has the size of each upload that arrived whole.
+	// Uploads has the size in bytes of each complete upload.
 	Uploads map[string]int `json:"uploads"`
-	// Misrouted counts datagrams of services that do not belong here.
+	// Misrouted counts datagrams of other services.
 	Misrouted int `json:"misrouted"`
-	// Flows counts flows seen.
+	// Flows counts flows.
 	Flows int `json:"flows"`
-	// LastNewFlow is when the newest flow began.
+	// LastNewFlow is when the newest flow opened.
 	LastNewFlow time.Time `json:"last_new_flow"`
 }
 
@@ -75,7 +75,7 @@
 	sockets map[flow.Key]*net.UDPConn
 }
 
-// New opens the back end's socket.
+// New returns a back end with an open socket.
 func New(config Config) (*Backend, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(config.Address))
 	if err != nil {
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// maxUpload bounds one upload, in bytes.
+// maxUpload is the limit of one upload, in bytes.
 const maxUpload = 8 << 20
 
 // Run serves until ctx ends.
@@ -101,26 +101,26 @@
 			return err
 		}
 	}
-	inner, err := coapnet.NewListenUDP("udp4", "127.0.0.1:0")
+	coapListener, err := coapnet.NewListenUDP("udp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	coap := udp.NewServer(options.WithMux(router), options.WithContext(ctx), options.WithMaxMessageSize(maxUpload),
 		options.WithErrors(func(error) {}))
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return coap.Serve(inner) })
-	group.Go(func() error { return b.receive(ctx, inner) })
+	group.Go(func() error { return coap.Serve(coapListener) })
+	group.Go(func() error { return b.receive(ctx, coapListener) })
 	group.Go(func() error { return b.serveReport(ctx) })
 	group.Go(func() error {
 		<-ctx.Done()
-		return b.stop(coap, inner)
+		return b.stop(coap, coapListener)
 	})
 	return group.Wait()
 }
 
-func (b *Backend) stop(coap *server.Server, inner *coapnet.UDPConn) error {
+func (b *Backend) stop(coap *server.Server, coapListener *coapnet.UDPConn) error {
 	coap.Stop()
-	inner.Close()
+	coapListener.Close()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, socket := range b.sockets {
@@ -129,9 +129,9 @@
 	return b.socket.Close()
 }
 
-// receive passes datagrams of balancers to the CoAP server, each flow by a
-// local socket of its own, so that the server tells callers apart.
-func (b *Backend) receive(ctx context.Context, inner *coapnet.UDPConn) error {
+// receive forwards datagrams of balancers to the CoAP server. Each flow has
+// its own local socket, so that the server can distinguish callers.
+func (b *Backend) receive(ctx context.Context, coapListener *coapnet.UDPConn) error {
 	buffer := make([]byte, wire.MaxDatagram)
 	for {
 		length, _, err := b.socket.ReadFromUDPAddrPort(buffer)
@@ -151,20 +151,20 @@
 			b.mutex.Unlock()
 			continue
 		}
-		socket, err := b.socketOf(ctx, header.Flow, inner)
+		socket, err := b.socketOf(ctx, header.Flow, coapListener)
 		if err == nil {
 			_, _ = socket.Write(body)
 		}
 	}
 }
 
-func (b *Backend) socketOf(ctx context.Context, key flow.Key, inner *coapnet.UDPConn) (*net.UDPConn, error) {
+func (b *Backend) socketOf(ctx context.Context, key flow.Key, coapListener *coapnet.UDPConn) (*net.UDPConn, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if socket := b.sockets[key]; socket != nil {
 		return socket, nil
 	}
-	socket, err := net.DialUDP("udp", nil, inner.LocalAddr().(*net.UDPAddr))
+	socket, err := net.DialUDP("udp", nil, coapListener.LocalAddr().(*net.UDPAddr))
 	if err != nil {
 		return nil, err
 	}
@@ -175,12 +175,12 @@
 	b.sockets[key] = socket
 	b.record.Flows++
 	b.record.LastNewFlow = time.Now()
-	go b.giveBack(ctx, socket, header)
+	go b.returnAnswers(ctx, socket, header)
 	return socket, nil
 }
 
-// giveBack takes the server's answers of one flow to the fabric.
-func (b *Backend) giveBack(ctx context.Context, socket *net.UDPConn, header []byte) {
+// returnAnswers forwards the server's answers of one flow to the fabric.
+func (b *Backend) returnAnswers(ctx context.Context, socket *net.UDPConn, header []byte) {
 	buffer := make([]byte, wire.MaxDatagram)
 	copy(buffer, header)
 	for ctx.Err() == nil {
@@ -192,23 +192,24 @@
 	}
 }
 
-// work holds a slot for one request.
+// work waits for a slot and holds it for the time of one request.
 func (b *Backend) work() {
-	b.count(1)
+	b.addBusy(1)
 	b.slots <- struct{}{}
 	time.Sleep(b.config.Work)
 	<-b.slots
-	b.count(-1)
+	b.addBusy(-1)
 }
 
-func (b *Backend) count(change int) {
+func (b *Backend) addBusy(change int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.busy += change
 }
 
-// identity returns the request's identifier from its query, such as id=7.
-func identity(r *mux.Message) string {
+// requestID returns the request's identifier from its query, such as id=7,
+// or "" if it has none.
+func requestID(r *mux.Message) string {
 	queries, _ := r.Queries()
 	for _, query := range queries {
 		if id, found := strings.CutPrefix(query, "id="); found {
@@ -221,9 +222,9 @@
 func (b *Backend) run(w mux.ResponseWriter, r *mux.Message) {
 	b.work()
 	b.mutex.Lock()
-	b.record.Runs[identity(r)]++
+	b.record.Runs[requestID(r)]++
 	b.mutex.Unlock()
-	_ = w.SetResponse(codes.Content, message.TextPlain, strings.NewReader("ran "+identity(r)))
+	_ = w.SetResponse(codes.Content, message.TextPlain, strings.NewReader("ran "+requestID(r)))
 }
 
 func (b *Backend) upload(w mux.ResponseWriter, r *mux.Message) {
@@ -234,8 +235,8 @@
 	}
 	b.work()
 	b.mutex.Lock()
-	b.record.Runs[identity(r)]++
-	b.record.Uploads[identity(r)] = len(body)
+	b.record.Runs[requestID(r)]++
+	b.record.Uploads[requestID(r)] = len(body)
 	b.mutex.Unlock()
 	_ = w.SetResponse(codes.Changed, message.TextPlain, nil)
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a small stand-in for callers: a CoAP client that opens
-// feeds, sends requests and uploads, and says how each ended.
+// Package caller is a stand-in for callers: CoAP clients that open feeds, send
+// requests and uploads, and report the outcome of each.
 package caller
 
 import (
@@ -18,25 +18,25 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what callers are started with.
+// Config configures callers.
 type Config struct {
-	// Name begins the identifier of each request.
+	// Name is the prefix of request identifiers.
 	Name string
-	// Feed, Run and Upload are the addresses of the services; empty is none.
+	// Feed, Run and Upload are the addresses of the services.
 	Feed, Run, Upload string
-	// Feeds, Runs and Uploads are how many callers of each kind act at once.
+	// Feeds, Runs and Uploads are the numbers of concurrent callers of each kind.
 	Feeds, Runs, Uploads int
-	// UploadBytes is the size of one upload.
+	// UploadBytes is the size of one upload, in bytes.
 	UploadBytes int
-	// Duration is how long callers act.
+	// Duration is how long callers run.
 	Duration time.Duration
 	// Pause is the time between two requests of one caller.
 	Pause time.Duration
-	// Stall is the silence after which a feed counts as broken.
-	Stall time.Duration
+	// StallTimeout is the time without an update after which a feed counts as broken.
+	StallTimeout time.Duration
 }
 
-// Report says how the callers fared.
+// Report sums up the outcomes of all callers.
 type Report struct {
 	Feeds        int `json:"feeds"`
 	BrokenFeeds  int `json:"broken_feeds"`
@@ -50,15 +50,15 @@
 	WrongAnswers int `json:"wrong_answers"`
 	Uploads      int `json:"uploads"`
 	WholeUploads int `json:"whole_uploads"`
-	// Said has what the caller of each identified request was told.
-	Said map[string]string `json:"said"`
+	// Outcomes has the outcome of each request by its identifier.
+	Outcomes map[string]string `json:"said"`
 }
 
-// What callers are told.
+// Outcomes of requests, as callers see them.
 const (
-	SaidAnswered = "answered"
-	SaidNotRun   = "not run"
-	SaidUnknown  = "unknown"
+	OutcomeAnswered = "answered"
+	OutcomeNotRun   = "not run"
+	OutcomeUnknown  = "unknown"
 )
 
 type callers struct {
@@ -67,9 +67,9 @@
 	report Report
 }
 
-// Run lets the callers act and returns their report.
+// Run runs the callers and returns their report.
 func Run(ctx context.Context, config Config) (Report, error) {
-	c := &callers{config: config, report: Report{Said: map[string]string{}}}
+	c := &callers{config: config, report: Report{Outcomes: map[string]string{}}}
 	ctx, cancel := context.WithTimeout(ctx, config.Duration)
 	defer cancel()
 	var group errgroup.Group
@@ -86,21 +86,21 @@
 	return c.report, err
 }
 
-// answerTime is how long a caller waits for the answer to one request.
-const answerTime = 12 * time.Second
+// answerTimeout is how long a caller waits for the answer to one request.
+const answerTimeout = 12 * time.Second
 
-// transferTime bounds the block-wise transfer of one upload. The client library
-// does not repeat a block that was lost, so that such an upload ends here.
-const transferTime = 12 * time.Second
+// transferTimeout limits the block-wise transfer of one upload. The client library
+// does not retransmit a lost block, so such an upload fails after this time.
+const transferTimeout = 12 * time.Second
 
 func dial(target string) (*client.Conn, error) {
 	return udp.Dial(target,
 		options.WithErrors(func(error) {}),
 		options.WithTransmission(1, 500*time.Millisecond, 6),
-		options.WithBlockwise(true, 5, transferTime))
+		options.WithBlockwise(true, 5, transferTimeout))
 }
 
-// feed keeps one feed open until ctx ends.
+// feed observes one feed until ctx ends.
 func (c *callers) feed(ctx context.Context, number int) error {
 	connection, err := dial(c.config.Feed)
 	if err != nil {
@@ -134,7 +134,7 @@
 	c.report.Feeds++
 	c.report.Updates += updates
 	c.report.LongestPause = max(c.report.LongestPause, int(longest.Milliseconds()))
-	if err != nil || longest > c.config.Stall {
+	if err != nil || longest > c.config.StallTimeout {
 		c.report.BrokenFeeds++
 	}
 	if moved {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// runs sends requests one after the other, on a new flow every few requests.
+// runs sends requests in sequence, on a new flow every few requests.
 func (c *callers) runs(ctx context.Context, number int) error {
 	const requestsPerFlow = 4
 	var connection *client.Conn
@@ -168,8 +168,9 @@
 	return nil
 }
 
-func wait(ctx context.Context, time_ time.Duration) {
-	timer := time.NewTimer(time_)
+// wait waits for the duration or until ctx ends.
+func wait(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -177,54 +178,54 @@
 	}
 }
 
-// request sends one request and notes what its caller was told. It is finished
-// even when the callers' time is over meanwhile.
+// request sends one request and counts its outcome. It also completes if the
+// callers' time ends meanwhile.
 func (c *callers) request(connection *client.Conn, id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	answer, err := connection.Post(ctx, "/run", message.TextPlain, nil, query(id))
-	said, wrong := SaidUnknown, false
+	outcome, wrong := OutcomeUnknown, false
 	if err == nil {
 		body, _ := answer.ReadBody()
-		said = saidBy(answer.Code())
-		wrong = said == SaidAnswered && string(body) != "ran "+id
+		outcome = outcomeOf(answer.Code())
+		wrong = outcome == OutcomeAnswered && string(body) != "ran "+id
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Requests++
-	c.note(id, said)
+	c.countOutcome(id, outcome)
 	if wrong {
 		c.report.WrongAnswers++
 	}
 }
 
-func (c *callers) note(id, said string) {
-	c.report.Said[id] = said
-	switch said {
-	case SaidAnswered:
+func (c *callers) countOutcome(id, outcome string) {
+	c.report.Outcomes[id] = outcome
+	switch outcome {
+	case OutcomeAnswered:
 		c.report.Answered++
-	case SaidNotRun:
+	case OutcomeNotRun:
 		c.report.NotRun++
 	default:
 		c.report.Unknown++
 	}
 }
 
-func saidBy(code codes.Code) string {
+func outcomeOf(code codes.Code) string {
 	switch code {
 	case codes.Content, codes.Changed:
-		return SaidAnswered
+		return OutcomeAnswered
 	case codes.ServiceUnavailable:
-		return SaidNotRun
+		return OutcomeNotRun
 	}
-	return SaidUnknown
+	return OutcomeUnknown
 }
 
 func query(id string) message.Option {
 	return message.Option{ID: message.URIQuery, Value: []byte("id=" + id)}
 }
 
-// uploads sends uploads one after the other, each on a flow of its own.
+// uploads sends uploads in sequence, each on a new flow.
 func (c *callers) uploads(ctx context.Context, number int) error {
 	for sequence := 0; ctx.Err() == nil; sequence++ {
 		connection, err := dial(c.config.Upload)
@@ -239,19 +240,19 @@
 }
 
 func (c *callers) upload(connection *client.Conn, id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), transferTime)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	body := bytes.Repeat([]byte("u"), c.config.UploadBytes)
 	answer, err := connection.Put(ctx, "/upload", message.AppOctets, bytes.NewReader(body), query(id))
-	said := SaidUnknown
+	outcome := OutcomeUnknown
 	if err == nil {
-		said = saidBy(answer.Code())
+		outcome = outcomeOf(answer.Code())
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Uploads++
-	c.note(id, said)
-	if said == SaidAnswered {
+	c.countOutcome(id, outcome)
+	if outcome == OutcomeAnswered {
 		c.report.WholeUploads++
 	}
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,6 +1,6 @@
-// Package fabric is a small stand-in for the network fabric. It sprays each
-// datagram of callers and back ends over the balancers that the machine list
-// shows, and takes answers to callers.
+// Package fabric is a stand-in for the network fabric. It sends each datagram
+// of callers and back ends to a random balancer of the machine list, and
+// delivers answers to callers.
 package fabric
 
 import (
@@ -24,11 +24,11 @@
 	socketBuffer = 4 << 20
 )
 
-// Config is what a fabric is started with.
+// Config configures a fabric.
 type Config struct {
-	// Services are the addresses that callers reach.
+	// Services are the service addresses that callers send to.
 	Services []netip.AddrPort
-	// Return takes datagrams of back ends, and Deliver those of balancers.
+	// Return receives datagrams of back ends, Deliver those of balancers.
 	Return, Deliver netip.AddrPort
 	// Machines is the URL of the machine list.
 	Machines string
@@ -36,34 +36,34 @@
 
 // Fabric is a running fabric.
 type Fabric struct {
-	config   Config
-	services map[netip.AddrPort]*net.UDPConn
-	outward  *net.UDPConn
-	inward   *net.UDPConn
-	deliver  *net.UDPConn
+	config         Config
+	serviceSockets map[netip.AddrPort]*net.UDPConn
+	sendSocket     *net.UDPConn
+	returnSocket   *net.UDPConn
+	deliverSocket  *net.UDPConn
 
 	mutex     sync.RWMutex
 	balancers []netip.AddrPort
 }
 
-// New opens the fabric's sockets.
+// New returns a fabric with open sockets.
 func New(config Config) (*Fabric, error) {
-	f := &Fabric{config: config, services: map[netip.AddrPort]*net.UDPConn{}}
+	f := &Fabric{config: config, serviceSockets: map[netip.AddrPort]*net.UDPConn{}}
 	for _, address := range config.Services {
 		socket, err := listen(address)
 		if err != nil {
 			return nil, err
 		}
-		f.services[address] = socket
+		f.serviceSockets[address] = socket
 	}
 	var err error
-	if f.inward, err = listen(config.Return); err != nil {
+	if f.returnSocket, err = listen(config.Return); err != nil {
 		return nil, err
 	}
-	if f.deliver, err = listen(config.Deliver); err != nil {
+	if f.deliverSocket, err = listen(config.Deliver); err != nil {
 		return nil, err
 	}
-	f.outward, err = listen(netip.AddrPortFrom(config.Return.Addr(), 0))
+	f.sendSocket, err = listen(netip.AddrPortFrom(config.Return.Addr(), 0))
 	return f, err
 }
 
@@ -76,30 +76,32 @@
 	return socket, nil
 }
 
-// Run passes datagrams until ctx ends.
+// Run forwards datagrams until ctx ends.
 func (f *Fabric) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return f.followList(ctx) })
-	group.Go(func() error { return pump(ctx, f.inward, f.fromBackend) })
-	group.Go(func() error { return pump(ctx, f.deliver, f.toCaller) })
-	for address, socket := range f.services {
+	group.Go(func() error { return f.pollMachines(ctx) })
+	group.Go(func() error { return receiveLoop(ctx, f.returnSocket, f.forwardFromBackend) })
+	group.Go(func() error { return receiveLoop(ctx, f.deliverSocket, f.deliverToCaller) })
+	for address, socket := range f.serviceSockets {
 		group.Go(func() error {
-			return pump(ctx, socket, func(data []byte, from netip.AddrPort) { f.fromCaller(data, from, address) })
+			return receiveLoop(ctx, socket, func(data []byte, from netip.AddrPort) { f.forwardFromCaller(data, from, address) })
 		})
 	}
 	group.Go(func() error {
 		<-ctx.Done()
-		for _, socket := range f.services {
+		for _, socket := range f.serviceSockets {
 			socket.Close()
 		}
-		f.inward.Close()
-		f.deliver.Close()
-		return f.outward.Close()
+		f.returnSocket.Close()
+		f.deliverSocket.Close()
+		return f.sendSocket.Close()
 	})
 	return group.Wait()
 }
 
-func pump(ctx context.Context, socket *net.UDPConn, pass func([]byte, netip.AddrPort)) error {
+// receiveLoop passes each datagram and its source to handle until ctx ends.
+// The data is valid only during the call.
+func receiveLoop(ctx context.Context, socket *net.UDPConn, handle func([]byte, netip.AddrPort)) error {
 	buffer := make([]byte, wire.MaxDatagram)
 	for {
 		length, from, err := socket.ReadFromUDPAddrPort(buffer)
@@ -107,12 +109,12 @@
 			return nil
 		}
 		if err == nil {
-			pass(buffer[:length], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			handle(buffer[:length], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		}
 	}
 }
 
-func (f *Fabric) followList(ctx context.Context) error {
+func (f *Fabric) pollMachines(ctx context.Context) error {
 	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for {
@@ -138,33 +140,33 @@
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
 	if len(f.balancers) > 0 {
-		_, _ = f.outward.WriteToUDPAddrPort(data, f.balancers[rand.IntN(len(f.balancers))])
+		_, _ = f.sendSocket.WriteToUDPAddrPort(data, f.balancers[rand.IntN(len(f.balancers))])
 	}
 }
 
-func (f *Fabric) fromCaller(data []byte, caller, service netip.AddrPort) {
+func (f *Fabric) forwardFromCaller(data []byte, caller, service netip.AddrPort) {
 	header, err := wire.RequestHeader(flow.Key{Caller: caller, Service: service})
 	if err == nil {
 		f.spray(append(header, data...))
 	}
 }
 
-func (f *Fabric) fromBackend(data []byte, _ netip.AddrPort) {
+func (f *Fabric) forwardFromBackend(data []byte, _ netip.AddrPort) {
 	f.spray(data)
 }
 
-func (f *Fabric) toCaller(data []byte, _ netip.AddrPort) {
+func (f *Fabric) deliverToCaller(data []byte, _ netip.AddrPort) {
 	header, body, err := wire.Split(data)
 	if err != nil {
 		return
 	}
-	// An answer of a balancer itself has no back end, so that its header reads
-	// like a request's: its source is the service.
+	// An answer by a balancer itself has no back end, so its header is decoded
+	// like a request's, with the service as its source.
 	key := header.Flow
 	if !header.Backend.IsValid() {
 		key.Caller, key.Service = key.Service, key.Caller
 	}
-	if socket := f.services[key.Service]; socket != nil {
+	if socket := f.serviceSockets[key.Service]; socket != nil {
 		_, _ = socket.WriteToUDPAddrPort(body, key.Caller)
 	}
 }
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -17,28 +17,27 @@
 type judgeCommand struct {
 	Record []string `arg:"--record,separate,required" help:"address of a back end's report"`
 	Report []string `arg:"--report,separate,required" help:"file that a caller printed"`
-	// Unknown is how many unknown outcomes are kept promises: none, unless
-	// something failed that nobody planned.
+	// Unknown is the number of unknown outcomes that unplanned failures may cause.
 	Unknown int `arg:"--allow-unknown" help:"unknown outcomes allowed"`
 }
 
-// verdict sums up what callers were told and what back ends ran.
-type verdict struct {
+// comparison sums up what callers were told and what back ends ran.
+type comparison struct {
 	callers                          caller.Report
 	misrouted, doubleRuns, falseRuns int
 	answeredNotRun, partialUploads   int
 }
 
-// errBroken tells that a promise was broken; the table says which.
-var errBroken = errors.New("a promise was broken")
+// errGuaranteeViolated means that the printed table has a violated guarantee.
+var errGuaranteeViolated = errors.New("at least one guarantee was violated")
 
 const readTimeout = 5 * time.Second
 
-// judge compares what callers were told with what back ends ran, prints a
-// table, and fails when a promise was broken.
+// judge compares what callers were told with what back ends ran and prints a
+// table. It returns errGuaranteeViolated if any guarantee was violated.
 func judge(command *judgeCommand, out io.Writer) error {
 	runs, uploads := map[string]int{}, map[string]int{}
-	v := verdict{}
+	v := comparison{}
 	for _, address := range command.Record {
 		record, err := readRecord(address)
 		if err != nil {
@@ -76,7 +75,8 @@
 	return record, json.NewDecoder(reply.Body).Decode(&record)
 }
 
-func (v *verdict) add(file string, runs, uploads map[string]int) error {
+// add adds a caller's report and compares it with the runs at back ends.
+func (v *comparison) add(file string, runs, uploads map[string]int) error {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -85,11 +85,11 @@
 	if err := json.Unmarshal(content, &report); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	for id, said := range report.Said {
+	for id, outcome := range report.Outcomes {
 		switch {
-		case said == caller.SaidNotRun && runs[id] > 0:
+		case outcome == caller.OutcomeNotRun && runs[id] > 0:
 			v.falseRuns++
-		case said == caller.SaidAnswered && runs[id] == 0:
+		case outcome == caller.OutcomeAnswered && runs[id] == 0:
 			v.answeredNotRun++
 		}
 	}
@@ -110,12 +110,14 @@
 	return nil
 }
 
-func (v *verdict) print(out io.Writer, allowedUnknown int) error {
+// print prints the table and returns errGuaranteeViolated if any count is
+// above its limit.
+func (v *comparison) print(out io.Writer, allowedUnknown int) error {
 	c := v.callers
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "feeds\t%d\tupdates %d, longest pause %d ms\n", c.Feeds, c.Updates, c.LongestPause)
 	fmt.Fprintf(table, "requests\t%d\tand uploads %d: answered %d, not run %d, unknown %d\n", c.Requests, c.Uploads, c.Answered, c.NotRun, c.Unknown)
-	broken := false
+	violated := false
 	for _, row := range []struct {
 		name           string
 		count, allowed int
@@ -132,15 +134,15 @@
 	} {
 		state := "kept"
 		if row.count > row.allowed {
-			state, broken = "BROKEN", true
+			state, violated = "BROKEN", true
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\n", row.name, row.count, state)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errGuaranteeViolated
 	}
 	return nil
 }
--- a/internal/standin/machines/machines.go
+++ b/internal/standin/machines/machines.go
@@ -1,5 +1,5 @@
-// Package machines is a small stand-in for the platform's machine list. It
-// probes each balancer's health and shows the result late, as the real list does.
+// Package machines is a stand-in for the platform's machine list. It probes
+// each balancer's health and lists changes with a delay, as the real list does.
 package machines
 
 import (
@@ -20,9 +20,9 @@
 // entry is one balancer of the list.
 type entry struct {
 	machine discovery.Machine
-	// shown is set while the list shows the balancer as live.
-	shown bool
-	// differsSince is when the probe began to differ from what is shown.
+	// listed is set while the list has the balancer as live.
+	listed bool
+	// differsSince is when probes began to differ from listed, zero if they agree.
 	differsSince time.Time
 }
 
@@ -33,7 +33,7 @@
 	lag     time.Duration
 }
 
-// New returns a list of the machines that shows each change after lag.
+// New returns a list of the machines that applies each change after lag.
 func New(machines []discovery.Machine, lag time.Duration) *List {
 	list := &List{lag: lag}
 	for _, machine := range machines {
@@ -48,7 +48,7 @@
 	defer ticker.Stop()
 	for {
 		for _, e := range l.entries {
-			l.note(e, probe(ctx, e.machine))
+			l.update(e, probe(ctx, e.machine))
 		}
 		select {
 		case <-ctx.Done():
@@ -73,10 +73,11 @@
 	return reply.StatusCode == http.StatusOK
 }
 
-func (l *List) note(e *entry, live bool) {
+// update applies the result of a probe.
+func (l *List) update(e *entry, live bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if live == e.shown {
+	if live == e.listed {
 		e.differsSince = time.Time{}
 		return
 	}
@@ -84,7 +85,7 @@
 		e.differsSince = time.Now()
 	}
 	if time.Since(e.differsSince) >= l.lag {
-		e.shown = live
+		e.listed = live
 		e.differsSince = time.Time{}
 	}
 }
@@ -95,7 +96,7 @@
 	defer l.mutex.Unlock()
 	groups := []discovery.TargetGroup{}
 	for _, e := range l.entries {
-		if e.shown {
+		if e.listed {
 			machine := e.machine
 			machine.State = discovery.MachineLive
 			groups = append(groups, machine.Group())
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin parses the command line of the stand-ins and runs the one it
-// names.
+// Package standin is the command line of the stand-ins for the platform's store, machine
+// list, network, back ends and callers.
 package standin
 
 import (
@@ -29,19 +29,19 @@
 
 type storeCommand struct {
 	Listen   string        `arg:"--listen,required" help:"IP:port for HTTP"`
-	Interval time.Duration `arg:"--write-interval" default:"20ms" help:"least time between two writes"`
+	Interval time.Duration `arg:"--write-interval" default:"20ms" help:"minimum time between two writes"`
 }
 
 type machinesCommand struct {
 	Listen   string        `arg:"--listen,required" help:"IP:port for HTTP"`
-	Lag      time.Duration `arg:"--lag" default:"1s" help:"how late a change shows"`
+	Lag      time.Duration `arg:"--lag" default:"1s" help:"delay until a change is listed"`
 	Balancer []string      `arg:"--balancer,separate,required" placeholder:"ZONE,DATA,PEER,ADMIN"`
 }
 
 type fabricCommand struct {
 	Service  []netip.AddrPort `arg:"--service,separate,required"`
-	Return   netip.AddrPort   `arg:"--return,required" help:"takes datagrams of back ends"`
-	Deliver  netip.AddrPort   `arg:"--deliver,required" help:"takes answers of balancers"`
+	Return   netip.AddrPort   `arg:"--return,required" help:"receives datagrams of back ends"`
+	Deliver  netip.AddrPort   `arg:"--deliver,required" help:"receives answers of balancers"`
 	Machines string           `arg:"--machines,required" help:"URL of the machine list"`
 }
 
@@ -83,7 +83,7 @@
 }
 
 type arguments struct {
-	Platform *platformCommand `arg:"subcommand:platform" help:"play a platform whose packets carry tags, and judge"`
+	Platform *platformCommand `arg:"subcommand:platform" help:"simulate a platform whose packets carry tags, and check its rules"`
 	Store    *storeCommand    `arg:"subcommand:store"`
 	Machines *machinesCommand `arg:"subcommand:machines"`
 	Fabric   *fabricCommand   `arg:"subcommand:fabric"`
@@ -144,30 +144,31 @@
 		return judge(parsed.Judge, out)
 	}
 	if parsed.Platform != nil {
-		return playPlatform(ctx, parsed.Platform, out)
+		return runPlatform(ctx, parsed.Platform, out)
 	}
 	c := parsed.Caller
 	report, err := caller.Run(ctx, caller.Config{Name: c.Name, Feed: c.Feed, Run: c.Run, Upload: c.Upload, Feeds: c.Feeds,
-		Runs: c.Runs, Uploads: c.Uploads, UploadBytes: c.Bytes, Duration: c.Duration, Pause: c.Pause, Stall: c.Stall})
+		Runs: c.Runs, Uploads: c.Uploads, UploadBytes: c.Bytes, Duration: c.Duration, Pause: c.Pause, StallTimeout: c.Stall})
 	if err != nil {
 		return err
 	}
 	return json.NewEncoder(out).Encode(report)
 }
 
-// errRuleBroken means that a play broke a rule.
-var errRuleBroken = errors.New("a rule is broken")
+// errRuleViolated means that the report has a violation of a rule.
+var errRuleViolated = errors.New("at least one rule was violated")
 
-// playPlatform plays until its time is over and prints the report as JSON.
-func playPlatform(ctx context.Context, c *platformCommand, out io.Writer) error {
-	config := tagged.PlayConfig{
+// runPlatform runs the platform for its duration and prints the report as JSON. It returns
+// errRuleViolated if any rule was violated.
+func runPlatform(ctx context.Context, c *platformCommand, out io.Writer) error {
+	config := tagged.RunConfig{
 		WorldConfig: tagged.WorldConfig{Store: c.Store, ReadyPath: c.ReadyPath, Network: c.Network},
 		Duration:    c.Duration, DrainAt: c.DrainAt, EditAt: c.EditAt, CompactAt: c.CompactAt, SilentAt: c.SilentAt, SilentFor: c.SilentFor,
 	}
 	for _, text := range c.Balancer {
 		parts := strings.Split(text, ",")
 		if len(parts) != 3 {
-			return fmt.Errorf("--balancer=%q: wants ZONE,DATA,READY", text)
+			return fmt.Errorf("--balancer=%q: must be ZONE,DATA,READY", text)
 		}
 		data, dataErr := netip.ParseAddrPort(parts[1])
 		ready, readyErr := netip.ParseAddrPort(parts[2])
@@ -176,7 +177,7 @@
 		}
 		config.Balancers = append(config.Balancers, tagged.Balancer{Zone: parts[0], Data: data, Ready: ready})
 	}
-	report, err := tagged.Play(ctx, config, out)
+	report, err := tagged.Run(ctx, config, out)
 	if err != nil {
 		return err
 	}
@@ -184,7 +185,7 @@
 		return err
 	}
 	if len(report.Broken) > 0 {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
@@ -194,7 +195,7 @@
 	for _, text := range c.Balancer {
 		parts := strings.Split(text, ",")
 		if len(parts) != 4 {
-			return fmt.Errorf("--balancer=%q: wants ZONE,DATA,PEER,ADMIN", text)
+			return fmt.Errorf("--balancer=%q: must be ZONE,DATA,PEER,ADMIN", text)
 		}
 		group := discovery.TargetGroup{
 			Targets: []string{parts[3]},
@@ -211,6 +212,7 @@
 	return serve(ctx, c.Listen, running)
 }
 
+// serve serves HTTP at an address until ctx ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a small stand-in for the platform's key-value service. It
-// speaks the part of the JSON form of the etcd v3 API that gaugeyard uses, and
-// can be told to fail: to refuse everything, to lose replies, to limit writes.
+// Package store is a stand-in for the platform's key-value service. It
+// implements the part of the etcd v3 JSON API that gaugeyard uses, limits the
+// rate of writes, and can inject faults.
 package store
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// number is a 64-bit number, which the API writes as a string.
+// number is a 64-bit integer, which the API encodes as a string.
 type number int64
 
 // MarshalJSON implements json.Marshaler.
@@ -44,11 +44,11 @@
 	Revision number `json:"revision"`
 }
 
-// Faults are the failures that the service plays.
+// Faults are the faults that the service injects.
 type Faults struct {
-	// Down refuses every call and ends every watch.
+	// Down rejects every request and ends every watch.
 	Down bool `json:"down"`
-	// LoseReplies is how many further writes take effect without a reply.
+	// LoseReplies is the number of further writes that take effect without a reply.
 	LoseReplies int `json:"lose_replies"`
 }
 
@@ -60,13 +60,13 @@
 	pairs    map[string]pair
 	log      [][]event
 	faults   Faults
-	// writeInterval is the least time between two writes.
+	// writeInterval is the minimum time between two writes.
 	writeInterval time.Duration
 	lastWrite     time.Time
 	mux           *http.ServeMux
 }
 
-// New returns an empty service that accepts a write every interval.
+// New returns an empty service that accepts at most one write per interval.
 func New(interval time.Duration) *Store {
 	s := &Store{pairs: map[string]pair{}, writeInterval: interval, mux: http.NewServeMux(), revision: 1, log: [][]event{nil, nil}}
 	s.changed = sync.NewCond(&s.mutex)
@@ -190,7 +190,8 @@
 	}{header{number(s.revision)}, succeeded})
 }
 
-// apply carries out a transaction and tells whether its comparisons held.
+// apply carries out a transaction and reports whether its comparisons held.
+// The mutex is held.
 func (s *Store) apply(request transaction) bool {
 	for _, compared := range request.Compare {
 		if s.pairs[string(compared.Key)].ModRevision != compared.ModRevision {
@@ -230,7 +231,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
-		// Wakes the loop below when the caller goes away.
+		// Wakes the loop below when the client disconnects.
 		select {
 		case <-r.Context().Done():
 			s.changed.Broadcast()
--- a/internal/standin/tagged/actions.go
+++ b/internal/standin/tagged/actions.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// AddRoutes writes a configuration with some routes more, which see no traffic but that
-// of probes.
+// AddRoutes writes a configuration with count more routes, which only probes use.
 func (w *World) AddRoutes(count int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -18,11 +17,11 @@
 		w.added = append(w.added, address)
 	}
 	w.publish()
-	w.say("the operators add %d routes in version %d", count, w.version)
+	w.logf("the operators add %d routes in version %d", count, w.version)
 }
 
-// DropRoute writes a configuration without the route that was added first; without any
-// it only writes a new version.
+// DropRoute writes a configuration without the oldest added route. If there is none, it
+// only writes a new version.
 func (w *World) DropRoute() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -32,91 +31,92 @@
 		w.added = w.added[1:]
 	}
 	w.publish()
-	w.say("the operators drop a route in version %d", w.version)
+	w.logf("the operators drop a route in version %d", w.version)
 }
 
-// pick returns a server of the feed service that lives and is not leaving, such that its
-// zone keeps another one; nil for none.
-func (w *World) pick(drawn *rand.Rand) *server {
+// pickServer returns a random server of the feed service that is neither stopped nor
+// leaving, and nil if its zone has no other one.
+func (w *World) pickServer(random *rand.Rand) *server {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.judge.mutex.Lock()
-	defer w.judge.mutex.Unlock()
+	w.checker.mutex.Lock()
+	defer w.checker.mutex.Unlock()
 	perZone := map[string][]*server{}
 	for _, s := range w.servers {
-		if _, leaving := w.judge.left[s]; !leaving && s.service == feedService {
+		if _, leaving := w.checker.leftAt[s]; !leaving && s.service == feedService {
 			perZone[s.zone] = append(perZone[s.zone], s)
 		}
 	}
-	candidates := perZone[w.zones[drawn.IntN(len(w.zones))]]
+	candidates := perZone[w.zones[random.IntN(len(w.zones))]]
 	if len(candidates) < 2 {
 		return nil
 	}
-	return candidates[drawn.IntN(len(candidates))]
+	return candidates[random.IntN(len(candidates))]
 }
 
-// ReplaceServer starts a server beside one that announces its leaving, by its state or by
-// its entry alone (quiet), and that ends well after the bound.
-func (w *World) ReplaceServer(drawn *rand.Rand, quiet bool) {
-	old := w.pick(drawn)
+// ReplaceServer starts a new server and removes an old one in its zone. The old one
+// announces the state draining or, if quiet, removes its entry. It stops well after the
+// time bound of the drain rule.
+func (w *World) ReplaceServer(random *rand.Rand, quiet bool) {
+	old := w.pickServer(random)
 	if old == nil {
 		return
 	}
-	if _, err := w.startServer(old.service, old.zone, w.freshAddress(old.zone)); err != nil {
-		w.say("no new server: %v", err)
+	if _, err := w.startServer(old.service, old.zone, w.unusedAddress(old.zone)); err != nil {
+		w.logf("cannot start a new server: %v", err)
 		return
 	}
-	word := "drains"
+	action := "drains"
 	if quiet {
-		word = "leaves without a word, its entry goes"
-		old.leave()
+		action = "removes its entry without draining"
+		old.deregister()
 	} else {
 		old.drain()
 	}
-	time.AfterFunc(2*drainTime+contactTime, old.end)
-	w.say("server %x %s; another one starts", old.id, word)
+	time.AfterFunc(2*drainTime+settleTime, old.stop)
+	w.logf("server %x %s; a new one starts", old.id, action)
 }
 
-// CrashServer lets a server end without a word; a server of the other service gets its
-// address, and another one takes its place.
-func (w *World) CrashServer(drawn *rand.Rand) {
-	old := w.pick(drawn)
+// CrashServer stops a server without notice. Later a server of the other service reuses
+// its address, and a new one replaces it.
+func (w *World) CrashServer(random *rand.Rand) {
+	old := w.pickServer(random)
 	if old == nil {
 		return
 	}
 	old.crash()
-	w.say("server %x crashes", old.id)
-	time.AfterFunc(entryLife, func() { w.store.Remove(old.key()) })
-	time.AfterFunc(max(entryLife, reuseAfter), func() {
+	w.logf("server %x crashes", old.id)
+	time.AfterFunc(entryLifetime, func() { w.store.Remove(old.key()) })
+	time.AfterFunc(max(entryLifetime, addressReuseDelay), func() {
 		if _, err := w.startServer(ingestService, old.zone, old.address); err != nil {
-			w.say("the address of server %x stays free: %v", old.id, err)
+			w.logf("cannot reuse the address of server %x: %v", old.id, err)
 		}
-		if _, err := w.startServer(feedService, old.zone, w.freshAddress(old.zone)); err != nil {
-			w.say("no new server: %v", err)
+		if _, err := w.startServer(feedService, old.zone, w.unusedAddress(old.zone)); err != nil {
+			w.logf("cannot start a new server: %v", err)
 		}
 	})
 }
 
-// restartTime is how long a server that starts again under its identifier is down.
-const restartTime = 300 * time.Millisecond
+// restartDelay is how long a server is down before it restarts under the same identifier.
+const restartDelay = 300 * time.Millisecond
 
-// RestartServer lets a server end without a word, and another one start under its identifier and at its address,
-// which holds nothing of it.
-func (w *World) RestartServer(drawn *rand.Rand) {
-	old := w.pick(drawn)
+// RestartServer stops a server without notice and starts another one with its identifier
+// and address but without its flows.
+func (w *World) RestartServer(random *rand.Rand) {
+	old := w.pickServer(random)
 	if old == nil {
 		return
 	}
 	old.crash()
-	w.say("server %x crashes, and starts again under its identifier", old.id)
-	time.AfterFunc(restartTime, func() {
+	w.logf("server %x crashes and restarts under its identifier", old.id)
+	time.AfterFunc(restartDelay, func() {
 		if _, err := w.startServerAs(old.id, old.service, old.zone, old.address); err != nil {
-			w.say("server %x does not start again: %v", old.id, err)
+			w.logf("cannot restart server %x: %v", old.id, err)
 		}
 	})
 }
 
-// foreignEntries are what another writer leaves below the servers' prefix: none of them names a server.
+// foreignEntries are invalid entries of another writer below the servers' prefix.
 var foreignEntries = map[string]any{
 	"servers/":                    "no identifier",
 	"servers/i-nothing":           entry{Service: feedService, Address: "127.0.0.1:9", Zone: "a", Version: "v1", Capacity: 2, State: stateReady},
@@ -127,16 +127,16 @@
 	"servers/i-ffffffffffffffff0": entry{Service: feedService, Address: "127.0.0.1:9", Zone: "a", Version: "v1", Capacity: 2, State: stateReady},
 }
 
-// WriteForeignEntries lets another writer leave entries beside those of servers.
+// WriteForeignEntries writes the foreign entries to the store.
 func (w *World) WriteForeignEntries() {
 	for key, value := range foreignEntries {
 		w.store.Put(key, value)
 	}
-	w.say("another writer leaves %d entries among those of servers", len(foreignEntries))
+	w.logf("another writer puts %d invalid entries under the servers' prefix", len(foreignEntries))
 }
 
-// freshAddress is an address that no server of the zone had.
-func (w *World) freshAddress(zone string) netip.AddrPort {
+// unusedAddress returns an address that no server of the zone has used.
+func (w *World) unusedAddress(zone string) netip.AddrPort {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	number := byte(0)
@@ -145,127 +145,128 @@
 			number = byte(i + 1)
 		}
 	}
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, w.config.Network, 100 + number, byte(10 + w.created%200)}), serverPort)
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, w.config.Network, 100 + number, byte(10 + w.serversStarted%200)}), serverPort)
 }
 
 // evacuationKey is the store's key of a zone's evacuation.
 func evacuationKey(zone string) string { return "op/evacuate/" + zone }
 
-// EvacuateZone lets a zone take no new flow for a while, unless one is evacuated already.
-func (w *World) EvacuateZone(drawn *rand.Rand, length time.Duration) {
-	if w.judge.anyEvacuated() {
+// EvacuateZone evacuates a random zone for the given time, unless one is evacuated already.
+func (w *World) EvacuateZone(random *rand.Rand, length time.Duration) {
+	if w.checker.anyEvacuated() {
 		return
 	}
-	zone := w.zones[drawn.IntN(len(w.zones))]
+	zone := w.zones[random.IntN(len(w.zones))]
 	if w.config.Sabotage != HiddenEvacuation {
 		w.store.Put(evacuationKey(zone), struct{}{})
 	}
-	w.judge.evacuated(zone, true)
-	w.say("the operators evacuate %s for %v", zone, length)
+	w.checker.setEvacuated(zone, true)
+	w.logf("the operators evacuate %s for %v", zone, length)
 	time.AfterFunc(length, func() {
-		w.judge.evacuated(zone, false)
+		w.checker.setEvacuated(zone, false)
 		w.store.Remove(evacuationKey(zone))
-		w.say("the operators take %s back", zone)
+		w.logf("the operators end the evacuation of %s", zone)
 	})
 }
 
-// StopStore lets the store answer nobody for a while.
+// SilenceStore stops the store from answering any request for the given time.
 func (w *World) StopStore(length time.Duration) {
-	w.judge.touch.disturbStore(time.Now().Add(length))
+	w.checker.disturbances.markStore(time.Now().Add(length))
 	w.store.SetSilent(true)
-	w.say("the store falls silent")
+	w.logf("the store falls silent")
 	time.AfterFunc(length, func() {
 		w.store.SetSilent(false)
-		w.judge.touch.disturbStore(time.Now())
-		w.say("the store answers again")
+		w.checker.disturbances.markStore(time.Now())
+		w.logf("the store answers again")
 	})
 }
 
-// CompactStore loses the store's history.
+// CompactStore discards the store's history.
 func (w *World) CompactStore() {
 	w.store.Compact()
-	w.say("the store loses its history")
+	w.logf("the store compacts its history")
 }
 
-// FaultStore lets the store treat one balancer badly for a while.
+// InjectStoreFault applies a fault to one balancer's access to the store for the given time.
 func (w *World) FaultStore(balancer int, fault StoreFault, length time.Duration) {
 	if fault != StaleStore {
-		// A stale store is no trouble that excuses a balancer.
+		// Stale answers do not suspend the time bounds, so that the rules can fail.
 		w.disturb(balancer, length)
 	}
-	w.fronts[balancer].set(fault)
-	w.say("the store is %s to balancer %d for %v", fault, balancer, length)
-	time.AfterFunc(length, func() { w.fronts[balancer].set(SoundStore) })
+	w.endpoints[balancer].setFault(fault)
+	w.logf("the store is %s to balancer %d for %v", fault, balancer, length)
+	time.AfterFunc(length, func() { w.endpoints[balancer].setFault(HealthyStore) })
 }
 
-// SilenceConnections lets the connections between balancers and the store fall silent that are
-// open now, without a sign to either end; new ones work. It counts as a reset of the connections
-// of all balancers, and the connections between them are the caller's to silence at once.
+// SilenceConnections drops all further traffic on the connections open between balancers
+// and the store, without closing them. New connections work. It counts as a disturbance of
+// all balancers; the caller silences the connections between balancers.
 func (w *World) SilenceConnections() {
-	for i, front := range w.fronts {
+	for i, front := range w.endpoints {
 		w.disturb(i, 0)
 		front.silencer.Silence()
 	}
-	w.say("open connections fall silent")
+	w.logf("open connections to the store drop all traffic")
 }
 
-// FaultLink changes the link between a balancer and routers and servers for a while.
+// InjectLinkFault applies a fault to the link of a balancer to routers and servers for the
+// given time.
 func (w *World) FaultLink(balancer int, fault LinkFault, length time.Duration) {
 	w.disturb(balancer, length)
 	data := w.config.Balancers[balancer].Data
 	w.links.set(data, fault)
-	w.say("the link of balancer %d for %v: %+v", balancer, length, fault)
+	w.logf("the link of balancer %d has fault %+[3]v for %[2]v", balancer, length, fault)
 	time.AfterFunc(length, func() { w.links.set(data, LinkFault{}) })
 }
 
-// Linger lets the packets of open flows go to a balancer that stops until its process is gone, or ends that.
+// SetLingering sets whether packets of open flows still go to a balancer that is stopping.
 func (w *World) Linger(balancer int, lingers bool) {
-	w.router.linger(w.config.Balancers[balancer].Data, lingers)
+	w.router.setLingering(w.config.Balancers[balancer].Data, lingers)
 }
 
-// FlapServer lets a server drain, be back and drain again, with a gap between, and be back in the end.
-func (w *World) FlapServer(drawn *rand.Rand, gap time.Duration) {
-	s := w.pick(drawn)
+// FlapServer drains a server and returns it to service twice, gap apart.
+func (w *World) FlapServer(random *rand.Rand, gap time.Duration) {
+	s := w.pickServer(random)
 	if s == nil {
 		return
 	}
-	w.say("server %x drains, is back, and drains again", s.id)
+	w.logf("server %x drains and returns to service twice", s.id)
 	go func() {
 		for range 2 {
 			s.drain()
 			time.Sleep(gap)
-			s.back()
+			s.undrain()
 			time.Sleep(gap)
 		}
 	}()
 }
 
-// Disturbed notes that something was done to a balancer, lasting for length; restarted
-// that its process is another one from now on.
+// RecordDisturbance records that a balancer is disturbed for length. If restarted, its
+// process is a new one.
 func (w *World) Disturbed(balancer int, length time.Duration, restarted bool) {
 	w.disturb(balancer, length)
 	if restarted {
-		w.judge.lives(w.config.Balancers[balancer].Data)
+		w.checker.recordRestart(w.config.Balancers[balancer].Data)
 	}
 }
 
-// AllKilled notes that all balancers were killed at once and have just been started.
+// RecordAllKilled records that all balancers were killed at once and have just restarted.
 func (w *World) AllKilled() {
-	w.judge.allKilled()
+	w.checker.recordAllKilled()
 }
 
 func (w *World) disturb(balancer int, length time.Duration) {
-	w.judge.touch.disturb(w.config.Balancers[balancer].Data, time.Now().Add(length))
+	w.checker.disturbances.markBalancer(w.config.Balancers[balancer].Data, time.Now().Add(length))
 }
 
-// ForgetConfiguration lets the store lose the newest added route without a word to the
-// judge, as no sound store does: it shows that the rule on what was accepted can fail.
+// LoseRoute rewrites the configuration without the newest added route and does not tell the
+// checker. It shows that the rule LOST can fail.
 func (w *World) ForgetConfiguration() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if len(w.added) == 0 {
 		return
 	}
-	w.forgotten = w.added[len(w.added)-1]
+	w.lostRoute = w.added[len(w.added)-1]
 	w.putConfiguration()
 }
--- a/internal/standin/tagged/client.go
+++ b/internal/standin/tagged/client.go
@@ -10,41 +10,40 @@
 )
 
 const (
-	openCopies  = 3
-	openLimit   = 1400 * time.Millisecond
-	firstRepeat = 200 * time.Millisecond
-	maxTries    = 3
-	requestTime = 5 * time.Second
+	openAttempts           = 3
+	openTimeout            = 1400 * time.Millisecond
+	initialRetransmitDelay = 200 * time.Millisecond
+	maxAttempts            = 3
+	requestTimeout         = 5 * time.Second
 )
 
-// client is one client of the platform: it asks again and again, over one flow
-// that it keeps or over a new one each time.
+// client sends requests in a loop, over one flow or over a new flow for each request.
 type client struct {
 	name    string
 	zone    string
 	ip      netip.Addr
 	service netip.AddrPort
-	// wants is the service that must answer.
-	wants string
-	keeps bool
-	// repeatable requests may be tried again after any failure.
-	repeatable bool
-	router     *router
-	judge      *judge
-	socket     *net.UDPConn
-	port       uint16
-	number     int
-	inbox      chan packet
-	// opener is the balancer that the last opening packet went to.
-	opener netip.AddrPort
+	// wantService is the service whose answers are expected.
+	wantService string
+	reusesFlow  bool
+	// repeatable is whether requests may be retried after any failure.
+	repeatable   bool
+	router       *router
+	checker      *checker
+	socket       *net.UDPConn
+	port         uint16
+	requestCount int
+	inbox        chan packet
+	// openingBalancer is the balancer that the last opening packet went to.
+	openingBalancer netip.AddrPort
 }
 
-func newClient(name, zone string, ip netip.Addr, deliver uint16, router *router, judge *judge) (*client, error) {
-	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, deliver)))
+func newClient(name, zone string, ip netip.Addr, clientPort uint16, router *router, checker *checker) (*client, error) {
+	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, clientPort)))
 	if err != nil {
 		return nil, err
 	}
-	c := &client{name: name, zone: zone, ip: ip, router: router, judge: judge, socket: socket, port: 1024, inbox: make(chan packet, 64)}
+	c := &client{name: name, zone: zone, ip: ip, router: router, checker: checker, socket: socket, port: 1024, inbox: make(chan packet, 64)}
 	go c.receive()
 	return c, nil
 }
@@ -57,8 +56,8 @@
 			return
 		}
 		p, err := decode(buffer[:length])
-		if err != nil || p.flags&flagRST == 0 && !intact(buffer[:length]) {
-			c.judge.broken(Mixed, "a client receives a packet that nobody wrote that way")
+		if err != nil || p.flags&flagRST == 0 && !hasValidChecksum(buffer[:length]) {
+			c.checker.recordViolation(Mixed, "client receives a packet with a wrong checksum or length")
 			continue
 		}
 		select {
@@ -68,23 +67,23 @@
 	}
 }
 
-// flow is a flow of the client.
+// flow is the client's side of a flow.
 type flow struct {
 	source   netip.AddrPort
 	sequence uint32
 	ack      uint32
-	echo     uint32
+	tag      uint32
 	open     bool
 }
 
-// run asks until ctx ends.
+// run sends requests until ctx ends, with a random pause around the given one.
 func (c *client) run(ctx context.Context, pause time.Duration) {
 	var f *flow
 	for ctx.Err() == nil {
-		c.number++
-		request := fmt.Sprintf("%s-%d", c.name, c.number)
-		f = c.ask(ctx, f, request)
-		if !c.keeps && f != nil {
+		c.requestCount++
+		request := fmt.Sprintf("%s-%d", c.name, c.requestCount)
+		f = c.sendRequest(ctx, f, request)
+		if !c.reusesFlow && f != nil {
 			c.close(f)
 			f = nil
 		}
@@ -92,12 +91,13 @@
 	}
 }
 
-// ask does one request, over f if it is open, and returns the flow if it still is.
-func (c *client) ask(ctx context.Context, f *flow, request string) *flow {
+// sendRequest sends one request over f, or over a new flow if f is nil. It returns the flow
+// if it is still open, else nil.
+func (c *client) sendRequest(ctx context.Context, f *flow, request string) *flow {
 	started := time.Now()
-	c.judge.asked(request)
+	c.checker.addRequest(request)
 	opened := false
-	for try := 0; try < maxTries && time.Since(started) < requestTime && ctx.Err() == nil; try++ {
+	for try := 0; try < maxAttempts && time.Since(started) < requestTimeout && ctx.Err() == nil; try++ {
 		if f == nil {
 			f = c.open()
 		}
@@ -105,10 +105,10 @@
 			continue
 		}
 		opened = true
-		if c.router.sabotage == ForgedReset && c.number%100 == 0 {
+		if c.router.sabotage == ForgedReset && c.requestCount%100 == 0 {
 			c.inbox <- packet{source: c.service, destination: f.source, flags: flagRST}
 		}
-		reply, ok := c.exchange(f, request, started.Add(requestTime))
+		reply, ok := c.exchange(f, request, started.Add(requestTimeout))
 		if !ok {
 			f = nil
 			if c.repeatable {
@@ -116,8 +116,8 @@
 			}
 			break
 		}
-		reply, closing := closes(reply)
-		c.judge.answered(request, reply, c.wants+" "+request)
+		reply, closing := cutClosing(reply)
+		c.checker.addAnswer(request, reply, c.wantService+" "+request)
 		if closing {
 			c.close(f)
 			return nil
@@ -126,23 +126,23 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		c.judge.abandoned(request)
+		c.checker.addAbandonment(request)
 	case !opened:
-		c.judge.refused(request)
+		c.checker.addRefusal(request)
 	}
 	return f
 }
 
-// open opens a flow, or returns nil.
+// open opens a flow. It returns nil if the flow is reset or gets no answer.
 func (c *client) open() *flow {
 	c.port++
 	f := &flow{source: netip.AddrPortFrom(c.ip, c.port), sequence: rand.Uint32()}
-	begun := time.Now()
-	for attempt := range openCopies {
-		c.opener = c.router.send(c.zone, &packet{source: f.source, destination: c.service, flags: flagSYN, sequence: f.sequence, ack: uint32(attempt)})
-		limit := openLimit - time.Since(begun)
-		if attempt+1 < openCopies {
-			limit = firstRepeat << attempt
+	start := time.Now()
+	for attempt := range openAttempts {
+		c.openingBalancer = c.router.send(c.zone, &packet{source: f.source, destination: c.service, flags: flagSYN, sequence: f.sequence, ack: uint32(attempt)})
+		limit := openTimeout - time.Since(start)
+		if attempt+1 < openAttempts {
+			limit = initialRetransmitDelay << attempt
 		}
 		p, ok := c.await(f, limit)
 		if !ok {
@@ -151,7 +151,7 @@
 		if p.flags&flagRST != 0 {
 			return nil
 		}
-		f.open, f.echo, f.ack = true, p.echo, p.sequence+1
+		f.open, f.tag, f.ack = true, p.tag, p.sequence+1
 		f.sequence++
 		c.router.send(c.zone, f.packet(c.service, flagACK, nil))
 		return f
@@ -160,23 +160,24 @@
 }
 
 func (f *flow) packet(service netip.AddrPort, flags byte, data []byte) *packet {
-	return &packet{source: f.source, destination: service, echo: f.echo, flags: flags, sequence: f.sequence, ack: f.ack, data: data}
+	return &packet{source: f.source, destination: service, tag: f.tag, flags: flags, sequence: f.sequence, ack: f.ack, data: data}
 }
 
-// exchange sends a request until it is answered, or the flow ends.
+// exchange sends and retransmits a request until it is answered, the flow is reset or the
+// deadline passes. It returns false without an answer.
 func (c *client) exchange(f *flow, request string, deadline time.Time) (string, bool) {
-	for repeat := firstRepeat; time.Now().Before(deadline); repeat = min(2*repeat, 8*firstRepeat) {
+	for repeat := initialRetransmitDelay; time.Now().Before(deadline); repeat = min(2*repeat, 8*initialRetransmitDelay) {
 		c.router.send(c.zone, f.packet(c.service, flagACK, []byte(request)))
 		p, ok := c.await(f, repeat)
 		if !ok {
 			continue
 		}
 		if p.flags&flagRST != 0 {
-			c.judge.reset(f.source)
+			c.checker.checkClientReset(f.source)
 			return "", false
 		}
 		if len(p.data) == 0 || p.sequence != f.ack {
-			// It has no data, or the answer to an earlier request once more.
+			// A packet without data, or a copy of the answer to an earlier request.
 			continue
 		}
 		f.sequence += uint32(len(request))
@@ -187,7 +188,7 @@
 	return "", false
 }
 
-// await returns the next packet of the flow.
+// await returns the next packet of the flow, or false after limit.
 func (c *client) await(f *flow, limit time.Duration) (packet, bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -198,7 +199,7 @@
 				continue
 			}
 			if p.flags&flagRST == 0 {
-				f.echo = p.echo
+				f.tag = p.tag
 			}
 			return p, true
 		case <-timer.C:
--- a/internal/standin/tagged/client_test.go
+++ b/internal/standin/tagged/client_test.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// TestAClientTakesEachAnswerOnce: the answer to an earlier request may come twice, where
-// the request was sent twice.
-func TestAClientTakesEachAnswerOnce(t *testing.T) {
+// TestClientAcceptsEachAnswerOnce checks that a second copy of an earlier answer, caused by
+// a retransmitted request, is not taken for the current one.
+func TestClientAcceptsEachAnswerOnce(t *testing.T) {
 	router, err := newRouter(nil, "", newLinks())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer router.socket.Close()
-	c := &client{router: router, judge: newJudge(), service: feedRoute, inbox: make(chan packet, 4)}
-	f := &flow{source: testCaller, sequence: 10, ack: 107, echo: 1, open: true}
-	c.inbox <- packet{source: feedRoute, destination: testCaller, flags: flagACK, sequence: 100, echo: 1, data: []byte("earlier")}
-	c.inbox <- packet{source: feedRoute, destination: testCaller, flags: flagACK, sequence: 107, echo: 1, data: []byte("new")}
+	c := &client{router: router, checker: newChecker(), service: feedRoute, inbox: make(chan packet, 4)}
+	f := &flow{source: testCaller, sequence: 10, ack: 107, tag: 1, open: true}
+	c.inbox <- packet{source: feedRoute, destination: testCaller, flags: flagACK, sequence: 100, tag: 1, data: []byte("earlier")}
+	c.inbox <- packet{source: feedRoute, destination: testCaller, flags: flagACK, sequence: 107, tag: 1, data: []byte("new")}
 	if reply, ok := c.exchange(f, "request", time.Now().Add(time.Second)); !ok || reply != "new" {
-		t.Errorf("the answer is %q, %v", reply, ok)
+		t.Errorf("exchange returns %q, %v", reply, ok)
 	}
 }
 
-// TestAServerNumbersItsAnswers, and repeats one under its first number.
-func TestAServerNumbersItsAnswers(t *testing.T) {
+// TestServerRepeatsAnswerWithSameSequence checks that a retransmitted request gets the same
+// answer under the same sequence number.
+func TestServerRepeatsAnswerWithSameSequence(t *testing.T) {
 	f := &serverFlow{sequence: 100, next: 101, answers: map[string]serverAnswer{}}
 	first, ran := f.answerTo("a", "12345")
 	again, ranAgain := f.answerTo("a", "12345")
--- a/internal/standin/tagged/front.go
+++ b/internal/standin/tagged/front.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// StoreFault is how the store treats one balancer.
+// StoreFault is a fault of the store as one balancer sees it.
 type StoreFault string
 
-// The faults of the store. SoundStore answers as it should.
+// The faults of the store. HealthyStore has none.
 const (
-	SoundStore StoreFault = ""
+	HealthyStore StoreFault = ""
 	// SilentStore answers nothing.
 	SilentStore StoreFault = "silent"
 	// BusyStore answers 503, ThrottlingStore 429.
@@ -22,63 +22,63 @@
 	ThrottlingStore StoreFault = "throttling"
 	// ResettingStore resets connections.
 	ResettingStore StoreFault = "resetting"
-	// SlowStore answers slowDelay later.
+	// SlowStore delays answers by slowDelay.
 	SlowStore StoreFault = "slow"
-	// LosingStore breaks off each second answer; what was to be written is written.
+	// LosingStore resets the connection instead of every second answer, but carries out the write.
 	LosingStore StoreFault = "losing"
-	// StaleStore answers from what it knew when the fault began. A sound store never
-	// does that: it shows that the rules on configuration and draining can fail.
+	// StaleStore answers from the contents at the start of the fault. It shows that the rules
+	// on configuration and draining can fail.
 	StaleStore StoreFault = "stale"
 )
 
-// slowDelay is how much later a slow store answers.
+// slowDelay is the delay of each answer of a slow store.
 const slowDelay = 400 * time.Millisecond
 
-// front is the store as one balancer meets it, at an address of its own.
-type front struct {
+// storeEndpoint serves the store to one balancer at an address of its own.
+type storeEndpoint struct {
 	store *Store
 	mutex sync.Mutex
 	fault StoreFault
-	// frozen answers while the store is stale.
-	frozen *Store
+	// snapshot answers while the fault is StaleStore, and is nil otherwise.
+	snapshot *Store
 	// changed is closed when the fault changes.
-	changed chan struct{}
-	count   int
-	// silencer reaches the connections of the balancer.
+	changed  chan struct{}
+	requests int
+	// silencer holds the connections of the balancer.
 	silencer Silencer
 }
 
-// serveFront lets the store listen at an address for one balancer until ctx ends.
-func serveFront(ctx context.Context, address netip.AddrPort, store *Store) (*front, error) {
+// serveEndpoint serves the store to one balancer at an address until ctx ends.
+func serveEndpoint(ctx context.Context, address netip.AddrPort, store *Store) (*storeEndpoint, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		return nil, err
 	}
-	f := &front{store: store, changed: make(chan struct{})}
+	f := &storeEndpoint{store: store, changed: make(chan struct{})}
 	server := &http.Server{Handler: f}
 	context.AfterFunc(ctx, func() { server.Close() })
 	go server.Serve(f.silencer.Listener(listener))
 	return f, nil
 }
 
-// set changes the fault; calls that hang are broken off.
-func (f *front) set(fault StoreFault) {
+// setFault changes the fault and ends the requests that wait.
+func (f *storeEndpoint) setFault(fault StoreFault) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.fault, f.frozen = fault, nil
+	f.fault, f.snapshot = fault, nil
 	if fault == StaleStore {
-		f.frozen = f.store.clone()
+		f.snapshot = f.store.clone()
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler.
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *storeEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mutex.Lock()
-	fault, frozen, changed := f.fault, f.frozen, f.changed
-	f.count++
-	odd := f.count%2 == 1
+	fault, frozen, changed := f.fault, f.snapshot, f.changed
+	f.requests++
+	odd := f.requests%2 == 1
 	f.mutex.Unlock()
 	switch fault {
 	case SilentStore:
@@ -86,42 +86,42 @@
 		case <-changed:
 		case <-r.Context().Done():
 		}
-		breakOff(w)
+		resetConnection(w)
 	case BusyStore:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case ThrottlingStore:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case ResettingStore:
-		breakOff(w)
+		resetConnection(w)
 	case LosingStore:
 		if odd {
 			if r.Method == http.MethodPost {
-				// A write whose answer is lost may be done all the same.
-				f.store.ServeHTTP(discarded{}, r)
+				// The write takes effect although its answer is lost.
+				f.store.ServeHTTP(discardWriter{}, r)
 			}
-			breakOff(w)
+			resetConnection(w)
 			return
 		}
-		f.answerUnless(changed, w, r)
+		f.serveUntil(changed, w, r)
 	case SlowStore:
 		time.Sleep(slowDelay)
-		f.answerUnless(changed, w, r)
+		f.serveUntil(changed, w, r)
 	case StaleStore:
 		frozen.ServeHTTP(w, r)
 	default:
-		f.answerUnless(changed, w, r)
+		f.serveUntil(changed, w, r)
 	}
 }
 
-// discarded is an answer that nobody hears.
-type discarded struct{}
+// discardWriter is an http.ResponseWriter that discards the response.
+type discardWriter struct{}
 
-func (discarded) Header() http.Header         { return http.Header{} }
-func (discarded) Write(b []byte) (int, error) { return len(b), nil }
-func (discarded) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return http.Header{} }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) WriteHeader(int)             {}
 
-// answerUnless answers by the store; a watch that waits ends when the fault changes.
-func (f *front) answerUnless(changed <-chan struct{}, w http.ResponseWriter, r *http.Request) {
+// serveUntil passes the request to the store and cancels it when changed is closed.
+func (f *storeEndpoint) serveUntil(changed <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	go func() {
@@ -134,8 +134,8 @@
 	f.store.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// breakOff resets the connection.
-func breakOff(w http.ResponseWriter) {
+// resetConnection resets the connection of a request.
+func resetConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -149,7 +149,7 @@
 		defer watched.Close()
 	}
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		// Without a linger the close resets.
+		// With linger 0, Close sends a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = connection.Close()
--- a/internal/standin/tagged/hostile.go
+++ b/internal/standin/tagged/hostile.go
@@ -12,22 +12,23 @@
 
 // HostileTargets are the ports of one balancer that hostile input goes to.
 type HostileTargets struct {
-	// Data takes packets of flows, and Peer the words of other balancers.
+	// Data receives packets of flows, Peer the messages of other balancers.
 	Data, Peer netip.AddrPort
-	// HTTP are addresses of its HTTP servers.
+	// HTTP are the addresses of its HTTP servers.
 	HTTP []string
 }
 
 const (
-	// hostileDatagrams go to each port, hostileConnections to each HTTP server, to be held for hostileTime.
+	// hostileDatagrams go to each UDP port; hostileConnections to each HTTP server are held open
+	// until hostileDuration has passed.
 	hostileDatagrams   = 200
 	hostileConnections = 100
-	hostileTime        = 2 * time.Second
-	// hostileGap is the pause between datagrams.
-	hostileGap = 2 * time.Millisecond
+	hostileDuration    = 2 * time.Second
+	// hostileInterval is the pause between datagrams.
+	hostileInterval = 2 * time.Millisecond
 )
 
-// hostileRequests are requests that do not end, or are none.
+// hostileRequests are incomplete or invalid HTTP requests.
 var hostileRequests = []string{
 	"POST /readiness HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\nhalf",
 	"GET /readiness HTTP/1.1\r\nHost: a\r\nX: ",
@@ -35,10 +36,11 @@
 	"GET /metrics HTTP/1.1\r\n",
 }
 
-// SendHostile sends what no sound sender does: datagrams that are cut short, too long or of random bytes, words of
-// another version, flows to nowhere, requests that do not end, and many connections at once. It ends by itself.
+// SendHostile sends truncated, oversized and random datagrams, messages of another protocol
+// version, packets for unknown routes, incomplete requests, and opens many connections at
+// once. It returns after hostileDuration at the latest.
 func SendHostile(ctx context.Context, targets HostileTargets) {
-	ctx, cancel := context.WithTimeout(ctx, hostileTime)
+	ctx, cancel := context.WithTimeout(ctx, hostileDuration)
 	defer cancel()
 	var group errgroup.Group
 	group.Go(func() error { return sendDatagrams(ctx, targets.Data, hostilePacket) })
@@ -48,7 +50,7 @@
 			group.Go(func() error { return holdConnection(ctx, address, hostileRequests[i%len(hostileRequests)]) })
 		}
 	}
-	// A balancer that is down takes none of it, which is no fault.
+	// Errors are ignored: the balancer may be down.
 	_ = group.Wait()
 }
 
@@ -59,9 +61,9 @@
 	}
 	defer socket.Close()
 	for range hostileDatagrams {
-		// One that is refused meets a balancer that is down; the next one may not.
+		// A refused datagram means that the balancer is down; it may be up for the next one.
 		_, _ = socket.Write(next())
-		sleep(ctx, hostileGap)
+		sleep(ctx, hostileInterval)
 	}
 	return nil
 }
@@ -87,11 +89,11 @@
 	return b
 }
 
-// hostilePacket goes to no route and names no server, whatever else is wrong with it.
+// hostilePacket returns an invalid packet, or one for a destination that is no route.
 func hostilePacket() []byte {
 	p := packet{
 		source:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(1024+rand.IntN(60000))),
-		destination: netip.MustParseAddrPort("203.0.113.9:9"), echo: rand.Uint32(),
+		destination: netip.MustParseAddrPort("203.0.113.9:9"), tag: rand.Uint32(),
 		sequence: rand.Uint32(), ack: rand.Uint32(), data: randomBytes(rand.IntN(100)),
 	}
 	switch rand.IntN(4) {
@@ -102,16 +104,16 @@
 	case 2:
 		p.flags = flagACK
 	case 3:
-		return p.encode()[:rand.IntN(headLength)]
+		return p.encode()[:rand.IntN(headerLength)]
 	}
 	return p.encode()
 }
 
-// hostileHello is of another version, or nothing that a balancer says.
+// hostileHello returns a random peer message, of the version in use half of the time.
 func hostileHello() []byte {
 	b := randomBytes(1 + rand.IntN(1500))
 	if rand.IntN(2) == 0 {
-		// The version in use, with fields that make no sense.
+		// The version in use, with random contents.
 		b[0] = 10
 	}
 	return b
--- a/internal/standin/tagged/judge.go
+++ b/internal/standin/tagged/judge.go
@@ -8,315 +8,324 @@
 	"time"
 )
 
-// judge compares what clients were told with what servers ran.
-type judge struct {
-	touch   *touch
-	started time.Time
+// checker checks the rules by comparing what clients received with what servers ran.
+type checker struct {
+	disturbances *disturbances
+	started      time.Time
 
 	mutex sync.Mutex
-	// timed is whether rules with a time bound are judged.
-	timed    bool
-	requests map[string]*requestState
-	begun    map[*server]int
-	homes    map[netip.AddrPort]*server
-	strays   map[netip.AddrPort]bool
-	left     map[*server]time.Time
-	// emptied is since when each zone is evacuated.
-	emptied map[string]time.Time
-	ended   map[*server]time.Time
-	routes  map[netip.AddrPort]*routeState
-	shown   map[netip.AddrPort]shownVersion
-	// killed are the times at which all balancers were up again after all were killed.
-	killed   []time.Time
-	occasion map[Rule]int
-	breaches []Breach
+	// checkTimeBounds is whether rules with a time bound are checked.
+	checkTimeBounds bool
+	requests        map[string]*requestState
+	runs            map[*server]int
+	// flowServers is the server that last served each flow, by the flow's source.
+	flowServers map[netip.AddrPort]*server
+	// serverResets are the flows that were reset by a server that did not hold them.
+	serverResets map[netip.AddrPort]bool
+	// leftAt is when each leaving server began to leave, evacuatedAt when each zone still evacuated
+	// was, and endedAt when each stopped server stopped.
+	leftAt      map[*server]time.Time
+	evacuatedAt map[string]time.Time
+	endedAt     map[*server]time.Time
+	routes      map[netip.AddrPort]*routeState
+	// observed is the newest version observed at each balancer, by its data address.
+	observed map[netip.AddrPort]observedVersion
+	// fleetRestarts are the times at which all balancers were up again after all were killed.
+	fleetRestarts []time.Time
+	checks        map[Rule]int
+	violations    []Breach
 }
 
-// requestState is what is known of one request.
+// requestState is the outcome of one request so far.
 type requestState struct {
-	asked, answered time.Time
-	runs            int
-	refused, cut    bool
+	sentAt, answeredAt time.Time
+	runs               int
+	refused, abandoned bool
 }
 
-// routeState is how long a route is configured, by versions and by the times at which the
-// store accepted them.
+// routeState is when a route was added and removed, by configuration version and by the time
+// at which the store accepted that version.
 type routeState struct {
-	service      string
-	from, until  int
-	fromAt, gone time.Time
-	existsNow    bool
+	service                      string
+	addedVersion, removedVersion int
+	addedAt, removedAt           time.Time
+	exists                       bool
 }
 
-// shownVersion is the newest version that a balancer has shown that it knows, in one life.
-type shownVersion struct {
+// observedVersion is the newest configuration version that a balancer process has applied
+// to a flow.
+type observedVersion struct {
 	version int
 	at      time.Time
 }
 
-func newJudge() *judge {
-	return &judge{
-		touch: newTouch(), started: time.Now(), timed: true,
-		requests: map[string]*requestState{}, begun: map[*server]int{}, homes: map[netip.AddrPort]*server{},
-		strays: map[netip.AddrPort]bool{}, left: map[*server]time.Time{}, emptied: map[string]time.Time{}, ended: map[*server]time.Time{},
-		routes: map[netip.AddrPort]*routeState{}, shown: map[netip.AddrPort]shownVersion{}, occasion: map[Rule]int{},
+func newChecker() *checker {
+	return &checker{
+		disturbances: newDisturbances(), started: time.Now(), checkTimeBounds: true,
+		requests: map[string]*requestState{}, runs: map[*server]int{}, flowServers: map[netip.AddrPort]*server{},
+		serverResets: map[netip.AddrPort]bool{}, leftAt: map[*server]time.Time{}, evacuatedAt: map[string]time.Time{}, endedAt: map[*server]time.Time{},
+		routes: map[netip.AddrPort]*routeState{}, observed: map[netip.AddrPort]observedVersion{}, checks: map[Rule]int{},
 	}
 }
 
-// broken notes a breach of a rule.
-func (j *judge) broken(rule Rule, format string, arguments ...any) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.note(rule, format, arguments...)
+// recordViolation records a violation of a rule.
+func (c *checker) recordViolation(rule Rule, format string, arguments ...any) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addViolation(rule, format, arguments...)
 }
 
-func (j *judge) note(rule Rule, format string, arguments ...any) {
-	j.breaches = append(j.breaches, Breach{rule, time.Since(j.started).Seconds(), fmt.Sprintf(format, arguments...)})
+// addViolation records a violation of a rule. The mutex is held.
+func (c *checker) addViolation(rule Rule, format string, arguments ...any) {
+	c.violations = append(c.violations, Breach{rule, time.Since(c.started).Seconds(), fmt.Sprintf(format, arguments...)})
 }
 
-func (j *judge) asked(request string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.requests[request] = &requestState{asked: time.Now()}
+func (c *checker) addRequest(request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requests[request] = &requestState{sentAt: time.Now()}
 }
 
-// abandoned forgets a request that the end of the play cut.
-func (j *judge) abandoned(request string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.requests[request].cut = true
+// addAbandonment excludes a request that the end of the run cancelled.
+func (c *checker) addAbandonment(request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requests[request].abandoned = true
 }
 
-// refused notes that the request's flow never opened, so that its caller takes it as not run.
-func (j *judge) refused(request string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	state := j.requests[request]
+// addRefusal records that no flow opened for the request, so it must not have run.
+func (c *checker) addRefusal(request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	state := c.requests[request]
 	state.refused = true
-	j.occasion[Unasked]++
+	c.checks[Unasked]++
 	if state.runs > 0 {
-		j.note(Unasked, "request %s ran though its flow never opened", request)
+		c.addViolation(Unasked, "request %s ran although no flow opened for it", request)
 	}
 }
 
-func (j *judge) answered(request, reply, want string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.requests[request].answered = time.Now()
-	j.occasion[Mixed]++
+func (c *checker) addAnswer(request, reply, want string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.requests[request].answeredAt = time.Now()
+	c.checks[Mixed]++
 	if reply != want {
-		j.note(Mixed, "request %s is answered %q, want %q", request, reply, want)
+		c.addViolation(Mixed, "request %s got answer %q, want %q", request, reply, want)
 	}
 }
 
-// runsOnce tells whether a request may run once at most: lookups are billed.
+// runsOnce reports whether a request may run at most once: lookups are billed.
 func runsOnce(request string) bool { return strings.HasPrefix(request, lookupPrefix) }
 
-func (j *judge) ran(s *server, request string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.begun[s]++
-	j.occasion[Unasked]++
-	state := j.requests[request]
+func (c *checker) addRun(s *server, request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.runs[s]++
+	c.checks[Unasked]++
+	state := c.requests[request]
 	if state == nil {
-		j.note(Unasked, "server %x runs %q, which nobody asked", s.id, request)
+		c.addViolation(Unasked, "server %x ran %q, which no client sent", s.id, request)
 		return
 	}
 	state.runs++
 	if state.runs > 1 && runsOnce(request) {
-		j.note(Unasked, "lookup %s ran %d times", request, state.runs)
+		c.addViolation(Unasked, "lookup %s ran %d times", request, state.runs)
 	}
 	if state.refused {
-		j.note(Unasked, "request %s runs though its flow never opened", request)
+		c.addViolation(Unasked, "request %s runs although no flow opened for it", request)
 	}
 }
 
-// opens judges an opening packet that a balancer brought to a server.
-func (j *judge) opens(s *server, p *packet, balancer netip.AddrPort) {
+// checkOpening checks an opening packet that a balancer forwarded to a server.
+func (c *checker) checkOpening(s *server, p *packet, balancer netip.AddrPort) {
 	now := time.Now()
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.judgeDrain(s, balancer, now)
-	j.judgeEvacuation(s, balancer, now)
-	j.judgeRoute(s, p, balancer, now)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.checkDrain(s, balancer, now)
+	c.checkEvacuation(s, balancer, now)
+	c.checkRoute(s, p, balancer, now)
 }
 
-func (j *judge) judgeDrain(s *server, balancer netip.AddrPort, now time.Time) {
-	left, gone := j.left[s]
-	if !gone || !j.timed || now.Sub(left) <= drainTime {
+// checkDrain checks that a server that left longer ago than the bound gets no new flow.
+func (c *checker) checkDrain(s *server, balancer netip.AddrPort, now time.Time) {
+	leftAt, leaving := c.leftAt[s]
+	if !leaving || !c.checkTimeBounds || now.Sub(leftAt) <= drainTime {
 		return
 	}
-	if j.touch.quietSince(balancer, now.Add(-contactTime-drainTime)) {
-		j.note(Drain, "server %x takes a flow through %s %v after it left", s.id, balancer, now.Sub(left))
+	if c.disturbances.undisturbedSince(balancer, now.Add(-settleTime-drainTime)) {
+		c.addViolation(Drain, "server %x got a flow from balancer %s %v after it began to leave", s.id, balancer, now.Sub(leftAt))
 	}
 }
 
-// judgeEvacuation has something to judge whenever a balancer in touch brings a flow anywhere while a zone
-// has been evacuated for longer than the bound.
-func (j *judge) judgeEvacuation(s *server, balancer netip.AddrPort, now time.Time) {
-	for zone, since := range j.emptied {
-		if !j.timed || now.Sub(since) <= evacuateTime || !j.touch.quietSince(balancer, now.Add(-contactTime-evacuateTime)) {
+// checkEvacuation checks that zones evacuated for longer than the bound get no new flow. Each
+// flow from an undisturbed balancer to any zone counts as a check.
+func (c *checker) checkEvacuation(s *server, balancer netip.AddrPort, now time.Time) {
+	for zone, since := range c.evacuatedAt {
+		if !c.checkTimeBounds || now.Sub(since) <= evacuateTime || !c.disturbances.undisturbedSince(balancer, now.Add(-settleTime-evacuateTime)) {
 			continue
 		}
-		j.occasion[Evac]++
+		c.checks[Evac]++
 		if s.zone == zone {
-			j.note(Evac, "server %x takes a flow through %s %v after %s was evacuated", s.id, balancer, now.Sub(since), zone)
+			c.addViolation(Evac, "server %x got a flow from balancer %s %v after zone %s was evacuated", s.id, balancer, now.Sub(since), zone)
 		}
 	}
 }
 
-// evacuated notes that the store has accepted that a zone is evacuated, or taken back.
-func (j *judge) evacuated(zone string, active bool) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	delete(j.emptied, zone)
+// setEvacuated records that the store has accepted the start or the end of an evacuation.
+func (c *checker) setEvacuated(zone string, active bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.evacuatedAt, zone)
 	if active {
-		j.emptied[zone] = time.Now()
+		c.evacuatedAt[zone] = time.Now()
 	}
 }
 
-// anyEvacuated tells whether a zone is evacuated now.
-func (j *judge) anyEvacuated() bool {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return len(j.emptied) > 0
+// anyEvacuated reports whether any zone is evacuated.
+func (c *checker) anyEvacuated() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return len(c.evacuatedAt) > 0
 }
 
-func (j *judge) judgeRoute(s *server, p *packet, balancer netip.AddrPort, now time.Time) {
-	route := j.routes[p.destination]
-	j.occasion[Route]++
+// checkRoute checks that the flow's route leads to the server's service and is not outdated.
+func (c *checker) checkRoute(s *server, p *packet, balancer netip.AddrPort, now time.Time) {
+	route := c.routes[p.destination]
+	c.checks[Route]++
 	if route == nil || route.service != s.service {
-		j.note(Route, "server %x of %s gets a flow to %s through %s", s.id, s.service, p.destination, balancer)
+		c.addViolation(Route, "server %x of service %s got a flow to %s from balancer %s", s.id, s.service, p.destination, balancer)
 		return
 	}
-	if !j.timed {
+	if !c.checkTimeBounds {
 		return
 	}
-	shown := j.shown[balancer]
+	newest := c.observed[balancer]
 	switch {
-	case route.existsNow && route.from > shown.version:
-		j.shown[balancer] = shownVersion{route.from, now}
-	case !route.existsNow && route.until <= shown.version && now.Sub(shown.at) > rollbackSlack:
-		j.note(Config, "balancer %s goes back: a flow to %s, gone in version %d, after it showed version %d", balancer, p.destination, route.until, shown.version)
-	case !route.existsNow && now.Sub(route.gone) > applyTime && j.touch.quietSince(balancer, now.Add(-contactTime-applyTime)):
-		j.note(Config, "balancer %s brings a flow to %s %v after the route went", balancer, p.destination, now.Sub(route.gone))
+	case route.exists && route.addedVersion > newest.version:
+		c.observed[balancer] = observedVersion{route.addedVersion, now}
+	case !route.exists && route.removedVersion <= newest.version && now.Sub(newest.at) > rollbackSlack:
+		c.addViolation(Config, "balancer %s applied an older version: a flow to %s, removed in version %d, after it applied version %d", balancer, p.destination, route.removedVersion, newest.version)
+	case !route.exists && now.Sub(route.removedAt) > applyTime && c.disturbances.undisturbedSince(balancer, now.Add(-settleTime-applyTime)):
+		c.addViolation(Config, "balancer %s forwarded a flow to %s %v after the route was removed", balancer, p.destination, now.Sub(route.removedAt))
 	}
 }
 
-// probed judges what became of a flow to a route that was lately added: opened, or
-// refused by a balancer.
-func (j *judge) probed(route netip.AddrPort, balancer netip.AddrPort, began time.Time, opened bool) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	state := j.routes[route]
-	if !j.timed || state == nil || !state.existsNow || began.Sub(state.fromAt) <= applyTime {
+// checkProbe checks whether a balancer let a flow to a recently added route open.
+func (c *checker) checkProbe(route netip.AddrPort, balancer netip.AddrPort, sentAt time.Time, opened bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	state := c.routes[route]
+	if !c.checkTimeBounds || state == nil || !state.exists || sentAt.Sub(state.addedAt) <= applyTime {
 		return
 	}
 	rule := Config
-	if len(j.killed) > 0 && state.fromAt.Before(j.killed[len(j.killed)-1]) {
+	if len(c.fleetRestarts) > 0 && state.addedAt.Before(c.fleetRestarts[len(c.fleetRestarts)-1]) {
 		rule = Lost
 	}
-	if !j.touch.quietSince(balancer, began.Add(-contactTime-applyTime)) {
+	if !c.disturbances.undisturbedSince(balancer, sentAt.Add(-settleTime-applyTime)) {
 		return
 	}
-	j.occasion[rule]++
+	c.checks[rule]++
 	if !opened {
-		j.note(rule, "balancer %s refuses a flow to %s %v after the route was accepted", balancer, route, began.Sub(state.fromAt))
+		c.addViolation(rule, "balancer %s rejected a flow to %s %v after the route was accepted", balancer, route, sentAt.Sub(state.addedAt))
 	}
 }
 
-// lives notes that a balancer's process is another one from now on.
-func (j *judge) lives(balancer netip.AddrPort) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	delete(j.shown, balancer)
+// recordRestart records that a balancer's process is a new one.
+func (c *checker) recordRestart(balancer netip.AddrPort) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.observed, balancer)
 }
 
-// allKilled notes that all balancers were killed at once and have just been started.
-func (j *judge) allKilled() {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.killed = append(j.killed, time.Now())
+// recordAllKilled records that all balancers were killed at once and have just restarted.
+func (c *checker) recordAllKilled() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.fleetRestarts = append(c.fleetRestarts, time.Now())
 }
 
-// drained notes that a server is leaving.
-func (j *judge) drained(s *server) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if _, known := j.left[s]; !known {
-		j.left[s] = time.Now()
+// recordLeaving records that a server is leaving.
+func (c *checker) recordLeaving(s *server) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if _, known := c.leftAt[s]; !known {
+		c.leftAt[s] = time.Now()
 	}
 }
 
-// returned notes that a server that was leaving takes flows again.
-func (j *judge) returned(s *server) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	delete(j.left, s)
+// recordReturn records that a server that was leaving takes new flows again.
+func (c *checker) recordReturn(s *server) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.leftAt, s)
 }
 
-// crashed notes that a server has forgotten its flows.
-func (j *judge) crashed(s *server) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.ended[s] = time.Now()
+// recordEnd records that a server has stopped, so that its flows are lost.
+func (c *checker) recordEnd(s *server) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.endedAt[s] = time.Now()
 }
 
-// homeOf returns the server that a flow is open at, nil for none that lives.
-func (j *judge) homeOf(source netip.AddrPort) *server {
-	home := j.homes[source]
-	if home == nil {
+// serverOf returns the server that holds a flow, or nil if there is none or it has stopped.
+// The mutex is held.
+func (c *checker) serverOf(source netip.AddrPort) *server {
+	holder := c.flowServers[source]
+	if holder == nil {
 		return nil
 	}
-	if _, ended := j.ended[home]; ended {
+	if _, ended := c.endedAt[holder]; ended {
 		return nil
 	}
-	return home
+	return holder
 }
 
-// rests notes where a flow is.
-func (j *judge) rests(s *server, source netip.AddrPort) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.occasion[Flow]++
-	if home := j.homeOf(source); home != nil && home != s {
-		j.note(Flow, "flow %s moves from server %x to %x", source, home.id, s.id)
+// checkPinned records that a server serves a flow, and checks that no other holds it.
+func (c *checker) checkPinned(s *server, source netip.AddrPort) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.checks[Flow]++
+	if holder := c.serverOf(source); holder != nil && holder != s {
+		c.addViolation(Flow, "flow %s moved from server %x to %x", source, holder.id, s.id)
 	}
-	j.homes[source] = s
+	c.flowServers[source] = s
 }
 
-// resets notes that a server reset a flow that it does not hold.
-func (j *judge) resets(s *server, source netip.AddrPort) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if home := j.homeOf(source); home != nil && home != s {
-		j.note(Flow, "flow %s, at server %x, is reset by %x", source, home.id, s.id)
+// checkServerReset records that a server reset a flow that it does not hold, and checks that
+// no other holds it.
+func (c *checker) checkServerReset(s *server, source netip.AddrPort) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if holder := c.serverOf(source); holder != nil && holder != s {
+		c.addViolation(Flow, "flow %s of server %x was reset by server %x", source, holder.id, s.id)
 	}
-	j.strays[source] = true
+	c.serverResets[source] = true
 }
 
-// reset judges a reset that a client got on an open flow.
-func (j *judge) reset(source netip.AddrPort) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if j.homeOf(source) != nil && !j.strays[source] {
-		j.note(Flow, "flow %s is reset by a balancer", source)
+// checkClientReset checks a reset that a client received on an open flow.
+func (c *checker) checkClientReset(source netip.AddrPort) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.serverOf(source) != nil && !c.serverResets[source] {
+		c.addViolation(Flow, "flow %s was reset by a balancer", source)
 	}
 }
 
-// configured notes a configuration that the store has just accepted.
-func (j *judge) configured(version int, routes map[netip.AddrPort]string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+// recordConfiguration records a configuration that the store has just accepted.
+func (c *checker) recordConfiguration(version int, routes map[netip.AddrPort]string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
 	for address, service := range routes {
-		if state := j.routes[address]; state == nil || !state.existsNow {
-			j.routes[address] = &routeState{service: service, from: version, fromAt: now, existsNow: true}
+		if state := c.routes[address]; state == nil || !state.exists {
+			c.routes[address] = &routeState{service: service, addedVersion: version, addedAt: now, exists: true}
 		}
 	}
-	for address, state := range j.routes {
-		if _, exists := routes[address]; !exists && state.existsNow {
-			state.existsNow, state.until, state.gone = false, version, now
+	for address, state := range c.routes {
+		if _, exists := routes[address]; !exists && state.exists {
+			state.exists, state.removedVersion, state.removedAt = false, version, now
 		}
 	}
 }
--- a/internal/standin/tagged/judge_test.go
+++ b/internal/standin/tagged/judge_test.go
@@ -12,129 +12,129 @@
 	testRoute    = netip.MustParseAddrPort("198.18.0.1:443")
 )
 
-// breaches lets a judge see something and returns the rules that it calls broken.
-func breaches(see func(j *judge)) []Rule {
-	j := newJudge()
-	j.configured(3, map[netip.AddrPort]string{testRoute: feedService})
-	see(j)
+// violatedRules returns the rules that a new checker reports as violated after see.
+func violatedRules(see func(c *checker)) []Rule {
+	c := newChecker()
+	c.recordConfiguration(3, map[netip.AddrPort]string{testRoute: feedService})
+	see(c)
 	var rules []Rule
-	for _, breach := range j.report(0).Broken {
+	for _, breach := range c.report(0).Broken {
 		rules = append(rules, breach.Rule)
 	}
 	return rules
 }
 
-// ago sets a time of the judge back, as if it had been long ago.
-func ago(at *time.Time, length time.Duration) { *at = time.Now().Add(-length) }
+// setBack sets a recorded time to length ago.
+func setBack(at *time.Time, length time.Duration) { *at = time.Now().Add(-length) }
 
-func TestWhatTheJudgeCallsBroken(t *testing.T) {
+func TestCheckerReportsViolations(t *testing.T) {
 	feed, other := &server{id: 1, service: feedService}, &server{id: 2, service: feedService}
 	inZone := &server{id: 4, service: feedService, zone: "a"}
 	ingest := &server{id: 3, service: ingestService}
 	opening := &packet{source: testCaller, destination: testRoute, flags: flagSYN}
 	for name, c := range map[string]struct {
-		see  func(j *judge)
+		see  func(c *checker)
 		want Rule
 	}{
-		"a sound request":                {func(j *judge) { j.asked("feed-1"); j.ran(feed, "feed-1"); j.answered("feed-1", "x", "x") }, ""},
-		"another answer":                 {func(j *judge) { j.asked("feed-1"); j.answered("feed-1", "y", "x") }, Mixed},
-		"a request that nobody asked":    {func(j *judge) { j.ran(feed, "feed-1") }, Unasked},
-		"a feed that runs again":         {func(j *judge) { j.asked("feed-1"); j.ran(feed, "feed-1"); j.ran(other, "feed-1") }, ""},
-		"a lookup that runs again":       {func(j *judge) { j.asked("lookup-1"); j.ran(feed, "lookup-1"); j.ran(other, "lookup-1") }, Unasked},
-		"a refused request that runs":    {func(j *judge) { j.asked("feed-1"); j.refused("feed-1"); j.ran(feed, "feed-1") }, Unasked},
-		"a flow to its service":          {func(j *judge) { j.opens(feed, opening, testBalancer) }, ""},
-		"a flow to another service":      {func(j *judge) { j.opens(ingest, opening, testBalancer) }, Route},
-		"a flow that moves":              {func(j *judge) { j.rests(feed, testCaller); j.rests(other, testCaller) }, Flow},
-		"a flow whose server crashed":    {func(j *judge) { j.rests(feed, testCaller); j.crashed(feed); j.rests(other, testCaller) }, ""},
-		"a reset by another server":      {func(j *judge) { j.rests(feed, testCaller); j.resets(other, testCaller) }, Flow},
-		"a reset by a balancer":          {func(j *judge) { j.rests(feed, testCaller); j.reset(testCaller) }, Flow},
-		"a new flow just after draining": {func(j *judge) { j.drained(feed); j.opens(feed, opening, testBalancer) }, ""},
-		"a new flow long after draining": {func(j *judge) {
-			j.left[feed] = time.Now().Add(-2 * drainTime)
-			j.opens(feed, opening, testBalancer)
+		"a correct request":              {func(c *checker) { c.addRequest("feed-1"); c.addRun(feed, "feed-1"); c.addAnswer("feed-1", "x", "x") }, ""},
+		"another answer":                 {func(c *checker) { c.addRequest("feed-1"); c.addAnswer("feed-1", "y", "x") }, Mixed},
+		"a request that no client sent":  {func(c *checker) { c.addRun(feed, "feed-1") }, Unasked},
+		"a feed that runs again":         {func(c *checker) { c.addRequest("feed-1"); c.addRun(feed, "feed-1"); c.addRun(other, "feed-1") }, ""},
+		"a lookup that runs again":       {func(c *checker) { c.addRequest("lookup-1"); c.addRun(feed, "lookup-1"); c.addRun(other, "lookup-1") }, Unasked},
+		"a refused request that runs":    {func(c *checker) { c.addRequest("feed-1"); c.addRefusal("feed-1"); c.addRun(feed, "feed-1") }, Unasked},
+		"a flow to its service":          {func(c *checker) { c.checkOpening(feed, opening, testBalancer) }, ""},
+		"a flow to another service":      {func(c *checker) { c.checkOpening(ingest, opening, testBalancer) }, Route},
+		"a flow that moves":              {func(c *checker) { c.checkPinned(feed, testCaller); c.checkPinned(other, testCaller) }, Flow},
+		"a flow whose server crashed":    {func(c *checker) { c.checkPinned(feed, testCaller); c.recordEnd(feed); c.checkPinned(other, testCaller) }, ""},
+		"a reset by another server":      {func(c *checker) { c.checkPinned(feed, testCaller); c.checkServerReset(other, testCaller) }, Flow},
+		"a reset by a balancer":          {func(c *checker) { c.checkPinned(feed, testCaller); c.checkClientReset(testCaller) }, Flow},
+		"a new flow just after draining": {func(c *checker) { c.recordLeaving(feed); c.checkOpening(feed, opening, testBalancer) }, ""},
+		"a new flow long after draining": {func(c *checker) {
+			c.leftAt[feed] = time.Now().Add(-2 * drainTime)
+			c.checkOpening(feed, opening, testBalancer)
 		}, Drain},
-		"the same, the balancer being disturbed": {func(j *judge) {
-			j.left[feed] = time.Now().Add(-2 * drainTime)
-			j.touch.disturb(testBalancer, time.Now().Add(-contactTime))
-			j.opens(feed, opening, testBalancer)
+		"the same, the balancer was disturbed": {func(c *checker) {
+			c.leftAt[feed] = time.Now().Add(-2 * drainTime)
+			c.disturbances.markBalancer(testBalancer, time.Now().Add(-settleTime))
+			c.checkOpening(feed, opening, testBalancer)
 		}, ""},
-		"the same, the store being disturbed": {func(j *judge) {
-			j.left[feed] = time.Now().Add(-2 * drainTime)
-			j.touch.disturbStore(time.Now().Add(-contactTime))
-			j.opens(feed, opening, testBalancer)
+		"the same, the store was disturbed": {func(c *checker) {
+			c.leftAt[feed] = time.Now().Add(-2 * drainTime)
+			c.disturbances.markStore(time.Now().Add(-settleTime))
+			c.checkOpening(feed, opening, testBalancer)
 		}, ""},
-		"a flow to a zone that was evacuated long ago": {func(j *judge) {
-			j.emptied["a"] = time.Now().Add(-2 * evacuateTime)
-			j.opens(inZone, opening, testBalancer)
+		"a flow to a zone that was evacuated long ago": {func(c *checker) {
+			c.evacuatedAt["a"] = time.Now().Add(-2 * evacuateTime)
+			c.checkOpening(inZone, opening, testBalancer)
 		}, Evac},
-		"a flow to another zone meanwhile": {func(j *judge) {
-			j.emptied["a"] = time.Now().Add(-2 * evacuateTime)
-			j.opens(feed, opening, testBalancer)
+		"a flow to another zone meanwhile": {func(c *checker) {
+			c.evacuatedAt["a"] = time.Now().Add(-2 * evacuateTime)
+			c.checkOpening(feed, opening, testBalancer)
 		}, ""},
-		"a flow to a zone that was just evacuated": {func(j *judge) {
-			j.evacuated("a", true)
-			j.opens(inZone, opening, testBalancer)
+		"a flow to a zone that was just evacuated": {func(c *checker) {
+			c.setEvacuated("a", true)
+			c.checkOpening(inZone, opening, testBalancer)
 		}, ""},
-		"a flow to a zone that was taken back": {func(j *judge) {
-			j.emptied["a"] = time.Now().Add(-2 * evacuateTime)
-			j.evacuated("a", false)
-			j.opens(inZone, opening, testBalancer)
+		"a flow to a zone whose evacuation ended": {func(c *checker) {
+			c.evacuatedAt["a"] = time.Now().Add(-2 * evacuateTime)
+			c.setEvacuated("a", false)
+			c.checkOpening(inZone, opening, testBalancer)
 		}, ""},
-		"a flow to an evacuated zone through a balancer that was cut off": {func(j *judge) {
-			j.emptied["a"] = time.Now().Add(-2 * evacuateTime)
-			j.touch.disturb(testBalancer, time.Now().Add(-contactTime))
-			j.opens(inZone, opening, testBalancer)
+		"a flow to an evacuated zone, the balancer was disturbed": {func(c *checker) {
+			c.evacuatedAt["a"] = time.Now().Add(-2 * evacuateTime)
+			c.disturbances.markBalancer(testBalancer, time.Now().Add(-settleTime))
+			c.checkOpening(inZone, opening, testBalancer)
 		}, ""},
-		"a route refused that is long there": {func(j *judge) {
-			ago(&j.routes[testRoute].fromAt, 2*applyTime)
-			j.probed(testRoute, testBalancer, time.Now(), false)
+		"an old route rejected": {func(c *checker) {
+			setBack(&c.routes[testRoute].addedAt, 2*applyTime)
+			c.checkProbe(testRoute, testBalancer, time.Now(), false)
 		}, Config},
-		"the same after all were killed": {func(j *judge) {
-			ago(&j.routes[testRoute].fromAt, 2*applyTime)
-			j.killed = append(j.killed, time.Now().Add(-applyTime))
-			j.probed(testRoute, testBalancer, time.Now(), false)
+		"an old route rejected after all were killed": {func(c *checker) {
+			setBack(&c.routes[testRoute].addedAt, 2*applyTime)
+			c.fleetRestarts = append(c.fleetRestarts, time.Now().Add(-applyTime))
+			c.checkProbe(testRoute, testBalancer, time.Now(), false)
 		}, Lost},
-		"a route refused that is just added": {func(j *judge) { j.probed(testRoute, testBalancer, time.Now(), false) }, ""},
-		"a flow on a route that long went": {func(j *judge) {
-			j.configured(6, nil)
-			ago(&j.routes[testRoute].gone, 2*applyTime)
-			j.opens(feed, opening, testBalancer)
+		"a new route rejected": {func(c *checker) { c.checkProbe(testRoute, testBalancer, time.Now(), false) }, ""},
+		"a flow to a route removed long ago": {func(c *checker) {
+			c.recordConfiguration(6, nil)
+			setBack(&c.routes[testRoute].removedAt, 2*applyTime)
+			c.checkOpening(feed, opening, testBalancer)
 		}, Config},
-		"a balancer that goes back": {func(j *judge) {
-			j.configured(6, nil)
-			j.shown[testBalancer] = shownVersion{version: 6, at: time.Now().Add(-time.Second)}
-			j.opens(feed, opening, testBalancer)
+		"a balancer that applies an older version": {func(c *checker) {
+			c.recordConfiguration(6, nil)
+			c.observed[testBalancer] = observedVersion{version: 6, at: time.Now().Add(-time.Second)}
+			c.checkOpening(feed, opening, testBalancer)
 		}, Config},
-		"another process of that balancer": {func(j *judge) {
-			j.configured(6, nil)
-			j.shown[testBalancer] = shownVersion{version: 6, at: time.Now().Add(-time.Second)}
-			j.lives(testBalancer)
-			j.opens(feed, opening, testBalancer)
+		"the same after a restart of the balancer": {func(c *checker) {
+			c.recordConfiguration(6, nil)
+			c.observed[testBalancer] = observedVersion{version: 6, at: time.Now().Add(-time.Second)}
+			c.recordRestart(testBalancer)
+			c.checkOpening(feed, opening, testBalancer)
 		}, ""},
-		"nothing served after all were killed": {func(j *judge) {
-			j.killed = append(j.killed, time.Now().Add(-2*recoveryTime))
+		"no answers after all were killed": {func(c *checker) {
+			c.fleetRestarts = append(c.fleetRestarts, time.Now().Add(-2*recoveryTime))
 			for _, name := range []string{"a", "b", "c", "d"} {
 				for i := range 10 {
-					j.asked(name + string(rune('0'+i)))
+					c.addRequest(name + string(rune('0'+i)))
 				}
 			}
 		}, Recover},
 	} {
-		got := breaches(c.see)
+		got := violatedRules(c.see)
 		if c.want == "" && len(got) > 0 || c.want != "" && (len(got) != 1 || got[0] != c.want) {
-			t.Errorf("%s: %v is called broken, want %q", name, got, c.want)
+			t.Errorf("%s: violated rules %v, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestRulesWithATimeBoundCanBeLeftOut(t *testing.T) {
+func TestTimeBoundsCanBeDisabled(t *testing.T) {
 	feed := &server{id: 1, service: feedService}
-	got := breaches(func(j *judge) {
-		j.timed = false
-		j.left[feed] = time.Now().Add(-2 * drainTime)
-		j.opens(feed, &packet{source: testCaller, destination: testRoute, flags: flagSYN}, testBalancer)
+	got := violatedRules(func(c *checker) {
+		c.checkTimeBounds = false
+		c.leftAt[feed] = time.Now().Add(-2 * drainTime)
+		c.checkOpening(feed, &packet{source: testCaller, destination: testRoute, flags: flagSYN}, testBalancer)
 	})
 	if len(got) > 0 {
-		t.Errorf("%v", got)
+		t.Errorf("violated rules %v, want none", got)
 	}
 }
--- a/internal/standin/tagged/lapse.go
+++ b/internal/standin/tagged/lapse.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// returnTime is within what time after the store's return living servers have written their entries again.
-const returnTime = 2 * time.Second
+// reannounceTime is the time after an outage within which running servers rewrite their entries.
+const reannounceTime = 2 * time.Second
 
-// LapseEntries lets the store answer nobody for a while, in which the entries of all servers lapse; those
-// that live write theirs again one by one after its return.
-func (w *World) LapseEntries(drawn *rand.Rand, length time.Duration) {
+// ExpireEntries silences the store for the given time, during which the entries of all servers
+// expire. Running servers rewrite theirs at random times after the outage.
+func (w *World) LapseEntries(random *rand.Rand, length time.Duration) {
 	w.StopStore(length)
 	w.mutex.Lock()
 	servers := slices.Clone(w.servers)
 	w.mutex.Unlock()
-	// The entries go just before the store answers, so that none is told of before.
+	// The entries expire just before the store answers, so that no watch reports it earlier.
 	time.AfterFunc(length-time.Millisecond, func() {
 		for _, s := range servers {
 			if s.state() != "" {
 				w.store.Remove(s.key())
 			}
 		}
-		w.say("the entries of %d servers have lapsed", len(servers))
+		w.logf("the entries of %d servers have expired", len(servers))
 	})
 	for _, s := range servers {
-		time.AfterFunc(length+time.Duration(drawn.Int64N(int64(returnTime))), func() {
-			// One that has left or ended meanwhile stays away.
+		time.AfterFunc(length+time.Duration(random.Int64N(int64(reannounceTime))), func() {
+			// Skips servers that have left or stopped meanwhile.
 			if state := s.state(); state != "" {
 				s.announce(state)
 			}
--- a/internal/standin/tagged/links.go
+++ b/internal/standin/tagged/links.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// LinkFault is what happens to datagrams between a balancer and the platform's routers
-// and servers. The zero value is a sound link.
+// LinkFault is a fault of the link between a balancer and the platform's routers and
+// servers. The zero value is a healthy link.
 type LinkFault struct {
-	// Inward and Outward drop all datagrams towards the balancer and from it.
+	// Inward and Outward drop all datagrams to and from the balancer.
 	Inward, Outward bool
-	// Loss is the share of datagrams that are dropped in each direction.
+	// Loss is the share of datagrams dropped in each direction, from 0 to 1.
 	Loss float64
-	// Delay is how much later datagrams reach the balancer.
+	// Delay is the added delay of datagrams to the balancer.
 	Delay time.Duration
 }
 
-// links are the faults of all balancers, by the address of their data sockets.
+// links holds the link faults by the data address of the balancer.
 type links struct {
 	mutex  sync.Mutex
 	faults map[netip.AddrPort]LinkFault
@@ -34,14 +34,14 @@
 	l.faults[balancer] = fault
 }
 
-func (l *links) of(balancer netip.AddrPort) LinkFault {
+func (l *links) get(balancer netip.AddrPort) LinkFault {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.faults[balancer]
 }
 
-// dropsInward tells whether a datagram towards the balancer is lost.
+// dropsInward reports whether to drop a datagram to the balancer.
 func (f LinkFault) dropsInward() bool { return f.Inward || rand.Float64() < f.Loss }
 
-// dropsOutward tells whether a datagram from the balancer is lost.
+// dropsOutward reports whether to drop a datagram from the balancer.
 func (f LinkFault) dropsOutward() bool { return f.Outward || rand.Float64() < f.Loss }
--- a/internal/standin/tagged/play.go
+++ b/internal/standin/tagged/play.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// PlayConfig says what to play.
-type PlayConfig struct {
+// RunConfig configures Run.
+type RunConfig struct {
 	WorldConfig
 	Duration time.Duration
-	// DrainAt and the others are when things happen; 0 is never.
+	// DrainAt, EditAt, CompactAt and SilentAt are the times of scheduled actions since the
+	// balancers were ready; 0 is never. SilentFor is how long the store stays silent.
 	DrainAt, EditAt, CompactAt, SilentAt, SilentFor time.Duration
 }
 
-// editedRoutes is how many routes the edit of a play adds.
+// editedRoutes is the number of routes that the edit at EditAt adds.
 const editedRoutes = 100
 
-// Play plays the platform and returns what it saw. It tells progress on out.
-func Play(ctx context.Context, config PlayConfig, out io.Writer) (Report, error) {
+// Run runs the platform with the given balancers and returns the report. It writes progress
+// to out.
+func Run(ctx context.Context, config RunConfig, out io.Writer) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w, err := NewWorld(ctx, config.WorldConfig, out)
@@ -30,24 +32,24 @@
 		return Report{}, err
 	}
 	w.schedule(&config)
-	playing, stop := context.WithTimeout(ctx, config.Duration)
+	runCtx, stop := context.WithTimeout(ctx, config.Duration)
 	defer stop()
-	w.Serve(playing)
+	w.Serve(runCtx)
 	return w.Report(), nil
 }
 
-// schedule lets things happen at their times.
-func (w *World) schedule(config *PlayConfig) {
+// schedule starts timers for the configured actions.
+func (w *World) schedule(config *RunConfig) {
 	after := func(at time.Duration, do func()) {
 		if at > 0 {
 			time.AfterFunc(at, do)
 		}
 	}
-	drawn := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	after(config.EditAt, func() { w.AddRoutes(editedRoutes) })
 	after(config.DrainAt, func() {
-		w.ReplaceServer(drawn, false)
-		w.ReplaceServer(drawn, true)
+		w.ReplaceServer(random, false)
+		w.ReplaceServer(random, true)
 	})
 	after(config.CompactAt, w.CompactStore)
 	after(config.SilentAt, func() { w.StopStore(config.SilentFor) })
--- a/internal/standin/tagged/prober.go
+++ b/internal/standin/tagged/prober.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	probePause = 150 * time.Millisecond
-	probeWait  = 500 * time.Millisecond
-	// probedRoutes is how many of the newest routes that were added, and of those that
-	// were dropped, are probed.
+	routeProbeInterval = 150 * time.Millisecond
+	routeProbeTimeout  = 500 * time.Millisecond
+	// probedRoutes is the number of newest added routes, and of newest dropped routes, that
+	// are probed.
 	probedRoutes = 6
 )
 
-// prober opens flows to routes that were lately added or dropped, and aborts them.
+// prober opens flows to recently added or dropped routes and resets them.
 type prober struct {
 	world  *World
 	client *client
 }
 
 func newProber(w *World, zone string, ip netip.Addr) (*prober, error) {
-	c, err := newClient("probe-"+zone, zone, ip, w.deliver(), w.router, w.judge)
+	c, err := newClient("probe-"+zone, zone, ip, w.clientPort(), w.router, w.checker)
 	return &prober{w, c}, err
 }
 
 func (p *prober) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if route, found := p.world.probedRoute(); found {
+		if route, found := p.world.pickProbeRoute(); found {
 			p.probe(route)
 		}
-		sleep(ctx, probePause)
+		sleep(ctx, routeProbeInterval)
 	}
 }
 
-// probedRoute draws a route to probe.
-func (w *World) probedRoute() (netip.AddrPort, bool) {
+// pickProbeRoute returns a random route to probe, or false if there is none.
+func (w *World) pickProbeRoute() (netip.AddrPort, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var routes []netip.AddrPort
 	for _, list := range [][]netip.AddrPort{w.added, w.dropped} {
 		routes = append(routes, list[max(0, len(list)-probedRoutes):]...)
 	}
-	if w.forgotten.IsValid() {
-		routes = append(routes, w.forgotten)
+	if w.lostRoute.IsValid() {
+		routes = append(routes, w.lostRoute)
 	}
 	if len(routes) == 0 {
 		return netip.AddrPort{}, false
@@ -52,21 +52,21 @@
 	return routes[rand.IntN(len(routes))], true
 }
 
-// probe opens one flow; servers judge those that should not have come.
+// probe opens one flow to the route. Flows that must not arrive are checked at the servers.
 func (p *prober) probe(route netip.AddrPort) {
 	c := p.client
 	c.port++
 	f := &flow{source: netip.AddrPortFrom(c.ip, c.port), sequence: rand.Uint32()}
-	began := time.Now()
+	sentAt := time.Now()
 	balancer := c.router.send(c.zone, &packet{source: f.source, destination: route, flags: flagSYN, sequence: f.sequence})
-	reply, ok := c.await(f, probeWait)
+	reply, ok := c.await(f, routeProbeTimeout)
 	if !ok {
 		return
 	}
 	opened := reply.flags&flagRST == 0
-	p.world.judge.probed(route, balancer, began, opened)
+	p.world.checker.checkProbe(route, balancer, sentAt, opened)
 	if opened {
-		f.echo, f.ack = reply.echo, reply.sequence+1
+		f.tag, f.ack = reply.tag, reply.sequence+1
 		c.router.send(c.zone, f.packet(route, flagRST, nil))
 	}
 }
--- a/internal/standin/tagged/relay.go
+++ b/internal/standin/tagged/relay.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Relay stands between one balancer and the others: it takes their connections and
-// datagrams at an address of its own and passes them on, or does not.
+// Relay is a proxy between one balancer and its peers that can inject network faults. Peers
+// reach the balancer at the relay's address.
 type Relay struct {
-	listener *net.TCPListener
-	datagram *net.UDPConn
-	tcpTo    netip.AddrPort
-	udpTo    *net.UDPConn
+	listener  *net.TCPListener
+	datagram  *net.UDPConn
+	tcpTarget netip.AddrPort
+	udpTarget *net.UDPConn
 
 	mutex       sync.Mutex
-	cut         bool
+	partitioned bool
 	delay       time.Duration
-	disorder    bool
+	reordering  bool
 	connections map[*net.TCPConn]bool
-	// silencer reaches the connections of the others.
+	// silencer holds the connections of the peers.
 	silencer Silencer
 }
 
-// NewRelay passes on what comes to the control and peer ports of address to the same
-// ports of target, until ctx ends.
+// NewRelay forwards traffic from the control (TCP) and peer (UDP) ports of address to the same
+// ports of target until ctx ends.
 func NewRelay(ctx context.Context, address, target netip.Addr, control, peer uint16) (*Relay, error) {
 	listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(address, control)))
 	if err != nil {
@@ -42,9 +42,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, datagram: datagram, udpTo: udpTo, tcpTo: netip.AddrPortFrom(target, control), connections: map[*net.TCPConn]bool{}}
+	r := &Relay{listener: listener, datagram: datagram, udpTarget: udpTo, tcpTarget: netip.AddrPortFrom(target, control), connections: map[*net.TCPConn]bool{}}
 	context.AfterFunc(ctx, r.close)
-	go r.passDatagrams()
+	go r.forwardDatagrams()
 	go r.acceptConnections()
 	return r, nil
 }
@@ -52,42 +52,43 @@
 func (r *Relay) close() {
 	r.listener.Close()
 	r.datagram.Close()
-	r.udpTo.Close()
+	r.udpTarget.Close()
 	r.Reset()
 }
 
-// SetCut silences everything, without a sign to either end, or ends that.
+// SetPartitioned starts or ends a partition: datagrams are dropped and bytes of connections
+// held back, and neither end is notified.
 func (r *Relay) SetCut(cut bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.cut = cut
+	r.partitioned = cut
 }
 
-// SetDelay passes everything on later.
+// SetDelay sets the delay of all traffic.
 func (r *Relay) SetDelay(delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.delay = delay
 }
 
-// SetDisorder doubles a part of the datagrams, and lets others overtake a part, or ends that.
+// SetReordering starts or ends the reordering and duplication of datagrams.
 func (r *Relay) SetDisorder(disorder bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.disorder = disorder
+	r.reordering = disorder
 }
 
-// disordered returns by how much longer a datagram takes, and whether it comes twice.
-func (r *Relay) disordered() (later time.Duration, twice bool) {
+// drawReordering returns the extra delay of a datagram, and whether it is duplicated.
+func (r *Relay) drawReordering() (later time.Duration, twice bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.disorder {
+	if !r.reordering {
 		return 0, false
 	}
-	if rand.IntN(disorderPart) == 0 {
-		later = rand.N(disorderDelay)
+	if rand.IntN(reorderOneIn) == 0 {
+		later = rand.N(maxReorderDelay)
 	}
-	return later, rand.IntN(disorderPart) == 0
+	return later, rand.IntN(reorderOneIn) == 0
 }
 
 // Reset resets all connections.
@@ -101,7 +102,7 @@
 	clear(r.connections)
 }
 
-// Silence lets all connections that are open now fall silent, without a sign to either end.
+// Silence drops all further traffic on the open connections without closing them.
 func (r *Relay) Silence() {
 	r.silencer.Silence()
 }
@@ -109,10 +110,10 @@
 func (r *Relay) state() (cut bool, delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.cut, r.delay
+	return r.partitioned, r.delay
 }
 
-func (r *Relay) passDatagrams() {
+func (r *Relay) forwardDatagrams() {
 	buffer := make([]byte, 64<<10)
 	for {
 		length, _, err := r.datagram.ReadFromUDPAddrPort(buffer)
@@ -124,11 +125,11 @@
 			continue
 		}
 		data := append([]byte(nil), buffer[:length]...)
-		// A balancer that is gone hears nothing.
-		later, twice := r.disordered()
-		time.AfterFunc(delay+later, func() { _, _ = r.udpTo.Write(data) })
+		// Write errors are ignored: the balancer may be down.
+		later, twice := r.drawReordering()
+		time.AfterFunc(delay+later, func() { _, _ = r.udpTarget.Write(data) })
 		if twice {
-			time.AfterFunc(delay+rand.N(disorderDelay), func() { _, _ = r.udpTo.Write(data) })
+			time.AfterFunc(delay+rand.N(maxReorderDelay), func() { _, _ = r.udpTarget.Write(data) })
 		}
 	}
 }
@@ -139,15 +140,15 @@
 		if err != nil {
 			return
 		}
-		go r.passConnection(caller)
+		go r.forwardConnection(caller)
 	}
 }
 
-func (r *Relay) passConnection(caller *net.TCPConn) {
+func (r *Relay) forwardConnection(caller *net.TCPConn) {
 	defer caller.Close()
-	target, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(r.tcpTo))
+	target, err := net.DialTCP("tcp4", nil, net.TCPAddrFromAddrPort(r.tcpTarget))
 	if err != nil {
-		// As a dead port does.
+		// Resets the connection, as a closed port would.
 		_ = caller.SetLinger(0)
 		return
 	}
@@ -158,8 +159,8 @@
 	done := make(chan struct{}, 2)
 	watched := r.silencer.watch(caller)
 	defer watched.Close()
-	go r.passBytes(target, watched, done)
-	go r.passBytes(watched, target, done)
+	go r.forwardBytes(target, watched, done)
+	go r.forwardBytes(watched, target, done)
 	<-done
 	r.mutex.Lock()
 	delete(r.connections, caller)
@@ -167,8 +168,8 @@
 	r.mutex.Unlock()
 }
 
-// passBytes passes on one direction; while the relay is cut, bytes wait.
-func (r *Relay) passBytes(to io.Writer, from io.Reader, done chan<- struct{}) {
+// forwardBytes copies one direction of a connection and pauses while the relay is partitioned.
+func (r *Relay) forwardBytes(to io.Writer, from io.Reader, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
@@ -178,7 +179,7 @@
 		}
 		cut, delay := r.state()
 		for ; cut; cut, _ = r.state() {
-			time.Sleep(relayPoll)
+			time.Sleep(partitionPollInterval)
 		}
 		time.Sleep(delay)
 		if _, err := to.Write(buffer[:length]); err != nil {
@@ -187,11 +188,12 @@
 	}
 }
 
-// One datagram in disorderPart comes later by up to disorderDelay, and one comes twice, where there is disorder.
+// While reordering is on, one datagram in reorderOneIn is delayed by up to maxReorderDelay,
+// and one is duplicated.
 const (
-	disorderPart  = 3
-	disorderDelay = 50 * time.Millisecond
+	reorderOneIn    = 3
+	maxReorderDelay = 50 * time.Millisecond
 )
 
-// relayPoll is how often a cut relay looks whether the cut is over.
-const relayPoll = 20 * time.Millisecond
+// partitionPollInterval is how often a partitioned relay checks whether the partition is over.
+const partitionPollInterval = 20 * time.Millisecond
--- a/internal/standin/tagged/report.go
+++ b/internal/standin/tagged/report.go
@@ -2,38 +2,40 @@
 
 import "slices"
 
-// Report is what a play saw.
+// Report summarises a run.
 type Report struct {
 	Asked    int `json:"asked"`
 	Answered int `json:"answered"`
-	// Refused requests had no flow that opened, and did not run.
+	// Refused counts requests for which no flow opened.
 	Refused int `json:"refused"`
-	// Failed requests had no answer within their time.
+	// Failed counts requests without an answer in time.
 	Failed int `json:"failed"`
-	// P99 is the 99th percentile of the time of answers, in milliseconds.
+	// P99 is the 99th percentile of the latency of answers, in milliseconds.
 	P99 float64 `json:"p99_ms"`
-	// StoreCalls is how often the store was asked.
+	// StoreCalls is the number of requests to the store.
 	StoreCalls int `json:"store_calls"`
-	// Busiest is the largest number of requests at a server over the mean of its service.
-	Busiest float64  `json:"busiest_over_mean"`
-	Broken  []Breach `json:"broken_rules"`
-	// Occasions are how often each rule had something to judge.
+	// MaxLoadRatio is the largest number of requests run by a server of the feed service,
+	// divided by the mean.
+	MaxLoadRatio float64  `json:"busiest_over_mean"`
+	Broken       []Breach `json:"broken_rules"`
+	// Checks is how often each rule was checked.
 	Occasions map[Rule]int `json:"occasions"`
-	// Outcomes are those of all requests, in the order in which they were asked.
+	// Outcomes are those of all requests, in the order in which they were sent.
 	Outcomes []Outcome `json:"-"`
 }
 
-// Outcome is what became of one request.
+// Outcome is the outcome of one request.
 type Outcome struct {
 	Request string
-	// AskedS is when it was asked, in seconds since the play began.
+	// SentS is when it was sent, in seconds since the start of the run.
 	AskedS   float64
 	Answered bool
-	// LatencyMs is the time until the answer, in milliseconds.
+	// LatencyMs is the time until the answer, in milliseconds; 0 if not answered.
 	LatencyMs float64
 }
 
-// Quantile returns the share-th part of the latencies of answers, in milliseconds.
+// Quantile returns the quantile of the latencies of answers for a share from 0 to 1, in
+// milliseconds. It returns 0 without any answer.
 func (r *Report) Quantile(share float64) float64 {
 	var latencies []float64
 	for _, outcome := range r.Outcomes {
--- a/internal/standin/tagged/router.go
+++ b/internal/standin/tagged/router.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	probeInterval = 500 * time.Millisecond
-	probeTimeout  = 400 * time.Millisecond
-	probeMisses   = 2
+	probeInterval    = 500 * time.Millisecond
+	probeTimeout     = 400 * time.Millisecond
+	maxProbeFailures = 2
 )
 
-// Balancer is a balancer as the platform's routers know it.
+// Balancer is the zone and the addresses of a balancer.
 type Balancer struct {
 	Zone        string
 	Data, Ready netip.AddrPort
 }
 
-// router hands packets of clients to the balancers of their zone that are in.
+// router sends packets of clients to the balancers of their zone that are in service.
 type router struct {
-	path   string
-	client *http.Client
-	socket *net.UDPConn
-	links  *links
-	// sabotage changes packets on purpose.
+	readyPath string
+	client    *http.Client
+	socket    *net.UDPConn
+	links     *links
+	// sabotage is a fault that the router injects into packets.
 	sabotage Sabotage
 
 	mutex sync.Mutex
-	// lastTags are the last two tags that differ, for sabotage.
+	// lastTags are the last two different tags, for sabotage.
 	lastTags [2]uint32
-	members  []*routed
-	// lingering are balancers that stop and keep the open flows that passed there; passed is where each flow's last packet
-	// went.
-	lingering map[netip.AddrPort]bool
-	passed    map[netip.AddrPort]*routed
+	members  []*member
+	// lingering are the stopping balancers that still get the packets of their open flows;
+	// lastTargets are the balancers that got the last packet of each flow.
+	lingering   map[netip.AddrPort]bool
+	lastTargets map[netip.AddrPort]*member
 }
 
-type routed struct {
+type member struct {
 	Balancer
-	in     bool
-	misses int
+	inService     bool
+	probeFailures int
 }
 
-func newRouter(balancers []Balancer, path string, links *links) (*router, error) {
+func newRouter(balancers []Balancer, readyPath string, links *links) (*router, error) {
 	socket, err := net.ListenUDP("udp4", nil)
 	if err != nil {
 		return nil, err
 	}
-	r := &router{path: path, client: &http.Client{Timeout: probeTimeout}, socket: socket, links: links, lingering: map[netip.AddrPort]bool{}, passed: map[netip.AddrPort]*routed{}}
+	r := &router{readyPath: readyPath, client: &http.Client{Timeout: probeTimeout}, socket: socket, links: links, lingering: map[netip.AddrPort]bool{}, lastTargets: map[netip.AddrPort]*member{}}
 	for _, b := range balancers {
-		r.members = append(r.members, &routed{Balancer: b})
+		r.members = append(r.members, &member{Balancer: b})
 	}
 	return r, nil
 }
@@ -75,45 +75,45 @@
 	}
 }
 
-func (r *router) probe(m *routed) {
-	fault := r.links.of(m.Data)
+func (r *router) probe(m *member) {
+	fault := r.links.get(m.Data)
 	if fault.Inward || fault.Outward {
-		r.noteProbe(m, false)
+		r.recordProbe(m, false)
 		return
 	}
-	reply, err := r.client.Get("http://" + m.Ready.String() + r.path)
+	reply, err := r.client.Get("http://" + m.Ready.String() + r.readyPath)
 	ready := err == nil && reply.StatusCode == http.StatusOK
 	if err == nil {
 		reply.Body.Close()
 	}
-	r.noteProbe(m, ready)
+	r.recordProbe(m, ready)
 }
 
-func (r *router) noteProbe(m *routed, ready bool) {
+func (r *router) recordProbe(m *member, ready bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if ready {
-		m.in, m.misses = true, 0
+		m.inService, m.probeFailures = true, 0
 		return
 	}
-	m.misses++
-	m.in = m.in && m.misses < probeMisses
+	m.probeFailures++
+	m.inService = m.inService && m.probeFailures < maxProbeFailures
 }
 
-// ready counts the balancers that are in.
-func (r *router) ready() int {
+// readyCount returns the number of balancers in service.
+func (r *router) readyCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
 	for _, m := range r.members {
-		if m.in {
+		if m.inService {
 			count++
 		}
 	}
 	return count
 }
 
-// send hands a client's packet to a balancer and returns which one that is.
+// send sends a client's packet to a balancer and returns its data address.
 func (r *router) send(zone string, p *packet) netip.AddrPort {
 	r.mutex.Lock()
 	members := r.eligible(zone)
@@ -123,57 +123,57 @@
 	}
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(p.source.String() + p.destination.String()))
-	target := r.keep(p, members[int(hash.Sum32())%len(members)])
+	target := r.stickyTarget(p, members[int(hash.Sum32())%len(members)])
 	if r.sabotage == WrongTag {
-		p = r.mistag(p)
+		p = r.replaceTag(p)
 	}
-	r.hand(target.Data, p.encode())
+	r.sendDatagram(target.Data, p.encode())
 	return target.Data
 }
 
-// keep returns where a packet goes: one of a flow that passed a lingering balancer stays there.
-func (r *router) keep(p *packet, target *routed) *routed {
+// stickyTarget returns the lingering balancer of the packet's flow if there is one, else target.
+func (r *router) stickyTarget(p *packet, target *member) *member {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if last := r.passed[p.source]; last != nil && p.flags&flagSYN == 0 && r.lingering[last.Data] {
+	if last := r.lastTargets[p.source]; last != nil && p.flags&flagSYN == 0 && r.lingering[last.Data] {
 		target = last
 	}
-	r.passed[p.source] = target
+	r.lastTargets[p.source] = target
 	if p.flags&flagFIN != 0 {
-		delete(r.passed, p.source)
+		delete(r.lastTargets, p.source)
 	}
 	return target
 }
 
-// linger lets the open flows of a balancer stay with it though it is not ready, or ends that.
-func (r *router) linger(balancer netip.AddrPort, lingers bool) {
+// setLingering sets whether the open flows of a balancer stay with it when it is not ready.
+func (r *router) setLingering(balancer netip.AddrPort, lingers bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.lingering[balancer] = lingers
 }
 
-// mistag gives a packet with data the tag of another flow.
-func (r *router) mistag(p *packet) *packet {
+// replaceTag gives a packet with data the tag of another flow.
+func (r *router) replaceTag(p *packet) *packet {
 	if len(p.data) == 0 {
 		return p
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if p.echo != r.lastTags[0] {
-		r.lastTags = [2]uint32{p.echo, r.lastTags[0]}
+	if p.tag != r.lastTags[0] {
+		r.lastTags = [2]uint32{p.tag, r.lastTags[0]}
 	}
 	changed := *p
-	changed.echo = r.lastTags[1]
+	changed.tag = r.lastTags[1]
 	return &changed
 }
 
-// hand sends a datagram to a balancer as its link lets it.
-func (r *router) hand(balancer netip.AddrPort, datagram []byte) {
-	fault := r.links.of(balancer)
+// sendDatagram sends a datagram to a balancer, subject to the faults of its link.
+func (r *router) sendDatagram(balancer netip.AddrPort, datagram []byte) {
+	fault := r.links.get(balancer)
 	if fault.dropsInward() {
 		return
 	}
-	// A balancer that is gone hears nothing.
+	// Write errors are ignored: the balancer may be down.
 	if fault.Delay == 0 {
 		_, _ = r.socket.WriteToUDPAddrPort(datagram, balancer)
 		return
@@ -181,18 +181,18 @@
 	time.AfterFunc(fault.Delay, func() { _, _ = r.socket.WriteToUDPAddrPort(datagram, balancer) })
 }
 
-// eligible returns the zone's balancers that are in, or all when fewer than half
-// are, or those of other zones when none is.
-func (r *router) eligible(zone string) []*routed {
-	var all, in, elsewhere []*routed
+// eligible returns the zone's balancers that are in service, or all of the zone when fewer
+// than half are, or those of other zones when none is.
+func (r *router) eligible(zone string) []*member {
+	var all, in, elsewhere []*member
 	for _, m := range r.members {
 		switch {
-		case m.Zone == zone && m.in:
+		case m.Zone == zone && m.inService:
 			in = append(in, m)
 			all = append(all, m)
 		case m.Zone == zone:
 			all = append(all, m)
-		case m.in:
+		case m.inService:
 			elsewhere = append(elsewhere, m)
 		}
 	}
--- a/internal/standin/tagged/server.go
+++ b/internal/standin/tagged/server.go
@@ -14,47 +14,48 @@
 // server is one server of the platform.
 type server struct {
 	id uint64
-	// born is when it started.
-	born    time.Time
-	service string
-	zone    string
-	address netip.AddrPort
-	// deliver is the port at which clients take packets.
-	deliver  uint16
-	socket   *net.UDPConn
-	store    *Store
-	judge    *judge
-	links    *links
-	sabotage Sabotage
+	// startedAt is the start time, which its entry has in Unix milliseconds.
+	startedAt time.Time
+	service   string
+	zone      string
+	address   netip.AddrPort
+	// clientPort is the port at which clients receive packets.
+	clientPort uint16
+	socket     *net.UDPConn
+	store      *Store
+	checker    *checker
+	links      *links
+	sabotage   Sabotage
 
 	mutex    sync.Mutex
 	draining bool
-	// ended is set once the server has ended, with a word or without.
-	ended bool
-	// announced is the state in its entry, empty while it keeps none.
+	// stopped is set once the server has stopped or crashed.
+	stopped bool
+	// announced is the state in its entry, empty without an entry.
 	announced string
 	flows     map[netip.AddrPort]*serverFlow
 }
 
+// serverFlow is the server's side of a flow.
 type serverFlow struct {
 	sequence uint32
-	echo     uint32
-	// next is the sequence of the next answer.
+	tag      uint32
+	// next is the sequence number of the next answer.
 	next    uint32
 	answers map[string]serverAnswer
 }
 
-// serverAnswer is what a request was answered, and where in the flow that stands.
+// serverAnswer is an answer and its sequence number in the flow.
 type serverAnswer struct {
 	text     string
 	sequence uint32
 }
 
-// answerTo returns the answer to a request, and whether it is new: one that was answered
-// before is answered the same again.
+// answerTo returns the answer to a request, and whether it is new: a repeated request gets
+// its earlier answer.
 func (f *serverFlow) answerTo(request, text string) (answer serverAnswer, isNew bool) {
-	if given, known := f.answers[request]; known {
-		return given, false
+	if earlier, known := f.answers[request]; known {
+		return earlier, false
 	}
 	answer = serverAnswer{text, f.next}
 	f.answers[request] = answer
@@ -62,34 +63,34 @@
 	return answer, true
 }
 
-// numbers tells whether a position is one that the server has given on the flow: a packet that acknowledges
-// another one is of a flow that opened at another server.
-func (f *serverFlow) numbers(position uint32) bool {
+// issued reports whether the server has issued the sequence number on the flow. A packet that
+// acknowledges another one belongs to a flow that opened at another server.
+func (f *serverFlow) issued(position uint32) bool {
 	return position-f.sequence <= f.next-f.sequence && position != f.sequence
 }
 
-// entry is what a server writes to the store.
+// entry is a server's entry in the store.
 type entry struct {
-	Service  string `json:"service"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version"`
-	Capacity int    `json:"capacity"`
-	State    string `json:"state"`
-	WarmUp   int    `json:"warmupLeftMs"`
-	Sequence int    `json:"callSeq"`
-	Born     int64  `json:"born"`
+	Service   string `json:"service"`
+	Address   string `json:"address"`
+	Zone      string `json:"zone"`
+	Version   string `json:"version"`
+	Capacity  int    `json:"capacity"`
+	State     string `json:"state"`
+	WarmUp    int    `json:"warmupLeftMs"`
+	Sequence  int    `json:"callSeq"`
+	StartedAt int64  `json:"born"`
 }
 
-// stateReady is the state of a server that takes flows.
+// stateReady is the state of a server that takes new flows.
 const stateReady = "ready"
 
-func newServer(id uint64, service, zone string, address netip.AddrPort, deliver uint16, w *World) (*server, error) {
+func newServer(id uint64, service, zone string, address netip.AddrPort, clientPort uint16, w *World) (*server, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
-	s := &server{id: id, born: time.Now(), service: service, zone: zone, address: address, deliver: deliver, socket: socket, store: w.store, judge: w.judge, links: w.links,
+	s := &server{id: id, startedAt: time.Now(), service: service, zone: zone, address: address, clientPort: clientPort, socket: socket, store: w.store, checker: w.checker, links: w.links,
 		sabotage: w.config.Sabotage, flows: map[netip.AddrPort]*serverFlow{}}
 	s.announce(stateReady)
 	go s.serve()
@@ -98,6 +99,7 @@
 
 func (s *server) key() string { return fmt.Sprintf("servers/i-%010x", s.id) }
 
+// announce writes the entry with the given state.
 func (s *server) announce(state string) {
 	s.mutex.Lock()
 	s.announced = state
@@ -106,28 +108,28 @@
 	if s.sabotage == WrongService && service == ingestService {
 		service = feedService
 	}
-	s.store.Put(s.key(), entry{Service: service, Address: s.address.String(), Zone: s.zone, Version: "v1", Capacity: 2, State: state, Born: s.born.UnixMilli()})
+	s.store.Put(s.key(), entry{Service: service, Address: s.address.String(), Zone: s.zone, Version: "v1", Capacity: 2, State: state, StartedAt: s.startedAt.UnixMilli()})
 }
 
-// withdraw drops the entry.
-func (s *server) withdraw() {
+// removeEntry removes the entry from the store.
+func (s *server) removeEntry() {
 	s.mutex.Lock()
 	s.announced = ""
 	s.mutex.Unlock()
 	s.store.Remove(s.key())
 }
 
-// state is what the server's entry says, empty for none.
+// state returns the state in the server's entry, empty without an entry.
 func (s *server) state() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.announced
 }
 
-// drain announces that the server leaves; it keeps its flows.
+// drain announces the state draining; the server still serves its flows.
 func (s *server) drain() {
 	s.mutex.Lock()
-	ended := s.ended
+	ended := s.stopped
 	s.draining = true
 	s.mutex.Unlock()
 	if ended {
@@ -136,46 +138,46 @@
 	if s.sabotage != HiddenDrain {
 		s.announce("draining")
 	}
-	s.judge.drained(s)
+	s.checker.recordLeaving(s)
 }
 
-// back announces that the server takes flows again.
-func (s *server) back() {
+// undrain announces that the server takes new flows again.
+func (s *server) undrain() {
 	s.mutex.Lock()
-	ended := s.ended
+	ended := s.stopped
 	s.draining = false
 	s.mutex.Unlock()
 	if ended {
 		return
 	}
 	s.announce(stateReady)
-	s.judge.returned(s)
+	s.checker.recordReturn(s)
 }
 
-// leave drops the entry; the server serves on.
-func (s *server) leave() {
+// deregister removes the entry; the server still serves its flows.
+func (s *server) deregister() {
 	if s.sabotage != HiddenDrain {
-		s.withdraw()
+		s.removeEntry()
 	}
-	s.judge.drained(s)
+	s.checker.recordLeaving(s)
 }
 
-// end ends the server after it has left.
-func (s *server) end() {
-	s.judge.crashed(s)
+// stop stops the server and removes its entry.
+func (s *server) stop() {
+	s.checker.recordEnd(s)
 	s.mutex.Lock()
-	s.ended = true
+	s.stopped = true
 	s.mutex.Unlock()
-	s.withdraw()
+	s.removeEntry()
 	s.socket.Close()
 }
 
-// crash ends the server without a word; its entry stays for a while.
+// crash stops the server without notice; its entry stays until it expires.
 func (s *server) crash() {
-	s.judge.crashed(s)
-	s.judge.drained(s)
+	s.checker.recordEnd(s)
+	s.checker.recordLeaving(s)
 	s.mutex.Lock()
-	s.announced, s.ended = "", true
+	s.announced, s.stopped = "", true
 	s.mutex.Unlock()
 	s.socket.Close()
 }
@@ -187,96 +189,96 @@
 		if err != nil {
 			return
 		}
-		if s.links.of(balancer).dropsOutward() {
+		if s.links.get(balancer).dropsOutward() {
 			continue
 		}
 		if length < idLength {
-			s.judge.broken(Unasked, "a datagram without a server's identifier")
+			s.checker.recordViolation(Unasked, "datagram too short for a server identifier")
 			continue
 		}
-		if meant := binary.BigEndian.Uint64(buffer); meant != 0 && meant != s.id {
+		if targetID := binary.BigEndian.Uint64(buffer); targetID != 0 && targetID != s.id {
 			continue
 		}
 		datagram := buffer[idLength:length]
-		if !intact(datagram) {
-			s.judge.broken(Unasked, "a packet arrives that its sender did not write that way")
+		if !hasValidChecksum(datagram) {
+			s.checker.recordViolation(Unasked, "packet with a wrong checksum")
 			continue
 		}
 		if p, err := decode(datagram); err == nil {
-			s.take(&p, balancer)
+			s.handle(&p, balancer)
 		}
 	}
 }
 
-// take serves one packet.
-func (s *server) take(p *packet, balancer netip.AddrPort) {
+// handle handles one packet of a flow.
+func (s *server) handle(p *packet, balancer netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	f := s.flows[p.source]
 	switch {
 	case p.flags&flagSYN != 0:
-		s.judge.opens(s, p, balancer)
+		s.checker.checkOpening(s, p, balancer)
 		if f == nil {
 			sequence := rand.Uint32()
 			f = &serverFlow{sequence: sequence, next: sequence + 1, answers: map[string]serverAnswer{}}
 			s.flows[p.source] = f
 		}
-		f.echo = p.echo
+		f.tag = p.tag
 		s.send(p, f, flagSYN|flagACK)
-	case f == nil || !f.numbers(p.ack):
-		s.judge.resets(s, p.source)
-		s.send(p, &serverFlow{echo: p.echo}, flagRST)
+	case f == nil || !f.issued(p.ack):
+		s.checker.checkServerReset(s, p.source)
+		s.send(p, &serverFlow{tag: p.tag}, flagRST)
 	case p.flags&flagFIN != 0:
 		delete(s.flows, p.source)
 	case len(p.data) > 0:
-		f.echo = p.echo
+		f.tag = p.tag
 		s.answer(p, f)
 	default:
-		f.echo = p.echo
-		s.judge.rests(s, p.source)
+		f.tag = p.tag
+		s.checker.checkPinned(s, p.source)
 	}
 }
 
-// answer runs a request once and sends its answer, again for each repetition.
+// answer runs a new request, and sends the answer for each copy of it.
 func (s *server) answer(p *packet, f *serverFlow) {
-	s.judge.rests(s, p.source)
+	s.checker.checkPinned(s, p.source)
 	request := string(p.data)
 	text := s.service + " " + request
 	if s.sabotage == WrongBody {
 		text = s.service + " another answer"
 	}
 	if s.draining {
-		text += closing
+		text += closingSuffix
 	}
 	answer, isNew := f.answerTo(request, text)
 	if isNew {
-		s.judge.ran(s, request)
+		s.checker.addRun(s, request)
 		if s.sabotage == RunTwice {
-			s.judge.ran(s, request)
+			s.checker.addRun(s, request)
 		}
 	}
 	time.Sleep(time.Millisecond)
 	s.sendAt(p, f, answer.sequence, flagACK, []byte(answer.text))
 }
 
-// send answers a packet without data of the server's own.
+// send replies to a packet without data.
 func (s *server) send(p *packet, f *serverFlow, flags byte) {
 	s.sendAt(p, f, f.sequence, flags, nil)
 }
 
 func (s *server) sendAt(p *packet, f *serverFlow, sequence uint32, flags byte, data []byte) {
 	reply := packet{
-		source: p.destination, destination: p.source, echo: f.echo, flags: flags,
+		source: p.destination, destination: p.source, tag: f.tag, flags: flags,
 		sequence: sequence, ack: p.sequence + uint32(len(p.data)), data: data,
 	}
-	// A client that is gone hears nothing.
-	_, _ = s.socket.WriteToUDPAddrPort(reply.encode(), netip.AddrPortFrom(p.source.Addr(), s.deliver))
+	// Write errors are ignored: the client may have closed its socket.
+	_, _ = s.socket.WriteToUDPAddrPort(reply.encode(), netip.AddrPortFrom(p.source.Addr(), s.clientPort))
 }
 
-// closing ends an answer after which the server closes the flow.
-const closing = " closing"
+// closingSuffix ends an answer after which the flow is to be closed.
+const closingSuffix = " closing"
 
-// closes tells whether the answer says that the server closes the flow.
-func closes(reply string) (string, bool) {
-	return strings.CutSuffix(reply, closing)
+// cutClosing cuts closingSuffix off the answer and reports whether it was there.
+func cutClosing(reply string) (string, bool) {
+	return strings.CutSuffix(reply, closingSuffix)
 }
--- a/internal/standin/tagged/silence.go
+++ b/internal/standin/tagged/silence.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// Silencer knows the connections that one side of a stand-in holds open, and lets them fall
-// silent: both ends stay open, what either sends vanishes, and new connections work. The zero
-// value is ready.
+// Silencer tracks connections and can drop all further traffic on them: they stay open at both
+// ends, what either sends is discarded, and new connections work. The zero value is ready to
+// use.
 type Silencer struct {
 	mutex       sync.Mutex
 	connections map[*silentConnection]bool
 }
 
-// Silence lets all connections that are open now fall silent for good, also within an answer.
+// Silence permanently drops all traffic on the connections open now, also amid a response.
 func (s *Silencer) Silence() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -23,7 +23,7 @@
 	}
 }
 
-// watch returns the connection, such that Silence reaches it until it is closed.
+// watch wraps a connection so that Silence applies to it until it is closed.
 func (s *Silencer) watch(connection net.Conn) net.Conn {
 	watched := &silentConnection{Conn: connection, silencer: s}
 	s.mutex.Lock()
@@ -35,14 +35,15 @@
 	return watched
 }
 
-// silentConnection is a connection whose bytes vanish in both directions once silent is set.
+// silentConnection discards the bytes of both directions once silent is set.
 type silentConnection struct {
 	net.Conn
 	silencer *Silencer
 	silent   atomic.Bool
 }
 
-// Read implements net.Conn. It returns when the other end closes or a deadline passes.
+// Read implements net.Conn. Once silent, it returns only when the other end closes or a
+// deadline passes.
 func (c *silentConnection) Read(b []byte) (int, error) {
 	for {
 		length, err := c.Conn.Read(b)
@@ -68,12 +69,12 @@
 	return c.Conn.Close()
 }
 
-// Listener returns the listener, such that Silence reaches the connections that it accepts.
+// Listener wraps a listener so that Silence applies to the connections that it accepts.
 func (s *Silencer) Listener(listener net.Listener) net.Listener {
 	return silencedListener{listener, s}
 }
 
-// silencedListener hands out connections that the Silencer reaches.
+// silencedListener registers accepted connections with the Silencer.
 type silencedListener struct {
 	net.Listener
 	silencer *Silencer
--- a/internal/standin/tagged/silence_test.go
+++ b/internal/standin/tagged/silence_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// TestSilencedConnectionsStayOpenAndNewOnesWork.
-func TestSilencedConnectionsStayOpenAndNewOnesWork(t *testing.T) {
+// TestSilencedConnectionsStayOpen checks that a request on a silenced connection times out
+// instead of failing at once, and that a new connection works.
+func TestSilencedConnectionsStayOpen(t *testing.T) {
 	var silencer Silencer
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("answer"))
@@ -38,10 +39,10 @@
 	}
 	silencer.Silence()
 	if err := get(); !isTimeout(err) {
-		t.Errorf("a call on a silent connection ends with %v, not by its deadline", err)
+		t.Errorf("a request on a silenced connection ends with %v, want a timeout", err)
 	}
 	if err := get(); err != nil {
-		t.Errorf("a new connection does not work: %v", err)
+		t.Errorf("a request on a new connection: %v", err)
 	}
 }
 
--- a/internal/standin/tagged/store.go
+++ b/internal/standin/tagged/store.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// Store is the platform's store over HTTP: listing, watches, transactions and lost history.
+// Store is the platform's key-value store over HTTP, with listings, watches, transactions and
+// compaction.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
 	items    map[string]storeItem
 	history  []storeItem
-	// forgotten is up to where the history is lost.
-	forgotten uint64
-	// silent stores answer nothing.
+	// compactedRevision is the revision up to which the history is discarded.
+	compactedRevision uint64
+	// silent is whether requests are left unanswered.
 	silent  bool
 	changed chan struct{}
 	calls   int
@@ -29,7 +30,7 @@
 	Key      string `json:"privateKey"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
 // NewStore returns an empty store.
@@ -37,7 +38,7 @@
 	return &Store{items: map[string]storeItem{}, changed: make(chan struct{})}
 }
 
-// Put writes a key as JSON.
+// Put writes a value as JSON. It panics if value cannot be encoded.
 func (s *Store) Put(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -46,25 +47,26 @@
 	s.PutRaw(key, text)
 }
 
-// PutRaw writes a key as it is.
+// PutRaw writes a value as it is.
 func (s *Store) PutRaw(key string, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.note(storeItem{Key: key, Value: value})
+	s.apply(storeItem{Key: key, Value: value})
 }
 
-// Remove drops a key.
+// Remove deletes a key.
 func (s *Store) Remove(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.note(storeItem{Key: key, Gone: true})
+	s.apply(storeItem{Key: key, Deleted: true})
 }
 
-func (s *Store) note(item storeItem) {
+// apply applies a change under a new revision and wakes watches. The mutex is held.
+func (s *Store) apply(item storeItem) {
 	s.revision++
 	item.Revision = s.revision
 	s.history = append(s.history, item)
-	if item.Gone {
+	if item.Deleted {
 		delete(s.items, item.Key)
 	} else {
 		s.items[item.Key] = item
@@ -73,31 +75,31 @@
 	s.changed = make(chan struct{})
 }
 
-// clone returns a store that holds what this one holds now.
+// clone returns a copy of the store with its current contents.
 func (s *Store) clone() *Store {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return &Store{
 		revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history),
-		forgotten: s.forgotten, changed: make(chan struct{}),
+		compactedRevision: s.compactedRevision, changed: make(chan struct{}),
 	}
 }
 
-// SetSilent lets the store answer nothing, or answer again.
+// SetSilent sets whether the store leaves requests unanswered.
 func (s *Store) SetSilent(silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.silent = silent
 }
 
-// Compact loses the history.
+// Compact discards the history up to the current revision.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgotten, s.history = s.revision, nil
+	s.compactedRevision, s.history = s.revision, nil
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of requests received.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// pageSize is small, so that pages are met in every test.
+// pageSize is small, so that every test covers paging.
 const pageSize = 7
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -149,7 +151,7 @@
 		}
 		page.Items = append(page.Items, s.items[key])
 	}
-	answer(w, page)
+	writeJSON(w, page)
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -158,14 +160,14 @@
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mutex.Lock()
-		events, lost, at, changed, silent := s.since(after), after < s.forgotten, s.revision, s.changed, s.silent
+		events, lost, at, changed, silent := s.eventsSince(after), after < s.compactedRevision, s.revision, s.changed, s.silent
 		s.mutex.Unlock()
 		if lost {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(events) > 0 && !silent {
-			answerEvents(w, events, at)
+			writeEvents(w, events, at)
 			return
 		}
 		select {
@@ -177,13 +179,14 @@
 				<-r.Context().Done()
 				return
 			}
-			answerEvents(w, events, at)
+			writeEvents(w, events, at)
 			return
 		}
 	}
 }
 
-func (s *Store) since(after uint64) []storeItem {
+// eventsSince returns the changes after a revision. The mutex is held.
+func (s *Store) eventsSince(after uint64) []storeItem {
 	events := []storeItem{}
 	for _, item := range s.history {
 		if item.Revision > after {
@@ -193,15 +196,15 @@
 	return events
 }
 
-func answerEvents(w http.ResponseWriter, events []storeItem, at uint64) {
-	answer(w, struct {
+func writeEvents(w http.ResponseWriter, events []storeItem, at uint64) {
+	writeJSON(w, struct {
 		Events []storeItem `json:"events"`
 		At     uint64      `json:"at"`
 	}{events, at})
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The asker may be gone.
+	// Errors are ignored: the client may be gone.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/standin/tagged/summary.go
+++ b/internal/standin/tagged/summary.go
@@ -6,78 +6,81 @@
 	"time"
 )
 
-// recoveries judges what was served after each time that all balancers were killed.
-func (j *judge) recoveries(end time.Time) {
-	const least, share = 20, 0.25
-	for i, up := range j.killed {
+// checkRecoveries checks the share of requests answered after each restart of all balancers.
+// The mutex is held.
+func (c *checker) checkRecoveries(end time.Time) {
+	const minRequests, minAnsweredShare = 20, 0.25
+	for i, up := range c.fleetRestarts {
 		until := end
-		if i+1 < len(j.killed) {
-			until = j.killed[i+1]
+		if i+1 < len(c.fleetRestarts) {
+			until = c.fleetRestarts[i+1]
 		}
-		asked, answered := 0, 0
-		for _, state := range j.requests {
-			if state.cut || state.asked.Before(up.Add(recoveryTime)) || state.asked.After(until) {
+		sent, answered := 0, 0
+		for _, state := range c.requests {
+			if state.abandoned || state.sentAt.Before(up.Add(recoveryTime)) || state.sentAt.After(until) {
 				continue
 			}
-			asked++
-			if !state.answered.IsZero() {
+			sent++
+			if !state.answeredAt.IsZero() {
 				answered++
 			}
 		}
-		if !j.timed || asked < least {
+		if !c.checkTimeBounds || sent < minRequests {
 			continue
 		}
-		j.occasion[Recover]++
-		if float64(answered) < share*float64(asked) {
-			j.note(Recover, "of %d requests later than %v after all balancers were started again %d are served", asked, recoveryTime, answered)
+		c.checks[Recover]++
+		if float64(answered) < minAnsweredShare*float64(sent) {
+			c.addViolation(Recover, "%[3]d of %[1]d requests sent more than %[2]v after the restart of all balancers were answered", sent, recoveryTime, answered)
 		}
 	}
 }
 
-// countDrains counts the servers that left so long ago that a late flow would show.
-func (j *judge) countDrains(end time.Time) {
-	for s, left := range j.left {
-		ended, known := j.ended[s]
-		if !known {
-			ended = end
+// countDrainChecks counts the servers that served on for longer than drainTime after they began
+// to leave, so that a late flow would be seen. The mutex is held.
+func (c *checker) countDrainChecks(end time.Time) {
+	for s, leftAt := range c.leftAt {
+		endedAt, hasEnded := c.endedAt[s]
+		if !hasEnded {
+			endedAt = end
 		}
-		if j.timed && ended.Sub(left) > drainTime {
-			j.occasion[Drain]++
+		if c.checkTimeBounds && endedAt.Sub(leftAt) > drainTime {
+			c.checks[Drain]++
 		}
 	}
 }
 
-// busiest is the largest number of requests at a server of the feed service over the mean.
-func (j *judge) busiest() float64 {
-	most, sum, servers := 0, 0, 0
-	for s, begun := range j.begun {
-		if _, gone := j.left[s]; s.service != feedService || gone {
+// maxLoadRatio returns the largest number of requests run by a server of the feed service over
+// the mean, without leaving servers; 0 without requests. The mutex is held.
+func (c *checker) maxLoadRatio() float64 {
+	highest, sum, servers := 0, 0, 0
+	for s, runs := range c.runs {
+		if _, leaving := c.leftAt[s]; s.service != feedService || leaving {
 			continue
 		}
-		most, sum, servers = max(most, begun), sum+begun, servers+1
+		highest, sum, servers = max(highest, runs), sum+runs, servers+1
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(most*servers) / float64(sum)
+	return float64(highest*servers) / float64(sum)
 }
 
-func (j *judge) report(storeCalls int) Report {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.recoveries(time.Now())
-	j.countDrains(time.Now())
-	report := Report{StoreCalls: storeCalls, Busiest: j.busiest(), Broken: slices.Clone(j.breaches), Occasions: maps.Clone(j.occasion)}
-	for name, state := range j.requests {
-		if state.cut {
+func (c *checker) report(storeCalls int) Report {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.checkRecoveries(time.Now())
+	c.countDrainChecks(time.Now())
+	report := Report{StoreCalls: storeCalls, MaxLoadRatio: c.maxLoadRatio(), Broken: slices.Clone(c.violations), Occasions: maps.Clone(c.checks)}
+	for name, state := range c.requests {
+		if state.abandoned {
 			continue
 		}
-		outcome := Outcome{Request: name, AskedS: state.asked.Sub(j.started).Seconds()}
+		outcome := Outcome{Request: name, AskedS: state.sentAt.Sub(c.started).Seconds()}
 		report.Asked++
 		switch {
-		case !state.answered.IsZero():
+		case !state.answeredAt.IsZero():
 			report.Answered++
-			outcome.LatencyMs = float64(state.answered.Sub(state.asked).Microseconds()) / 1000
+			outcome.LatencyMs = float64(state.answeredAt.Sub(state.sentAt).Microseconds()) / 1000
 			outcome.Answered = true
 		case state.refused:
 			report.Refused++
--- a/internal/standin/tagged/touch.go
+++ b/internal/standin/tagged/touch.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Bounds of the rules that have a time.
+// Time bounds of the rules.
 const (
-	// contactTime is how long a balancer and the store must have been undisturbed for the
-	// balancer to be in touch.
-	contactTime = 4 * time.Second
-	// drainTime is how long after a server left new flows may still reach it.
+	// settleTime is how long a balancer and the store must have been undisturbed before the
+	// time bounds apply to the balancer.
+	settleTime = 4 * time.Second
+	// drainTime is how long a server may still get new flows after it begins to leave.
 	drainTime = 3 * time.Second
-	// evacuateTime is how long after a zone was evacuated new flows may still reach its servers.
+	// evacuateTime is how long servers of a zone may still get new flows after its evacuation.
 	evacuateTime = 3 * time.Second
-	// applyTime is how long after it was accepted a configuration may not be in force.
+	// applyTime is how long balancers may take to apply an accepted configuration.
 	applyTime = 3 * time.Second
-	// rollbackSlack is how long after a balancer has shown a version an older one may
-	// still show.
+	// rollbackSlack is how long flows may still follow an older version after a balancer has
+	// applied a newer one.
 	rollbackSlack = 250 * time.Millisecond
-	// recoveryTime is how long after all were killed little may be served.
+	// recoveryTime is how long balancers may take to recover after all were killed.
 	recoveryTime = 12 * time.Second
 )
 
-// touch knows which parts of the play were disturbed, and until when. Balancers are
-// known by the address of their data sockets, from which servers get packets.
-type touch struct {
-	mutex sync.Mutex
-	store time.Time
-	until map[netip.AddrPort]time.Time
+// disturbances records until when the store and each balancer are disturbed. Balancers are
+// identified by their data address, from which servers get packets.
+type disturbances struct {
+	mutex     sync.Mutex
+	store     time.Time
+	balancers map[netip.AddrPort]time.Time
 }
 
-func newTouch() *touch {
-	return &touch{until: map[netip.AddrPort]time.Time{}}
+func newDisturbances() *disturbances {
+	return &disturbances{balancers: map[netip.AddrPort]time.Time{}}
 }
 
-// disturbStore notes that the store is disturbed until then.
-func (t *touch) disturbStore(until time.Time) {
+// markStore records that the store is disturbed until the given time.
+func (t *disturbances) markStore(until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if until.After(t.store) {
@@ -45,18 +45,18 @@
 	}
 }
 
-// disturb notes that a balancer is disturbed until then.
-func (t *touch) disturb(balancer netip.AddrPort, until time.Time) {
+// markBalancer records that a balancer is disturbed until the given time.
+func (t *disturbances) markBalancer(balancer netip.AddrPort, until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if until.After(t.until[balancer]) {
-		t.until[balancer] = until
+	if until.After(t.balancers[balancer]) {
+		t.balancers[balancer] = until
 	}
 }
 
-// quietSince tells whether neither the balancer nor the store was disturbed since then.
-func (t *touch) quietSince(balancer netip.AddrPort, then time.Time) bool {
+// undisturbedSince reports whether neither the balancer nor the store was disturbed since then.
+func (t *disturbances) undisturbedSince(balancer netip.AddrPort, then time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !then.Before(t.until[balancer]) && !then.Before(t.store)
+	return !then.Before(t.balancers[balancer]) && !then.Before(t.store)
 }
--- a/internal/standin/tagged/transact.go
+++ b/internal/standin/tagged/transact.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// mostEntries is how many keys one transaction may name.
-	mostEntries = 32
-	// mostValue is how long a value may be, in bytes.
-	mostValue = 1 << 20
+	// maxEntries is the limit of operations in a transaction.
+	maxEntries = 32
+	// maxValueSize is the limit of a value, in bytes.
+	maxValueSize = 1 << 20
 )
 
-// transaction writes all of its keys or none.
+// transaction is a request to change all of its keys or none.
 type transaction struct {
-	// Expected are the revisions at which keys must be; 0 is absent.
+	// Expected are the revisions that keys must have; 0 means absent.
 	Expected []struct {
 		Key      string `json:"privateKey"`
 		Revision uint64 `json:"revision"`
@@ -27,15 +27,15 @@
 	Remove []string `json:"remove"`
 }
 
-// serveTransaction carries out a transaction. Keys of the operators and of servers are not for balancers
-// to write.
+// serveTransaction carries out a transaction. Balancers may not write keys of operators and
+// servers.
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
-	var asked transaction
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil || len(asked.Expected)+len(asked.Put)+len(asked.Remove) > mostEntries {
+	var request transaction
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil || len(request.Expected)+len(request.Put)+len(request.Remove) > maxEntries {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	for _, key := range asked.written() {
+	for _, key := range request.written() {
 		if strings.HasPrefix(key, "op/") || strings.HasPrefix(key, "servers/") {
 			w.WriteHeader(http.StatusForbidden)
 			return
@@ -43,26 +43,26 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.holds(&asked) {
-		s.refuseTransaction(w, &asked)
+	if !s.expectationsHold(&request) {
+		s.rejectTransaction(w, &request)
 		return
 	}
-	for _, put := range asked.Put {
-		if len(put.Value) > mostValue {
+	for _, put := range request.Put {
+		if len(put.Value) > maxValueSize {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 	}
-	for _, put := range asked.Put {
-		s.note(storeItem{Key: put.Key, Value: put.Value})
+	for _, put := range request.Put {
+		s.apply(storeItem{Key: put.Key, Value: put.Value})
 	}
-	for _, key := range asked.Remove {
-		s.note(storeItem{Key: key, Gone: true})
+	for _, key := range request.Remove {
+		s.apply(storeItem{Key: key, Deleted: true})
 	}
-	answer(w, map[string]uint64{"revision": s.revision})
+	writeJSON(w, map[string]uint64{"revision": s.revision})
 }
 
-// written are the keys that the transaction changes.
+// written returns the keys that the transaction changes.
 func (t *transaction) written() []string {
 	keys := append([]string(nil), t.Remove...)
 	for _, put := range t.Put {
@@ -71,9 +71,9 @@
 	return keys
 }
 
-// holds tells whether all keys are at the revisions that are expected. The mutex is held.
-func (s *Store) holds(asked *transaction) bool {
-	for _, expected := range asked.Expected {
+// expectationsHold reports whether all keys have the expected revisions. The mutex is held.
+func (s *Store) expectationsHold(request *transaction) bool {
+	for _, expected := range request.Expected {
 		if s.items[expected.Key].Revision != expected.Revision {
 			return false
 		}
@@ -81,14 +81,14 @@
 	return true
 }
 
-// refuseTransaction answers with what is there. The mutex is held.
-func (s *Store) refuseTransaction(w http.ResponseWriter, asked *transaction) {
+// rejectTransaction answers with the current items of the expected keys. The mutex is held.
+func (s *Store) rejectTransaction(w http.ResponseWriter, request *transaction) {
 	items := []storeItem{}
-	for _, expected := range asked.Expected {
+	for _, expected := range request.Expected {
 		if item, found := s.items[expected.Key]; found {
 			items = append(items, item)
 		}
 	}
 	w.WriteHeader(http.StatusPreconditionFailed)
-	answer(w, map[string][]storeItem{"items": items})
+	writeJSON(w, map[string][]storeItem{"items": items})
 }
