--- a/internal/standin/tagged/world.go
+++ b/internal/standin/tagged/world.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Services of the play.
+// Services of the platform.
 const (
 	feedService   = "feeds"
 	ingestService = "ingest"
@@ -21,17 +21,17 @@
 
 const (
 	serverPort = 8080
-	// serversPerZone of the feed service; the ingest service has one.
+	// serversPerZone is the number of servers of the feed service; the ingest service has one.
 	serversPerZone = 4
 	clientsPerZone = 8
-	// lookupPrefix begins the names of requests that may run once at most.
-	lookupPrefix = "lookup"
-	askPause     = 60 * time.Millisecond
-	readyLimit   = 20 * time.Second
-	// entryLife is how long the entry of a server that crashed stays.
-	entryLife = 3600 * time.Millisecond
-	// reuseAfter is how long an address rests before another server gets it.
-	reuseAfter = 2 * time.Second
+	// lookupPrefix begins the names of requests that may run at most once.
+	lookupPrefix    = "lookup"
+	requestInterval = 60 * time.Millisecond
+	readyTimeout    = 20 * time.Second
+	// entryLifetime is how long the entry of a crashed server stays.
+	entryLifetime = 3600 * time.Millisecond
+	// addressReuseDelay is the time before another server may get an address.
+	addressReuseDelay = 2 * time.Second
 )
 
 // Addresses of the routes with traffic.
@@ -41,91 +41,91 @@
 	ingestRoute = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// Sabotage is a way to break a rule on purpose, which shows that its check can fail.
+// Sabotage is a deliberate violation of a rule, which shows that its check can fail.
 type Sabotage string
 
-// The ways.
+// The kinds of sabotage.
 const (
 	NoSabotage Sabotage = ""
-	// WrongBody lets servers answer something else, RunTwice run each request twice.
+	// WrongBody makes servers send wrong answers, RunTwice makes them run each request twice.
 	WrongBody Sabotage = "wrong-body"
 	RunTwice  Sabotage = "run-twice"
-	// WrongService lets a server keep itself under the name of another service.
+	// WrongService makes a server register under the name of another service.
 	WrongService Sabotage = "wrong-service"
-	// HiddenDrain lets servers leave without a word in the store.
+	// HiddenDrain makes servers leave without a change in the store.
 	HiddenDrain Sabotage = "hidden-drain"
-	// HiddenEvacuation lets operators evacuate zones without a word in the store.
+	// HiddenEvacuation makes operators evacuate zones without a change in the store.
 	HiddenEvacuation Sabotage = "hidden-evacuation"
 	// WrongTag changes the tag of packets on open flows, ForgedReset resets open flows.
 	WrongTag    Sabotage = "wrong-tag"
 	ForgedReset Sabotage = "forged-reset"
 )
 
-// WorldConfig says what a world consists of.
+// WorldConfig configures a World.
 type WorldConfig struct {
-	// Store is where the store listens, for the balancers of all.
+	// Store is the address of the store for all balancers.
 	Store netip.AddrPort
-	// Fronts are addresses of the store for one balancer each, in the order of Balancers;
-	// may be empty.
+	// StoreEndpoints are addresses of the store for one balancer each, in the order of
+	// Balancers. It may be empty; InjectStoreFault needs it.
 	Fronts []netip.AddrPort
-	// Balancers are those that run; their data ports are alike.
+	// Balancers are the running balancers, at least one, all with the same data port.
 	Balancers []Balancer
 	ReadyPath string
 	// Network is the second byte of the stand-ins' addresses, 127.Network.x.y.
 	Network  byte
 	Sabotage Sabotage
-	// Untimed leaves out the rules that have a time bound.
+	// WithoutTimeBounds disables the rules with a time bound.
 	Untimed bool
 }
 
-// World is a platform over loopback that lives until its context ends. Its methods may be
+// World is the simulated platform, which runs until its context ends. Its methods may be
 // called from any goroutine.
 type World struct {
-	config WorldConfig
-	store  *Store
-	judge  *judge
-	links  *links
-	router *router
-	fronts []*front
-	zones  []string
-	failed chan error
-	out    io.Writer
+	config      WorldConfig
+	store       *Store
+	checker     *checker
+	links       *links
+	router      *router
+	endpoints   []*storeEndpoint
+	zones       []string
+	serveErrors chan error
+	out         io.Writer
 
-	// mutex is taken before that of the judge.
+	// mutex is locked before that of the checker.
 	mutex   sync.Mutex
 	servers []*server
 	clients []*client
 	probers []*prober
 	version int
-	// routes are those of the newest configuration, added those that come and go, in
-	// their order, and dropped those that went.
+	// routes are those of the newest configuration. added are those of them that AddRoutes
+	// added, dropped those that DropRoute removed, both oldest first.
 	routes         map[netip.AddrPort]string
 	added, dropped []netip.AddrPort
-	created        int
-	// forgotten is a route that the store lost, which no sound store does.
-	forgotten netip.AddrPort
+	serversStarted int
+	// lostRoute is a route left out of the stored configuration, unknown to the checker.
+	lostRoute netip.AddrPort
 }
 
-// NewWorld builds the platform: the store listens, servers run and are announced, and the
-// first configuration is written. It tells what happens on out.
+// NewWorld starts the store, writes the first configuration, and starts and announces the
+// servers. It writes progress to out.
 func NewWorld(ctx context.Context, config WorldConfig, out io.Writer) (*World, error) {
 	if len(config.Balancers) == 0 {
-		return nil, errors.New("no balancer is given")
+		return nil, errors.New("no balancers configured")
 	}
 	w := &World{
-		config: config, store: NewStore(), judge: newJudge(), links: newLinks(), failed: make(chan error, 1), out: out,
+		config: config, store: NewStore(), checker: newChecker(), links: newLinks(), serveErrors: make(chan error, 1), out: out,
 		routes: map[netip.AddrPort]string{feedRoute: feedService, lookupRoute: feedService, ingestRoute: ingestService},
 	}
-	w.judge.timed = !config.Untimed
+	w.checker.checkTimeBounds = !config.Untimed
 	listener := &http.Server{Addr: config.Store.String(), Handler: w.store}
-	go func() { w.failed <- listener.ListenAndServe() }()
+	go func() { w.serveErrors <- listener.ListenAndServe() }()
 	context.AfterFunc(ctx, func() { listener.Close() })
 	for _, address := range config.Fronts {
-		f, err := serveFront(ctx, address, w.store)
+		f, err := serveEndpoint(ctx, address, w.store)
 		if err != nil {
 			return nil, err
 		}
-		w.fronts = append(w.fronts, f)
+		w.endpoints = append(w.endpoints, f)
 	}
 	if err := w.build(ctx); err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	w.router = router
 	router.sabotage = w.config.Sabotage
 	for _, b := range w.config.Balancers {
-		w.judge.touch.disturb(b.Data, time.Now())
+		w.checker.disturbances.markBalancer(b.Data, time.Now())
 		if slices.Contains(w.zones, b.Zone) {
 			continue
 		}
@@ -172,8 +172,8 @@
 	w.router.socket.Close()
 }
 
-// deliver is the port at which clients take packets.
-func (w *World) deliver() uint16 { return w.config.Balancers[0].Data.Port() }
+// clientPort returns the port at which clients receive packets.
+func (w *World) clientPort() uint16 { return w.config.Balancers[0].Data.Port() }
 
 func (w *World) buildZone(zone string, number byte) error {
 	for i := range serversPerZone + 1 {
@@ -192,16 +192,16 @@
 		if i%2 == 1 {
 			name = fmt.Sprintf("%s-%s-%d", lookupPrefix, zone, i)
 		}
-		c, err := newClient(name, zone, ip, w.deliver(), w.router, w.judge)
+		c, err := newClient(name, zone, ip, w.clientPort(), w.router, w.checker)
 		if err != nil {
 			return err
 		}
-		c.service, c.wants, c.keeps, c.repeatable = feedRoute, feedService, true, true
+		c.service, c.wantService, c.reusesFlow, c.repeatable = feedRoute, feedService, true, true
 		if i%2 == 1 {
-			c.service, c.keeps, c.repeatable = lookupRoute, false, false
+			c.service, c.reusesFlow, c.repeatable = lookupRoute, false, false
 		}
 		if i == clientsPerZone-1 {
-			c.service, c.wants = ingestRoute, ingestService
+			c.service, c.wantService = ingestRoute, ingestService
 		}
 		w.clients = append(w.clients, c)
 	}
@@ -213,15 +213,15 @@
 // startServer starts a server under a new identifier.
 func (w *World) startServer(service, zone string, address netip.AddrPort) (*server, error) {
 	w.mutex.Lock()
-	w.created++
-	id := uint64(w.created)<<32 | uint64(0xa0+w.created)<<8 | uint64(w.config.Network)
+	w.serversStarted++
+	id := uint64(w.serversStarted)<<32 | uint64(0xa0+w.serversStarted)<<8 | uint64(w.config.Network)
 	w.mutex.Unlock()
 	return w.startServerAs(id, service, zone, address)
 }
 
-// startServerAs starts a server under an identifier, which one before may have had.
+// startServerAs starts a server under an identifier, which an earlier server may have had.
 func (w *World) startServerAs(id uint64, service, zone string, address netip.AddrPort) (*server, error) {
-	s, err := newServer(id, service, zone, address, w.deliver(), w)
+	s, err := newServer(id, service, zone, address, w.clientPort(), w)
 	if err != nil {
 		return nil, err
 	}
@@ -231,20 +231,21 @@
 	return s, nil
 }
 
-// publish writes the configuration as it is now. The mutex is held, or nobody else knows
-// the world yet.
+// publish writes the configuration and records it in the checker. The mutex is held, or no
+// other goroutine has the world yet.
 func (w *World) publish() {
 	w.putConfiguration()
-	w.judge.configured(w.version, w.routes)
+	w.checker.recordConfiguration(w.version, w.routes)
 }
 
-// putConfiguration writes the routes under a new version.
+// putConfiguration writes the routes under a new version. The same locking rule holds as for
+// publish.
 func (w *World) putConfiguration() {
 	w.version += 3
 	type object map[string]any
 	var routes []object
 	for _, address := range slices.SortedFunc(maps.Keys(w.routes), netip.AddrPort.Compare) {
-		if address == w.forgotten {
+		if address == w.lostRoute {
 			continue
 		}
 		routes = append(routes, object{
@@ -255,15 +256,16 @@
 	w.store.Put("op/config", object{"version": w.version, "routes": routes, "limits": object{"idleTimeoutMs": 15000}})
 }
 
-// AwaitReady waits until all balancers are ready.
+// AwaitReady waits until all balancers are ready. It fails after readyTimeout or when a
+// listener fails.
 func (w *World) AwaitReady(ctx context.Context) error {
-	deadline := time.Now().Add(readyLimit)
-	for w.router.ready() < len(w.config.Balancers) {
+	deadline := time.Now().Add(readyTimeout)
+	for w.router.readyCount() < len(w.config.Balancers) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d balancers are ready", w.router.ready(), len(w.config.Balancers))
+			return fmt.Errorf("%d of %d balancers are ready", w.router.readyCount(), len(w.config.Balancers))
 		}
 		select {
-		case err := <-w.failed:
+		case err := <-w.serveErrors:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -271,15 +273,15 @@
 		}
 		sleep(ctx, 50*time.Millisecond)
 	}
-	w.say("%d balancers are ready", len(w.config.Balancers))
+	w.logf("%d balancers are ready", len(w.config.Balancers))
 	return nil
 }
 
-// Serve lets clients ask until ctx ends.
+// Serve runs clients and probers until ctx ends.
 func (w *World) Serve(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, c := range w.clients {
-		group.Go(func() { c.run(ctx, askPause) })
+		group.Go(func() { c.run(ctx, requestInterval) })
 	}
 	for _, p := range w.probers {
 		group.Go(func() { p.run(ctx) })
@@ -287,14 +289,14 @@
 	group.Wait()
 }
 
-// Report returns what was seen so far.
+// Report returns the report of the run so far.
 func (w *World) Report() Report {
-	return w.judge.report(w.store.Calls())
+	return w.checker.report(w.store.Calls())
 }
 
-func (w *World) say(format string, arguments ...any) {
+func (w *World) logf(format string, arguments ...any) {
 	fmt.Fprintf(w.out, "%6.2f s  %s\n", w.Now().Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// Now is how long the world has lived.
-func (w *World) Now() time.Duration { return time.Since(w.judge.started) }
+// Elapsed returns the time since the start of the world.
+func (w *World) Now() time.Duration { return time.Since(w.checker.started) }
