--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -10,51 +10,51 @@
 )
 
 const (
-	// Copies of an opening packet come after these times; after openLimit the
-	// attempt has failed.
-	firstCopy  = 200 * time.Millisecond
-	secondCopy = 600 * time.Millisecond
-	openLimit  = 1400 * time.Millisecond
-	// firstRepeat and lastRepeat bound the pause before missing packets are sent again.
-	firstRepeat = 200 * time.Millisecond
-	lastRepeat  = 1600 * time.Millisecond
-	// leastPause and mostPause bound the time between two requests of a stream.
-	leastPause = 400 * time.Millisecond
-	mostPause  = 1200 * time.Millisecond
-	// variedMost bounds how much more or less often than usual a stream asks.
-	variedMost = 4
+	// Copies of an opening packet follow after these times; after openTimeout the attempt has
+	// failed.
+	firstCopy   = 200 * time.Millisecond
+	secondCopy  = 600 * time.Millisecond
+	openTimeout = 1400 * time.Millisecond
+	// Retransmission delays double from minRetransmitDelay to maxRetransmitDelay.
+	minRetransmitDelay = 200 * time.Millisecond
+	maxRetransmitDelay = 1600 * time.Millisecond
+	// minPause and maxPause bound the time between two requests of a stream.
+	minPause = 400 * time.Millisecond
+	maxPause = 1200 * time.Millisecond
+	// maxPauseFactor bounds by what factor a stream's pauses are longer or shorter than the
+	// default.
+	maxPauseFactor = 4
 	// maxTries is how many flows a request may use.
 	maxTries = 3
 )
 
-// requestKind is what a request needs.
 type requestKind uint8
 
 const (
-	// stream requests share a long flow and may run twice.
+	// stream requests share a long-lived flow and may run twice.
 	stream requestKind = iota
-	// lookup requests have a flow each and may run once at most.
+	// lookup requests use a flow each and may run at most once.
 	lookup
-	// upload requests have a flow each, many packets, and may run once at most.
+	// upload requests use a flow each, have many packets and may run at most once.
 	upload
 )
 
-// profile is what callers want of one kind of request.
+// profile describes one kind of request. work is the time it takes at a server of speed 1, aim its
+// latency target, parts how many data packets it has.
 type profile struct {
 	work, aim, deadline time.Duration
 	parts               int
 	route               route
-	// answer is the median length of an answer, in bytes.
-	answer uint32
+	// answerLength is the median length of an answer, in bytes.
+	answerLength uint32
 }
 
 var profiles = [...]profile{
-	stream: {work: 20 * time.Millisecond, aim: 120 * time.Millisecond, deadline: 1500 * time.Millisecond, parts: 1, route: routeFeed, answer: 4000},
-	lookup: {work: 25 * time.Millisecond, aim: 150 * time.Millisecond, deadline: 2 * time.Second, parts: 1, route: routeLookup, answer: 800},
-	upload: {work: 5 * time.Millisecond, aim: 500 * time.Millisecond, deadline: 8 * time.Second, parts: 12, route: routeUpload, answer: 300},
+	stream: {work: 20 * time.Millisecond, aim: 120 * time.Millisecond, deadline: 1500 * time.Millisecond, parts: 1, route: routeFeed, answerLength: 4000},
+	lookup: {work: 25 * time.Millisecond, aim: 150 * time.Millisecond, deadline: 2 * time.Second, parts: 1, route: routeLookup, answerLength: 800},
+	upload: {work: 5 * time.Millisecond, aim: 500 * time.Millisecond, deadline: 8 * time.Second, parts: 12, route: routeUpload, answerLength: 300},
 }
 
-// outcome is how a request ended.
 type outcome uint8
 
 const (
@@ -65,7 +65,7 @@
 	failed
 )
 
-// request is one thing that a client wants done.
+// request is one request of a client, over all its tries.
 type request struct {
 	id       uint64
 	kind     requestKind
@@ -74,120 +74,123 @@
 	deadline time.Duration
 	tries    int
 	outcome  outcome
-	// runs is how often servers began it.
+	// runs counts how often servers started it.
 	runs int
 	done func(ok bool)
 }
 
-// clientFlow is one flow at its client.
+// clientFlow is the client's end of a flow.
 type clientFlow struct {
 	world *world
 	key   flow.Key
 	zone  string
-	// sequence is the client's position; received counts what it got.
+	// sequence is the client's next sequence number; received counts the bytes received, the
+	// opening answer as one.
 	sequence, received uint32
 	opening, open      bool
 	closed             bool
-	// replyTo is the sequence of the server that the flow opened at, as the client knows.
-	replyTo uint32
-	tag     uint32
-	request *request
-	// acknowledged marks parts of the request that the server has.
+	// serverSequence is the initial sequence number of the server that the client has the flow open
+	// with.
+	serverSequence uint32
+	tag            uint32
+	request        *request
+	// acknowledged marks the parts of the request that the server has.
 	acknowledged []bool
-	// server is where the flow is open, by what servers saw.
+	// server is the first server at which the flow opened; nil before that. The client doesn't use
+	// it.
 	server *server
 	opened time.Duration
-	// strayPackets reached other servers since strayAt, with none at the own.
-	strayPackets int
-	strayAt      time.Duration
-	counted      bool
+	// strayPackets counts consecutive packets that reached other servers, the first at strayAt.
+	strayPackets      int
+	strayAt           time.Duration
+	violationReported bool
 }
 
-// startClients begins the load.
 func (w *world) startClients() {
 	for _, zone := range w.zones {
 		for range int(streamsPerZone * w.options.Traffic) {
-			w.After(w.Between(0, 2*time.Second), func() { w.streamLoop(zone, nil, w.pausesTimes()) })
+			w.After(w.Between(0, 2*time.Second), func() { w.streamLoop(zone, nil, w.randomPauseFactor()) })
 		}
-		w.arrivals(zone, lookupRate*w.options.Traffic, lookup)
-		w.arrivals(zone, uploadRate*w.options.Traffic, upload)
+		w.scheduleArrivals(zone, lookupRate*w.options.Traffic, lookup)
+		w.scheduleArrivals(zone, uploadRate*w.options.Traffic, upload)
 	}
 }
 
-// arrivals begins requests at random times.
-func (w *world) arrivals(zone string, rate float64, kind requestKind) {
+// scheduleArrivals starts requests as a Poisson process of the given rate per second.
+func (w *world) scheduleArrivals(zone string, rate float64, kind requestKind) {
 	w.After(time.Duration(w.Random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.Now < w.options.Scenario.length()-quietEnd {
-			w.begin(zone, kind, nil, nil)
+		if w.Now < w.options.Scenario.duration()-quietPeriod {
+			w.startRequest(zone, kind, nil, nil)
 		}
-		w.arrivals(zone, rate, kind)
+		w.scheduleArrivals(zone, rate, kind)
 	})
 }
 
-// streamLoop lets one client ask again and again over one flow; pauses multiplies the time
-// between its requests.
-func (w *world) streamLoop(zone string, over *clientFlow, pauses float64) {
-	if w.Now >= w.options.Scenario.length()-quietEnd {
+// streamLoop sends the requests of one client over one flow while it stays open; pauseFactor
+// multiplies the time between them.
+func (w *world) streamLoop(zone string, existing *clientFlow, pauseFactor float64) {
+	if w.Now >= w.options.Scenario.duration()-quietPeriod {
 		return
 	}
 	var used *clientFlow
-	r := w.begin(zone, stream, over, func(c *clientFlow) { used = c })
+	r := w.startRequest(zone, stream, existing, func(c *clientFlow) { used = c })
 	r.done = func(ok bool) {
 		if !ok || used == nil || used.closed {
 			used = nil
 		}
-		if used != nil && w.options.Leave > 0 && w.Chance(w.options.Leave) {
-			used.finish()
+		if used != nil && w.options.FlowCloseShare > 0 && w.Chance(w.options.FlowCloseShare) {
+			used.close()
 			used = nil
 		}
-		pause := time.Duration(float64(w.Between(leastPause, mostPause)) * pauses)
-		w.After(pause, func() { w.streamLoop(zone, used, pauses) })
+		pause := time.Duration(float64(w.Between(minPause, maxPause)) * pauseFactor)
+		w.After(pause, func() { w.streamLoop(zone, used, pauseFactor) })
 	}
 }
 
-// pausesTimes draws how many times longer than usual a stream pauses.
-func (w *world) pausesTimes() float64 {
-	if !w.options.Varied {
+// randomPauseFactor returns by what factor a stream's pauses are longer than the default.
+func (w *world) randomPauseFactor() float64 {
+	if !w.options.VariedPauses {
 		return 1
 	}
-	return math.Pow(variedMost, 2*w.Random.Float64()-1)
+	return math.Pow(maxPauseFactor, 2*w.Random.Float64()-1)
 }
 
-// begin starts a request, over an open flow if there is one.
-func (w *world) begin(zone string, kind requestKind, over *clientFlow, using func(*clientFlow)) *request {
+// startRequest starts a request, over the existing flow if it is open. onFlow, if set, receives
+// each flow that the request uses.
+func (w *world) startRequest(zone string, kind requestKind, existing *clientFlow, onFlow func(*clientFlow)) *request {
 	p := profiles[kind]
 	w.nextRequest++
 	r := &request{id: w.nextRequest, kind: kind, address: p.route.address, started: w.Now, deadline: w.Now + p.deadline}
-	w.truth.requests = append(w.truth.requests, r)
-	w.After(p.deadline, func() { w.end(r, failed) })
-	w.try(zone, r, over, using)
+	w.observer.requests = append(w.observer.requests, r)
+	w.After(p.deadline, func() { w.endRequest(r, failed) })
+	w.sendRequest(zone, r, existing, onFlow)
 	return r
 }
 
-// try sends the request over a flow, a new one where there is none.
-func (w *world) try(zone string, r *request, over *clientFlow, using func(*clientFlow)) {
+// sendRequest sends a request over the existing flow, or over a new one if that is nil or closed.
+func (w *world) sendRequest(zone string, r *request, existing *clientFlow, onFlow func(*clientFlow)) {
 	if r.outcome != pending {
 		return
 	}
 	r.tries++
-	c := over
+	c := existing
 	if c == nil || c.closed {
 		c = w.newFlow(zone, r.address)
 	}
-	if using != nil {
-		using(c)
+	if onFlow != nil {
+		onFlow(c)
 	}
 	c.request = r
 	c.acknowledged = make([]bool, profiles[r.kind].parts)
 	if c.open {
-		c.sendParts(r, firstRepeat)
+		c.sendParts(r, minRetransmitDelay)
 		return
 	}
 	c.opening = true
 	for attempt, at := range []time.Duration{0, firstCopy, secondCopy} {
 		w.After(at, func() { c.sendOpen(uint32(attempt)) })
 	}
-	w.After(openLimit, func() {
+	w.After(openTimeout, func() {
 		if c.opening {
 			c.fail(true)
 		}
@@ -206,11 +209,10 @@
 	return c
 }
 
-// packet is a packet of the flow, as its client writes it.
 func (c *clientFlow) packet(kind steering.Kind) *datagram {
-	d := &datagram{client: c, reply: c.replyTo, sent: c.world.Now}
+	d := &datagram{client: c, serverSequence: c.serverSequence, sent: c.world.Now}
 	d.Flow, d.Kind, d.Sequence = c.key, kind, c.sequence
-	d.Acknowledged = c.replyTo + c.received
+	d.Acknowledged = c.serverSequence + c.received
 	d.Tag = directoryTag(c.tag)
 	return d
 }
@@ -221,11 +223,11 @@
 	}
 	d := c.packet(steering.Open)
 	d.Attempt, d.Tag, d.Acknowledged = attempt, 0, 0
-	c.world.toBalancer(c, d)
+	c.world.sendToBalancer(c, d)
 }
 
-// answered takes a server's SYN+ACK.
-func (c *clientFlow) answered(from *server, sequence uint32, tag uint32) {
+// receiveOpenAnswer handles a server's SYN+ACK.
+func (c *clientFlow) receiveOpenAnswer(from *server, sequence uint32, tag uint32) {
 	if c.closed {
 		return
 	}
@@ -235,35 +237,34 @@
 		return
 	}
 	c.opening, c.open = false, true
-	c.replyTo = sequence
+	c.serverSequence = sequence
 	c.received = 1
 	c.sequence++
-	c.world.toBalancer(c, c.packet(steering.Established))
-	c.sendParts(c.request, firstRepeat)
+	c.world.sendToBalancer(c, c.packet(steering.Established))
+	c.sendParts(c.request, minRetransmitDelay)
 }
 
-// sendParts sends what the server has not acknowledged of a request, and again later.
-func (c *clientFlow) sendParts(r *request, repeat time.Duration) {
+// sendParts sends the unacknowledged parts of a request and schedules their retransmission.
+func (c *clientFlow) sendParts(r *request, delay time.Duration) {
 	if c.closed || r == nil || c.request != r || r.outcome != pending {
 		return
 	}
 	missing := false
-	for part, have := range c.acknowledged {
-		if have {
+	for part, acknowledged := range c.acknowledged {
+		if acknowledged {
 			continue
 		}
 		missing = true
 		d := c.packet(steering.Established)
 		d.request, d.part, d.Payload = r, part, partSize
 		d.Sequence = c.sequence + uint32(part*partSize)
-		c.world.toBalancer(c, d)
+		c.world.sendToBalancer(c, d)
 	}
 	if missing {
-		c.world.After(repeat, func() { c.sendParts(r, min(2*repeat, lastRepeat)) })
+		c.world.After(delay, func() { c.sendParts(r, min(2*delay, maxRetransmitDelay)) })
 	}
 }
 
-// partAcknowledged notes that the server has a part.
 func (c *clientFlow) partAcknowledged(r *request, part int, tag uint32) {
 	if c.closed {
 		return
@@ -274,27 +275,27 @@
 	}
 }
 
-// receive takes the server's answer; closing is set where the flow ends with it.
-func (c *clientFlow) receive(from *server, r *request, a answer, closing bool, tag uint32) {
+// receiveAnswer handles the server's answer; closing is set if the server ends the flow with it.
+func (c *clientFlow) receiveAnswer(from *server, r *request, a answer, closing bool, tag uint32) {
 	if c.closed {
 		return
 	}
 	c.tag = tag
 	if c.request != r || r == nil {
-		c.world.toBalancer(c, c.packet(steering.Established))
+		c.world.sendToBalancer(c, c.packet(steering.Established))
 		return
 	}
 	c.received += a.length
-	if a.outcome == answerFailed {
-		c.leaveAfterFailure(r)
+	if a.outcome == answerError {
+		c.closeAfterFailure(r)
 		return
 	}
-	c.world.toBalancer(c, c.packet(steering.Established))
-	c.world.truth.answered(from, c, r)
+	c.world.sendToBalancer(c, c.packet(steering.Established))
+	c.world.observer.checkAnswer(from, c, r)
 	c.request = nil
 	c.sequence += uint32(profiles[r.kind].parts * partSize)
 	if closing || r.kind != stream {
-		c.finish()
+		c.close()
 	}
 	if a.outcome == answerNotRun {
 		c.closed = true
@@ -302,45 +303,45 @@
 		return
 	}
 	if c.world.Now-r.started <= profiles[r.kind].aim {
-		c.world.end(r, inAim)
+		c.world.endRequest(r, inAim)
 		return
 	}
-	c.world.end(r, late)
+	c.world.endRequest(r, late)
 }
 
-// leaveAfterFailure ends the flow after an answer that is an error. A request that may run again
-// is sent over another flow.
-func (c *clientFlow) leaveAfterFailure(r *request) {
+// closeAfterFailure closes the flow after an error. A stream request is retried over another flow;
+// others fail.
+func (c *clientFlow) closeAfterFailure(r *request) {
 	c.request = nil
 	c.sequence += uint32(profiles[r.kind].parts * partSize)
-	c.finish()
+	c.close()
 	if r.kind == stream {
 		c.world.retry(c, r)
 		return
 	}
-	c.world.end(r, failed)
+	c.world.endRequest(r, failed)
 }
 
-// finish closes the flow.
-func (c *clientFlow) finish() {
+// close sends a packet that closes the flow.
+func (c *clientFlow) close() {
 	c.closed = true
-	c.world.toBalancer(c, c.packet(steering.Close))
+	c.world.sendToBalancer(c, c.packet(steering.Close))
 	delete(c.world.clients, c.key)
 }
 
-// reset ends the flow: by a server, or by a balancer when from is nil.
+// reset handles a reset from a server, or from a balancer if from is nil.
 func (c *clientFlow) reset(from *server) {
 	if c.closed {
 		return
 	}
 	if c.server != nil && from != c.server {
-		c.world.truth.resetByOther(c, from)
+		c.world.observer.checkReset(c, from)
 	}
 	c.fail(!c.open)
 }
 
-// fail ends the flow and tries the request again where that is allowed.
-func (c *clientFlow) fail(neverOpened bool) {
+// fail ends the flow and retries its request if that may run again or the flow never opened.
+func (c *clientFlow) fail(beforeOpen bool) {
 	c.closed, c.opening = true, false
 	delete(c.world.clients, c.key)
 	r := c.request
@@ -348,29 +349,29 @@
 	if r == nil || r.outcome != pending {
 		return
 	}
-	if neverOpened || r.kind == stream {
+	if beforeOpen || r.kind == stream {
 		c.world.retry(c, r)
 		return
 	}
-	c.world.end(r, failed)
+	c.world.endRequest(r, failed)
 }
 
-// retry uses another flow for the request, as often as clients do.
+// retry sends the request over another flow, up to maxTries flows.
 func (w *world) retry(c *clientFlow, r *request) {
 	if r.tries >= maxTries {
-		w.end(r, failed)
+		w.endRequest(r, failed)
 		return
 	}
-	w.try(c.zone, r, nil, nil)
+	w.sendRequest(c.zone, r, nil, nil)
 }
 
-// end settles a request once.
-func (w *world) end(r *request, how outcome) {
+// endRequest sets a request's outcome once and calls its done function.
+func (w *world) endRequest(r *request, result outcome) {
 	if r.outcome != pending {
 		return
 	}
-	r.outcome = how
+	r.outcome = result
 	if r.done != nil {
-		r.done(how != failed)
+		r.done(result != failed)
 	}
 }
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// idleTime is how long a connection that nobody uses stays open.
-const idleTime = 5 * time.Second
+// idleTimeout is how long an unused connection stays open.
+const idleTimeout = 5 * time.Second
 
-// connection is one of a balancer's to the store or to another balancer. Its bytes vanish once it
-// has fallen silent.
+// connection is a balancer's connection to the store or to another balancer. Once blackholed, it
+// drops everything that is sent over it.
 type connection struct {
 	world  *world
 	remote netip.AddrPort
-	// opened counts the times that open connections had fallen silent when it was opened.
-	opened   int
+	// epoch is the world's connectionEpoch when the connection was opened.
+	epoch    int
 	lastUsed time.Duration
 }
 
 // storeAddress is the remote end of connections to the store.
 var storeAddress netip.AddrPort
 
-// connect returns a connection for a call: an idle one where there is one, else a new one.
+// connect returns an idle connection if there is one, and otherwise a new one.
 func (n *node) connect(remote netip.AddrPort) *connection {
-	if c := n.idle[remote]; c != nil && n.world.Now-c.lastUsed <= idleTime {
+	if c := n.idle[remote]; c != nil && n.world.Now-c.lastUsed <= idleTimeout {
 		delete(n.idle, remote)
 		return c
 	}
-	return &connection{world: n.world, remote: remote, opened: n.world.silences}
+	return &connection{world: n.world, remote: remote, epoch: n.world.connectionEpoch}
 }
 
 // release makes a connection idle after an answer.
@@ -36,27 +36,26 @@
 	n.idle[c.remote] = c
 }
 
-// silent tells whether what is sent over the connection now vanishes.
-func (c *connection) silent() bool {
-	return c.opened != c.world.silences
+// isBlackholed reports whether data sent over the connection is dropped.
+func (c *connection) isBlackholed() bool {
+	return c.epoch != c.world.connectionEpoch
 }
 
-// silenceConnections lets all connections that are open fall silent, which counts as a disturbance
-// of all balancers.
-func (w *world) silenceConnections() {
-	w.silences++
+// blackholeConnections blackholes all open connections and disturbs all balancers.
+func (w *world) blackholeConnections() {
+	w.connectionEpoch++
 	for _, n := range w.nodes {
 		n.disturb()
 	}
 }
 
-// connectionsSilent silences connections again and again while servers leave and settings change.
+// connectionsSilent blackholes connections repeatedly while servers leave and settings change.
 func (w *world) connectionsSilent() {
 	for i := range 4 {
-		at := troubleStart + time.Duration(i)*(contactBound+1500*time.Millisecond)
-		w.At(at, w.silenceConnections)
+		at := faultStart + time.Duration(i)*(contactBound+1500*time.Millisecond)
+		w.At(at, w.blackholeConnections)
 		w.At(at+contactBound/4, func() {
-			w.operator.probe = []string{serviceFeed, ""}[i%2]
+			w.operator.probeService = []string{serviceFeed, ""}[i%2]
 			w.operator.publish()
 		})
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestRulesHoldInEveryScenario, with both kinds of routers.
+// TestRulesHoldInEveryScenario covers both kinds of routers.
 func TestRulesHoldInEveryScenario(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range Scenarios {
@@ -17,9 +17,9 @@
 				for _, violation := range result.Violations {
 					t.Errorf("seed %d: %v", seed, violation)
 				}
-				for _, rule := range []string{ruleRoute, ruleDrain, ruleConfig, ruleFlow, ruleTwice, ruleMixed, ruleLost} {
+				for _, rule := range []string{ruleRoute, ruleDrain, ruleConfig, ruleFlow, ruleRunOnce, ruleMixed, ruleLost} {
 					if result.Checks[rule] == 0 {
-						t.Errorf("seed %d: %s had nothing to judge", seed, rule)
+						t.Errorf("seed %d: rule %s was never checked", seed, rule)
 					}
 				}
 			}
@@ -27,10 +27,10 @@
 	}
 }
 
-// TestNoSecondServerAnswersWhereAnswersAreLost: in these seeds a copy went to a second server that
-// answered as well, on a doubt of another balancer (77, 78, 264, 317) or since its routers had moved
-// it to one that did not know the flow (193, 296), nor yet how many answers are lost (22).
-func TestNoSecondServerAnswersWhereAnswersAreLost(t *testing.T) {
+// TestNoSecondServerAnswersWhenAnswersAreLost guards against sending a copy of an opening packet to
+// a second server, be it on a peer's suspicion (77, 78, 264, 317), after routers moved the flow to
+// a balancer that does not know it (193, 296), or while the loss rate is still unknown (22).
+func TestNoSecondServerAnswersWhenAnswersAreLost(t *testing.T) {
 	t.Parallel()
 	scenario, _ := Find("lossy-answers")
 	for _, seed := range []uint64{22, 77, 78, 193, 264, 296, 317} {
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestRulesHoldInLargeZones, in which most balancers leave the store to a few when it fails.
+// TestRulesHoldInLargeZones covers zones in which most balancers leave the store to a few when it
+// fails.
 func TestRulesHoldInLargeZones(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"store-silent", "store-cut", "store-turns-away", "cut-sources", "connections-silent", "evacuate-dark"} {
@@ -57,34 +58,33 @@
 	}
 }
 
-// TestServedShare bounds what each trouble may cost, so that a mechanism that
-// stops working shows even where it breaks no rule. What is served varies from seed to seed, so
-// that the mean of several is judged: of eight, and of more where its spread is as large as what
-// lies between the bound and the mean of many seeds (kill-all: 0.002 on one seed, 0.9609 of 160).
+// TestServedShare bounds what each scenario may cost, which detects a mechanism that stops working
+// without breaking a rule. Results vary between seeds, so it checks the mean of several; scenarios
+// with a wider spread use more seeds.
 func TestServedShare(t *testing.T) {
 	t.Parallel()
-	const usual = 8
+	const defaultSeeds = 8
 	for _, test := range []struct {
 		scenario      string
 		inAim, served float64
 		seeds         int
 	}{
-		{"calm", 0.995, 1, usual},
-		{"rolling-restart", 0.99, 0.999, usual},
-		{"servers-differ", 0.99, 0.999, usual},
-		{"release", 0.99, 0.999, usual},
-		{"release-quiet", 0.99, 0.999, usual},
-		{"config-storm", 0.99, 0.999, usual},
-		{"store-silent", 0.99, 0.999, usual},
-		{"store-busy", 0.99, 0.999, usual},
-		{"store-lapse", 0.99, 0.999, usual},
-		{"start-in-outage", 0.99, 0.999, usual},
-		{"server-crash", 0.98, 0.99, usual},
-		{"balancer-kill", 0.985, 0.999, usual},
-		{"kill-all", 0.96, 0.99, 3 * usual},
-		{"evacuate", 0.99, 0.999, usual},
-		{"evacuate-compact", 0.99, 0.999, usual},
-		{"evacuate-cut", 0.98, 0.999, usual},
+		{"calm", 0.995, 1, defaultSeeds},
+		{"rolling-restart", 0.99, 0.999, defaultSeeds},
+		{"servers-differ", 0.99, 0.999, defaultSeeds},
+		{"release", 0.99, 0.999, defaultSeeds},
+		{"release-quiet", 0.99, 0.999, defaultSeeds},
+		{"config-storm", 0.99, 0.999, defaultSeeds},
+		{"store-silent", 0.99, 0.999, defaultSeeds},
+		{"store-busy", 0.99, 0.999, defaultSeeds},
+		{"store-lapse", 0.99, 0.999, defaultSeeds},
+		{"start-in-outage", 0.99, 0.999, defaultSeeds},
+		{"server-crash", 0.98, 0.99, defaultSeeds},
+		{"balancer-kill", 0.985, 0.999, defaultSeeds},
+		{"kill-all", 0.96, 0.99, 3 * defaultSeeds},
+		{"evacuate", 0.99, 0.999, defaultSeeds},
+		{"evacuate-compact", 0.99, 0.999, defaultSeeds},
+		{"evacuate-cut", 0.98, 0.999, defaultSeeds},
 	} {
 		t.Run(test.scenario, func(t *testing.T) {
 			t.Parallel()
@@ -110,17 +110,17 @@
 	return Run(Options{Scenario: scenario, Seed: seed, Without: without})
 }
 
-// seedWindow is how many seeds are tried until one shows what a mechanism is for:
-// which one does depends on the order of random draws, and so on the code.
-const seedWindow = 80
+// maxSeeds is how many seeds are tried until one breaks the rule. Which one does depends on the
+// order of random draws, and so on the code.
+const maxSeeds = 80
 
-// TestEachMechanismIsNeeded turns mechanisms off and shows the rule that breaks
-// under a schedule that breaks none with them.
+// TestEachMechanismIsNeeded checks that a rule breaks without a mechanism in a run that breaks none
+// with it.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name, scenario string
-		// seed is where the search begins.
+		// seed is the first seed tried.
 		seed    uint64
 		without Without
 		rule    string
@@ -138,32 +138,33 @@
 		{"copies go where the first one went, or others are asked", "lossy", 1, Without{CopyMemory: true, Inquiries: true}, ruleFlow},
 		{"a flow that is open stays where it is", "lossy", 81, Without{Pins: true}, ruleFlow},
 		{"a flow that is open stays where it is", "lossy-answers", 1, Without{Pins: true}, ruleFlow},
-		{"an evacuation is heard of", "evacuate", 1, Without{Evacuations: true}, ruleEvac},
-		{"an evacuation is heard of from others", "evacuate-turned-away", 1, Without{Peers: true}, ruleEvac},
+		{"an evacuation is heard of", "evacuate", 1, Without{Evacuations: true}, ruleEvacuation},
+		{"an evacuation is heard of from others", "evacuate-turned-away", 1, Without{Peers: true}, ruleEvacuation},
 		{"opening packets that waited are dropped", "chaos", 1, Without{Standstill: true}, ruleFlow},
 	} {
 		t.Run(test.name+" "+test.scenario, func(t *testing.T) {
 			t.Parallel()
 			scenario, _ := Find(test.scenario)
-			for seed := test.seed; seed < test.seed+seedWindow; seed++ {
+			for seed := test.seed; seed < test.seed+maxSeeds; seed++ {
 				options := Options{Scenario: scenario, Seed: seed, Steady: seed%2 == 0, Without: test.without}
 				broken := Run(options)
-				if !slices.Contains(broken.Broken(), test.rule) {
+				if !slices.Contains(broken.BrokenRules(), test.rule) {
 					continue
 				}
 				options.Without = Without{}
 				if with := Run(options); len(with.Violations) > 0 {
-					t.Errorf("seed %d breaks with the mechanism: %v", seed, with.Violations[0])
+					t.Errorf("seed %d: violation with the mechanism: %v", seed, with.Violations[0])
 				}
 				return
 			}
-			t.Errorf("without the mechanism %s does not break in %d seeds", test.rule, seedWindow)
+			t.Errorf("without the mechanism, rule %s does not break in %d seeds", test.rule, maxSeeds)
 		})
 	}
 }
 
-// TestSomeMechanismsServeMore: what these are for shows in the requests served.
-func TestSomeMechanismsServeMore(t *testing.T) {
+// TestMechanismsImproveServiceMetrics covers mechanisms that no rule depends on: without them the
+// metrics are worse.
+func TestMechanismsImproveServiceMetrics(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name, scenario string
@@ -186,18 +187,17 @@
 	} {
 		t.Run(test.name+" "+test.scenario, func(t *testing.T) {
 			t.Parallel()
-			with, without := meanOf(t, test.scenario, Without{}), meanOf(t, test.scenario, test.without)
+			with, without := meanResult(t, test.scenario, Without{}), meanResult(t, test.scenario, test.without)
 			if !test.worse(with, without) {
-				t.Errorf("no difference: in aim %.4f and %.4f, calls %d and %d, busiest %.2f and %.2f",
+				t.Errorf("with and without the mechanism: in aim %.4f and %.4f, store calls %d and %d, busiest %.2f and %.2f",
 					with.InAim, without.InAim, with.StoreCalls, without.StoreCalls, with.Busiest, without.Busiest)
 			}
 		})
 	}
 }
 
-// meanOf is the mean of eight seeds, in what the test above compares: what one seed shows
-// depends on the order of random draws, and so on the code.
-func meanOf(t *testing.T, scenario string, without Without) Result {
+// meanResult returns the mean of the compared metrics over several seeds.
+func meanResult(t *testing.T, scenario string, without Without) Result {
 	t.Helper()
 	const seeds = 8
 	var mean Result
@@ -212,14 +212,14 @@
 	return mean
 }
 
-// TestSoundAnswersTakeNobodyOutOfRotation, however much they differ: loads stay as even as without
-// the mechanism.
-func TestSoundAnswersTakeNobodyOutOfRotation(t *testing.T) {
+// TestVariedAnswersEjectNoBackend guards against taking short answers for failures: loads stay as
+// even as without outlier detection.
+func TestVariedAnswersEjectNoBackend(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range []string{"calm", "answers-vary", "lossy"} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
-			with, without := meanOf(t, scenario, Without{}), meanOf(t, scenario, Without{Outliers: true})
+			with, without := meanResult(t, scenario, Without{}), meanResult(t, scenario, Without{Outliers: true})
 			if with.Busiest > without.Busiest+0.05 || with.InAim < without.InAim-0.002 {
 				t.Errorf("busiest %.3f and %.3f, in aim %.4f and %.4f", with.Busiest, without.Busiest, with.InAim, without.InAim)
 			}
@@ -227,7 +227,7 @@
 	}
 }
 
-// TestWeightsAreKept within a few percent, by requests.
+// TestWeightsAreKept checks the shares of requests against the weights of a split route.
 func TestWeightsAreKept(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -237,7 +237,7 @@
 	}
 }
 
-// TestEqualSeedsGiveEqualRuns: what a run does never depends on the order of a map.
+// TestEqualSeedsGiveEqualRuns guards against runs that depend on map iteration order.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range []string{"chaos", "lossy", "servers-hang"} {
@@ -253,20 +253,20 @@
 	}
 }
 
-// TestControlTrafficStaysBounded in fleets larger than a balancer's table of peers.
+// TestControlTrafficStaysBounded covers fleets larger than a balancer's table of peers.
 func TestControlTrafficStaysBounded(t *testing.T) {
 	t.Parallel()
 	scenario, _ := Find("calm")
 	for _, perZone := range []int{3, 12, 40} {
 		result := Run(Options{Scenario: scenario, Seed: 1, BalancersPerZone: perZone})
 		if result.HellosPerSecond > 70 {
-			t.Errorf("%d balancers a zone: %.0f hellos a second and balancer", perZone, result.HellosPerSecond)
+			t.Errorf("%d balancers a zone: %.0f hellos per second and balancer", perZone, result.HellosPerSecond)
 		}
 		if result.HelloBytesPerSecond > 4096 {
-			t.Errorf("%d balancers a zone: %.0f bytes of hellos a second and balancer", perZone, result.HelloBytesPerSecond)
+			t.Errorf("%d balancers a zone: %.0f bytes of hellos per second and balancer", perZone, result.HelloBytesPerSecond)
 		}
-		if share := float64(result.StoreCalls) / float64(3*perZone) / defaultLength.Seconds(); perZone > 3 && share > 0.35 {
-			t.Errorf("%d balancers a zone: %.2f calls to the store a second and balancer", perZone, share)
+		if share := float64(result.StoreCalls) / float64(3*perZone) / defaultDuration.Seconds(); perZone > 3 && share > 0.35 {
+			t.Errorf("%d balancers a zone: %.2f store calls per second and balancer", perZone, share)
 		}
 		if result.Served < 0.999 {
 			t.Errorf("%d balancers a zone: %.4f served", perZone, result.Served)
--- a/internal/emulator/listing.go
+++ b/internal/emulator/listing.go
@@ -10,7 +10,7 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// storePage is how many entries of servers the store lists in one answer.
+// storePage is the maximum number of server entries in one page.
 const storePage = 8
 
 // page is one answer of a listing.
@@ -20,105 +20,108 @@
 	records  []directory.Record
 	// evacuations stand on the first page, before the servers.
 	evacuations []directory.Evacuation
-	// kept are the parts of the snapshot, before the servers as well.
-	kept []snapshot.Stored
-	// more is set where the listing goes on after last.
+	// snapshotParts stand on the first page as well.
+	snapshotParts []snapshot.Stored
+	// more is set if the listing continues after the entry last.
 	more bool
 	last settings.BackendID
 }
 
-// listPage reads the next page of a listing into what was read of it so far.
-func (n *node) listPage(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
-	toAsker, over := n.toThisRun(), n.connect(storeAddress)
-	n.world.store.list(n, over, after, func(answer *page, err error) {
-		toAsker(func() {
-			n.release(over)
-			n.listed(paged, listing, after, answer, err, end)
+// listPage requests the page after an entry and adds it to the listing.
+func (n *node) listPage(progress *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
+	inProcess, conn := n.forThisProcess(), n.connect(storeAddress)
+	n.world.store.list(n, conn, after, func(answer *page, err error) {
+		inProcess(func() {
+			n.release(conn)
+			n.receivePage(progress, listing, after, answer, err, end)
 		})
 	})
 }
 
-// listed takes over a page. Pages are no snapshot: the listing is complete up to the
-// revision of its first one.
-func (n *node) listed(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, answer *page, err error, end func(follow.Outcome)) {
+// receivePage handles a page. Pages are read at different revisions, so the listing is complete up
+// to the revision of its first page only.
+func (n *node) receivePage(progress *follow.Listing, listing *directory.Listing, after settings.BackendID, answer *page, err error, end func(follow.Outcome)) {
 	if err != nil {
-		n.listAgain(paged, listing, after, end)
+		n.retryPage(progress, listing, after, end)
 		return
 	}
 	if listing.Revision == 0 {
 		listing.Revision, listing.Settings, listing.Evacuations = answer.revision, answer.settings, answer.evacuations
-		n.kept = answer.kept
-		n.noteConfirmed(0, false)
+		n.snapshotParts = answer.snapshotParts
+		n.recordConfirmed(0, false)
 	}
 	first := len(listing.Records) == 0
 	listing.Records = append(listing.Records, answer.records...)
 	if first && answer.more {
-		n.takeOutline(listing)
+		n.applySummary(listing)
 	}
 	if answer.more {
-		n.goOnListing(paged, listing, answer.last, end)
+		n.continueListing(progress, listing, answer.last, end)
 		return
 	}
 	n.readSnapshot(listing)
-	n.replace(listing, 0)
+	n.applyListing(listing, 0)
 	end(follow.Outcome{})
 }
 
-// takeOutline lets new flows be placed by the first page of a listing where nothing is known yet.
-func (n *node) takeOutline(outline *directory.Listing) {
+// applySummary applies the first page of a listing if the balancer has no settings yet, so that it
+// can place new flows.
+func (n *node) applySummary(summary *directory.Listing) {
 	if n.directory.SettingsVersion() > 0 {
 		return
 	}
-	n.directory.ApplySummary(n.now(), outline)
+	n.directory.ApplySummary(n.now(), summary)
 	n.setView()
 	if n.ready = n.directory.SettingsVersion() > 0; n.ready {
 		n.handleHeld()
 	}
 }
 
-// listAgain asks for a page that failed again, where the listing says so.
-func (n *node) listAgain(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
-	wait, again := paged.Failed(storeAnswer)
-	if !again {
+// retryPage requests a failed page again if the listing allows it.
+func (n *node) retryPage(progress *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
+	wait, retry := progress.Failed(storeLatency)
+	if !retry {
 		end(follow.Outcome{Result: follow.Failed})
 		return
 	}
-	n.whileRunning(wait, func() { n.listPage(paged, listing, after, end) })
+	n.whileRunning(wait, func() { n.listPage(progress, listing, after, end) })
 }
 
-// goOnListing asks a listing how it goes on after a page.
-func (n *node) goOnListing(paged *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
+// continueListing does what the listing decides after a page: reads the next one, waits for peers,
+// or abandons the listing.
+func (n *node) continueListing(progress *follow.Listing, listing *directory.Listing, after settings.BackendID, end func(follow.Outcome)) {
 	index, _, _ := n.peers.Position(n.now())
-	switch paged.Next(n.now(), n.directory.Revision(), n.peers.HasLowerRank(n.now()), index) {
+	switch progress.Next(n.now(), n.directory.Revision(), n.peers.HasLowerRank(n.now()), index) {
 	case follow.NextPage:
-		n.listPage(paged, listing, after, end)
+		n.listPage(progress, listing, after, end)
 	case follow.WaitForPeers:
-		n.whileRunning(follow.ListPoll, func() { n.goOnListing(paged, listing, after, end) })
+		n.whileRunning(follow.ListPoll, func() { n.continueListing(progress, listing, after, end) })
 	case follow.AbandonListing:
 		end(follow.Outcome{Result: follow.Superseded})
 	}
 }
 
-// list answers a page of a listing, or not at all.
-func (s *store) list(n *node, over *connection, after settings.BackendID, reply func(*page, error)) {
+// list replies with a page of a listing, or not at all if the store is unreachable.
+func (s *store) list(n *node, conn *connection, after settings.BackendID, reply func(*page, error)) {
 	s.calls++
-	n.countCall()
+	n.countStoreCall()
 	s.world.After(clientDelay, func() {
-		if !s.reachable(n) || over.silent() {
+		if !s.reachable(n) || conn.isBlackholed() {
 			return
 		}
-		if s.refuses(n) {
+		if s.rejects(n) {
 			s.world.After(clientDelay, func() { reply(nil, errStore) })
 			return
 		}
 		s.world.After(s.latency(), func() {
 			answer := s.pageAfter(after)
-			s.deliver(n, over, func() { reply(answer, nil) })
+			s.deliver(n, conn, func() { reply(answer, nil) })
 		})
 	})
 }
 
-// pageAfter collects the page that follows an entry, in the order in which servers began.
+// pageAfter returns the page after an entry, in the order in which servers started; 0 starts at the
+// beginning.
 func (s *store) pageAfter(after settings.BackendID) *page {
 	answer := &page{revision: s.revision, settings: s.settings}
 	skip := after != 0
@@ -128,7 +131,7 @@
 		}
 	}
 	if !skip {
-		answer.kept = s.parts()
+		answer.snapshotParts = s.orderedSnapshotParts()
 	}
 	for _, server := range s.world.incarnations {
 		if skip {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	controlPort = 8166
-	// startTime is how long a process takes to start.
-	startTime = 40 * time.Millisecond
-	// restartTime is how long the platform takes to start an ended process again.
+	controlPort      = 8166
+	processStartTime = 40 * time.Millisecond
+	// restartTime is how long the platform takes to restart an ended process.
 	restartTime = 300 * time.Millisecond
-	// releaseTime is how long a stopping process goes on forwarding.
-	releaseTime = 1900 * time.Millisecond
-	// seedCount is how many addresses of others a process is given.
+	// drainTime is how long a stopping process continues to forward.
+	drainTime = 1900 * time.Millisecond
+	// seedCount is how many addresses of other balancers a process is given.
 	seedCount = 3
-	// writeTimeout is how long an answer to a write of the snapshot is awaited.
+	// writeTimeout is how long a process waits for the answer to a write of the snapshot.
 	writeTimeout = 1500 * time.Millisecond
 )
 
 var (
-	errStore   = errors.New("the store does not answer")
-	errHistory = errors.New("the store's history is lost")
+	errStore   = errors.New("store unavailable")
+	errHistory = errors.New("store history compacted")
 )
 
-// datagram is a packet with what its receiver makes of it.
+// datagram is a packet with the data that its receiver needs.
 type datagram struct {
 	steering.Packet
 	client *clientFlow
-	// request is the request that data belongs to, nil for none; part numbers it.
+	// request is the request that the data belongs to, nil for none; part is the index of its part.
 	request *request
 	part    int
-	// reply is the server's sequence that the packet acknowledges.
-	reply uint32
-	// sent is when the client sent it; copies of an opening packet have their own.
+	// serverSequence is the server's initial sequence number as the client knows it.
+	serverSequence uint32
+	// sent is when the client sent the packet; each copy of an opening packet has its own.
 	sent time.Duration
 }
 
@@ -50,23 +49,23 @@
 	world   *world
 	zone    string
 	control netip.AddrPort
-	// capacity is the machine's, for tasks of the fleet; calls counts those to the store since traffic
-	// began.
-	capacity peers.Capacity
-	calls    int
+	// capacity is the machine's, for the ranking of peers. storeCalls counts its calls to the store
+	// since trafficStart.
+	capacity   peers.Capacity
+	storeCalls int
 
-	// run numbers the processes; 0 is none.
-	run     int
+	// process numbers the machine's processes; 0 is none.
+	process int
 	up      bool
-	frozen  bool
+	paused  bool
 	leaving bool
-	// failing is set while the store does not answer.
-	failing bool
-	// cutFromStore and cutFromPeers hold while the machine is cut off.
-	cutFromStore, cutFromPeers bool
-	// turnedAway is set while the store refuses this machine's calls and serves others.
-	turnedAway bool
-	queue      []*datagram
+	// storeUnavailable is set from follow.Lost to follow.Regained.
+	storeUnavailable bool
+	// partitionedFromStore and partitionedFromPeers are set while the machine is partitioned.
+	partitionedFromStore, partitionedFromPeers bool
+	// rejectedByStore is set while the store rejects this machine's calls and serves others.
+	rejectedByStore bool
+	queue           []*datagram
 	// disturbed is when the machine was last disturbed.
 	disturbed time.Duration
 
@@ -76,56 +75,58 @@
 	peers     *peers.Table
 	follower  *follow.Follower
 	confirmed follow.Confirmation
-	// told is the revision up to which those that wait have heard of changes.
-	told    uint64
-	learned bool
-	lag     follow.Lag
-	// snapshots decides when the snapshot is written; kept are the parts that the last listing found, and
-	// knownAt is when anything was first known. asksStore is set while the store is followed itself.
-	snapshots snapshot.Writer
-	kept      []snapshot.Stored
-	knownAt   time.Duration
-	asksStore bool
-	// idle are the process's connections that no call uses.
+	// notifiedRevision is reset at each start and not used otherwise.
+	notifiedRevision uint64
+	listingRequested bool
+	lag              follow.Lag
+	// snapshots decides when the snapshot is written. snapshotParts are the parts that the last
+	// listing found. firstKnownAt is when the process first had any state. followsStore is set
+	// while the process follows the store directly.
+	snapshots     snapshot.Writer
+	snapshotParts []snapshot.Stored
+	firstKnownAt  time.Duration
+	followsStore  bool
+	// idle holds the process's idle connections by remote end.
 	idle map[netip.AddrPort]*connection
-	// giveUp ends the follower's present call.
-	giveUp func(follow.Outcome)
-	ready  bool
-	// polls are balancers that wait for changes here.
-	polls []func()
-	// newest is the newest version that a packet was handled by in this run.
-	newest uint64
-	held   []heldDatagram
+	// abandonCall ends the follower's current call; nil before the first one.
+	abandonCall func(follow.Outcome)
+	ready       bool
+	// pendingReplies answer the peers that wait for changes here.
+	pendingReplies []func()
+	// newestVersion is the newest version by which this process handled a packet.
+	newestVersion uint64
+	held          []heldDatagram
 }
 
-// countCall counts a call to the store. At the first start all list at once, whatever their machines.
-func (n *node) countCall() {
+// countStoreCall counts a call to the store. Calls before trafficStart do not count: at the first
+// start every balancer lists the store.
+func (n *node) countStoreCall() {
 	if n.world.Now >= trafficStart {
-		n.calls++
+		n.storeCalls++
 	}
 }
 
-// heldDatagram is one that came before anything was known.
+// heldDatagram is a packet held until the balancer has state.
 type heldDatagram struct {
 	datagram *datagram
 	at       time.Duration
 }
 
-// start begins a process that knows nothing.
+// start begins a new process without any state.
 func (n *node) start() {
 	w := n.world
-	n.run++
-	n.up, n.leaving, n.ready, n.learned = true, false, false, false
-	n.startedAt, n.newest, n.confirmed, n.told, n.failing = w.Now, 0, follow.Confirmation{}, 0, false
-	n.polls, n.held, n.queue, n.giveUp, n.lag = nil, nil, nil, nil, follow.Lag{}
+	n.process++
+	n.up, n.leaving, n.ready, n.listingRequested = true, false, false, false
+	n.startedAt, n.newestVersion, n.confirmed, n.notifiedRevision, n.storeUnavailable = w.Now, 0, follow.Confirmation{}, 0, false
+	n.pendingReplies, n.held, n.queue, n.abandonCall, n.lag = nil, nil, nil, nil, follow.Lag{}
 	n.idle = map[netip.AddrPort]*connection{}
-	n.snapshots, n.kept, n.knownAt, n.asksStore = snapshot.Writer{}, nil, 0, false
-	keep := flowLife + drainBound
+	n.snapshots, n.snapshotParts, n.firstKnownAt, n.followsStore = snapshot.Writer{}, nil, 0, false
+	retention := flowLife + drainBound
 	if w.options.Without.Departed {
-		keep = -1
+		retention = -1
 	}
-	n.directory = directory.New(keep)
-	n.directory.SetInterval(heartbeat)
+	n.directory = directory.New(retention)
+	n.directory.SetInterval(heartbeatInterval)
 	n.directory.SetExpiryBounds(directory.ExpiryBoundsFor(contactBound, drainBound))
 	n.steerer = steering.New(steering.Config{
 		Zone: n.zone, FlowLife: flowLife, RemovalGrace: drainBound / 2,
@@ -150,9 +151,9 @@
 	})
 	n.peers = peers.New(n.introduction())
 	n.follower = follow.New(contactBound, 0)
-	n.whileRunning(startTime, func() {
+	n.whileRunning(processStartTime, func() {
 		if !w.options.Without.Peers {
-			n.everyWhileRunning(peers.HelloInterval, n.sayHello)
+			n.everyWhileRunning(peers.HelloInterval, n.sendHellos)
 		}
 		n.everyWhileRunning(time.Second, n.tick)
 		n.everyWhileRunning(steering.PulseInterval, func() { n.steerer.Pulse(n.now()) })
@@ -160,15 +161,15 @@
 	})
 }
 
-// whileRunning runs a function later if the same process is still there. One that
-// stands still does it when it goes on.
+// whileRunning calls a function after a delay if the same process is still running. A paused
+// process calls it once it resumes.
 func (n *node) whileRunning(delay time.Duration, do func()) {
-	run := n.run
+	process := n.process
 	var attempt func()
 	attempt = func() {
 		switch {
-		case n.run != run || !n.up:
-		case n.frozen:
+		case n.process != process || !n.up:
+		case n.paused:
 			n.world.After(50*time.Millisecond, attempt)
 		default:
 			do()
@@ -177,13 +178,13 @@
 	n.world.After(delay, attempt)
 }
 
-// toThisRun returns a function that lets the process that runs now do something, and nobody
-// if that one has ended by then: its connections are gone, and what was asked over them is
-// not answered to the next process.
-func (n *node) toThisRun() func(do func()) {
-	run := n.run
+// forThisProcess returns a function that calls its argument in the current process, and does
+// nothing once that has ended: its connections are closed, so the next process gets no answers to
+// its requests.
+func (n *node) forThisProcess() func(do func()) {
+	process := n.process
 	return func(do func()) {
-		if n.run == run {
+		if n.process == process {
 			n.whileRunning(0, do)
 		}
 	}
@@ -194,7 +195,7 @@
 	n.whileRunning(interval, func() { n.everyWhileRunning(interval, do) })
 }
 
-// now is the time of the process: since its start.
+// now returns the time since the process started.
 func (n *node) now() time.Duration {
 	return n.world.Now - n.startedAt
 }
@@ -213,131 +214,131 @@
 	n.steerer.SetView(n.directory.View())
 }
 
-// believe lets packets be steered by what is known now and tells those that wait.
-func (n *node) believe(age time.Duration) {
-	n.confirmed.Update(n.now(), age)
+// updateView steers packets by the current state and answers the peers that wait. staleness is the
+// age of the state's confirmation by the store.
+func (n *node) updateView(staleness time.Duration) {
+	n.confirmed.Update(n.now(), staleness)
 	if n.world.options.Without.Departed {
 		n.directory.Forget(n.now())
 	}
 	n.setView()
 	n.ready = n.directory.SettingsVersion() > 0
-	n.wakePolls()
+	n.sendPendingReplies()
 	n.handleHeld()
 }
 
-// handleHeld decides anew on what came before anything, or all of it, was known.
 func (n *node) handleHeld() {
 	held := n.held
 	n.held = nil
-	for _, kept := range held {
-		again := *kept.datagram
-		again.Held = n.now() - kept.at
-		n.handle(&again)
+	for _, packet := range held {
+		retry := *packet.datagram
+		retry.Held = n.now() - packet.at
+		n.handle(&retry)
 	}
 }
 
-func (n *node) wakePolls() {
-	polls := n.polls
-	n.polls = nil
+func (n *node) sendPendingReplies() {
+	polls := n.pendingReplies
+	n.pendingReplies = nil
 	for _, poll := range polls {
 		poll()
 	}
 }
 
-// answersReady is what the routers' probe sees.
-func (n *node) answersReady() bool {
-	return n.up && !n.frozen && n.ready && !n.leaving
+// isReady reports what a router's readiness probe sees.
+func (n *node) isReady() bool {
+	return n.up && !n.paused && n.ready && !n.leaving
 }
 
-// receive takes a packet from a router.
+// receive handles a packet from a router; a paused process queues it.
 func (n *node) receive(d *datagram) {
 	switch {
 	case !n.up:
-	case n.frozen:
-		n.world.trace(d.client, "balancer %s stands still: kind %d attempt %d waits", n.control, d.Kind, d.Attempt)
+	case n.paused:
+		n.world.trace(d.client, "balancer %s is paused: kind %d attempt %d is queued", n.control, d.Kind, d.Attempt)
 		n.queue = append(n.queue, d)
 	default:
 		n.handle(d)
 	}
 }
 
-// handle steers a packet.
+// handle steers a packet and acts on the decision.
 func (n *node) handle(d *datagram) {
 	packet := d.Packet
-	verdict := n.steerer.Steer(n.now(), &packet)
+	decision := n.steerer.Steer(n.now(), &packet)
 	n.actOnObservations()
-	n.world.trace(d.client, "balancer %s: kind %d attempt %d tag %08x: action %d reason %v to %v", n.control, packet.Kind, packet.Attempt, uint32(packet.Tag), verdict.Action, verdict.Reason, verdictServer(&verdict))
-	switch verdict.Action {
+	n.world.trace(d.client, "balancer %s: kind %d attempt %d tag %08x: action %d reason %v to %v", n.control, packet.Kind, packet.Attempt, uint32(packet.Tag), decision.Action, decision.Reason, decisionServer(&decision))
+	switch decision.Action {
 	case steering.Drop:
-		if !n.ready || n.directory.Revision() == 0 && verdict.Reason == errkind.UnknownTag {
+		if !n.ready || n.directory.Revision() == 0 && decision.Reason == errkind.UnknownTag {
 			n.held = append(n.held, heldDatagram{d, n.now()})
 		}
 	case steering.Wait:
-		again := *d
-		again.Waited = true
-		n.whileRunning(steering.CopyWait, func() { n.handle(&again) })
+		delayed := *d
+		delayed.Waited = true
+		n.whileRunning(steering.CopyWait, func() { n.handle(&delayed) })
 	case steering.Refuse:
-		if verdict.Reason != errkind.BackendLost {
-			n.world.truth.refused(n, d)
+		if decision.Reason != errkind.BackendLost {
+			n.world.observer.checkRefusal(n, d)
 		}
 		n.world.send(n.zone, "", func() { d.client.reset(nil) })
 	case steering.Forward:
-		backend := verdict.Backend
+		backend := decision.Backend
 		forwarded := *d
-		forwarded.Tag = verdict.Tag
+		forwarded.Tag = decision.Tag
 		id := backend.ID
 		if n.world.options.Without.ServerNames {
 			id = 0
 		}
-		n.world.truth.forwarded(n, d, backend.ID)
-		n.world.send(n.zone, backend.Zone, func() { n.world.arriveAtServer(n, backend.Address, id, &forwarded) })
+		n.world.observer.checkForwarded(n, d, backend.ID)
+		n.world.send(n.zone, backend.Zone, func() { n.world.deliverToServer(n, backend.Address, id, &forwarded) })
 	}
 }
 
-func verdictServer(verdict *steering.Decision) string {
-	if verdict.Backend == nil {
-		return "nobody"
+func decisionServer(decision *steering.Decision) string {
+	if decision.Backend == nil {
+		return "no server"
 	}
-	return idText(verdict.Backend.ID)
+	return idText(decision.Backend.ID)
 }
 
-// stop is a planned stop: readiness falls, packets are forwarded until the routers
-// have let go.
+// stop begins a planned stop: the process is not ready, but forwards until the routers have stopped
+// using it.
 func (n *node) stop() {
 	n.disturb()
 	n.leaving = true
-	n.wakePolls()
+	n.sendPendingReplies()
 	if n.world.options.Without.Release {
 		n.kill(restartTime)
 		return
 	}
-	n.whileRunning(releaseTime, func() { n.kill(restartTime) })
+	n.whileRunning(drainTime, func() { n.kill(restartTime) })
 }
 
 // kill ends the process; another one starts after downtime.
 func (n *node) kill(downtime time.Duration) {
 	n.disturb()
-	n.up, n.frozen, n.queue = false, false, nil
-	run := n.run
+	n.up, n.paused, n.queue = false, false, nil
+	process := n.process
 	n.world.After(downtime, func() {
-		if n.run == run {
+		if n.process == process {
 			n.disturb()
 			n.start()
 		}
 	})
 }
 
-// freeze lets the process stand still; what arrives waits.
-func (n *node) freeze(length time.Duration) {
+// pause suspends the process; packets that arrive meanwhile are queued.
+func (n *node) pause(length time.Duration) {
 	n.disturb()
-	n.frozen = true
-	run := n.run
+	n.paused = true
+	process := n.process
 	n.world.After(length, func() {
 		n.disturb()
-		if n.run != run || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
-		n.frozen = false
+		n.paused = false
 		queue := n.queue
 		n.queue = nil
 		for _, d := range queue {
@@ -346,12 +347,12 @@
 	})
 }
 
-// disturb notes that the machine is being disturbed.
 func (n *node) disturb() {
 	n.disturbed = n.world.Now
 }
 
-// inTouch tells whether nothing has disturbed the machine for the contact bound.
-func (n *node) inTouch() bool {
-	return n.up && !n.frozen && !n.cutFromStore && n.world.Now-n.disturbed >= contactBound && n.world.store.stable()
+// isInContact reports whether the process runs and reaches the store, and neither was disturbed
+// within the contact bound.
+func (n *node) isInContact() bool {
+	return n.up && !n.paused && !n.partitionedFromStore && n.world.Now-n.disturbed >= contactBound && n.world.store.isStable()
 }
--- a/internal/emulator/node_lapsed.go
+++ b/internal/emulator/node_lapsed.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// noteConfirmed lets the directory know that the store confirmed age ago what is believed, unless another
-// balancer has told together with it what lapsed.
-func (n *node) noteConfirmed(age time.Duration, told bool) {
-	if !told {
-		n.directory.DetectStoreReturn(n.now(), age, n.confirmed.Age(n.now()))
+// recordConfirmed reports to the directory how long ago the store confirmed the state. A
+// confirmation from a peer's changes is not evidence of the store's return: the peer reports that
+// itself.
+func (n *node) recordConfirmed(staleness time.Duration, fromPeer bool) {
+	if !fromPeer {
+		n.directory.DetectStoreReturn(n.now(), staleness, n.confirmed.Age(n.now()))
 	}
 }
 
-// tellReturn takes down when the store returned, for another balancer that is told what lapsed.
-func (n *node) tellReturn() func(asker *node) {
+// captureStoreReturn records when the store returned and returns a function that passes this to a
+// balancer, together with the entries that expired.
+func (n *node) captureStoreReturn() func(requester *node) {
 	age, returning := n.directory.ReturnAge(n.now())
-	return func(asker *node) {
+	return func(requester *node) {
 		if returning {
-			asker.directory.ReceiveStoreReturn(asker.now() - age)
+			requester.directory.ReceiveStoreReturn(requester.now() - age)
 		}
 	}
 }
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -10,37 +10,39 @@
 	"gaugeyard/internal/steering"
 )
 
-// askPeer waits at another balancer for changes.
-func (n *node) askPeer(call follow.Call, end func(follow.Outcome)) {
+// queryPeer requests changes from another balancer and waits for its answer.
+func (n *node) queryPeer(call follow.Call, end func(follow.Outcome)) {
 	peer := n.world.nodeAt(call.Peer)
-	if peer == nil || n.cutFromPeers || peer.cutFromPeers {
+	if peer == nil || n.partitionedFromPeers || peer.partitionedFromPeers {
 		return
 	}
-	after, base, age := n.directory.Revision(), n.directory.SettingsRevision(), n.confirmed.Age(n.now())
-	run, over := n.toThisRun(), n.connect(call.Peer)
-	toAsker := func(do func()) {
-		if over.silent() {
+	after, base, staleness := n.directory.Revision(), n.directory.SettingsRevision(), n.confirmed.Age(n.now())
+	inProcess, conn := n.forThisProcess(), n.connect(call.Peer)
+	runOnRequester := func(do func()) {
+		if conn.isBlackholed() {
 			return
 		}
-		run(func() {
-			n.release(over)
+		inProcess(func() {
+			n.release(conn)
 			do()
 		})
 	}
 	n.world.After(n.world.delay(n.zone, peer.zone), func() {
-		if over.silent() {
+		if conn.isBlackholed() {
 			return
 		}
 		peer.whileRunning(0, func() {
-			peer.whenChanged(after, age, call.Wait, func() { n.world.After(n.world.delay(n.zone, peer.zone), peer.answerFor(n, toAsker, after, base, end)) })
+			peer.waitForChange(after, staleness, call.Wait, func() {
+				n.world.After(n.world.delay(n.zone, peer.zone), peer.prepareAnswer(n, runOnRequester, after, base, end))
+			})
 		})
 	})
 }
 
-// whenChanged runs reply once there is something newer, also a newer confirmation than one of
-// the age, or the wait is over.
-func (n *node) whenChanged(after uint64, age, wait time.Duration, reply func()) {
-	if n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), age) {
+// waitForChange calls reply once there is a newer revision or a confirmation fresher than the given
+// staleness, or after the wait.
+func (n *node) waitForChange(after uint64, staleness, wait time.Duration, reply func()) {
+	if n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), staleness) {
 		reply()
 		return
 	}
@@ -51,39 +53,39 @@
 			reply()
 		}
 	}
-	n.polls = append(n.polls, once)
+	n.pendingReplies = append(n.pendingReplies, once)
 	n.whileRunning(wait, once)
 }
 
-// answerFor collects what another balancer lacks and hands it over.
-func (n *node) answerFor(asker *node, toAsker func(do func()), after, base uint64, end func(follow.Outcome)) func() {
-	age := n.confirmed.Age(n.now())
+// prepareAnswer collects the changes after a revision, or a full listing if these are unknown, and
+// returns a function that passes them to the requester.
+func (n *node) prepareAnswer(requester *node, runOnRequester func(do func()), after, base uint64, end func(follow.Outcome)) func() {
+	staleness := n.confirmed.Age(n.now())
 	changes, known := n.directory.ChangesSince(after, base)
 	listing := n.directory.Listing()
-	hearReturn := n.tellReturn()
+	passStoreReturn := n.captureStoreReturn()
 	return func() {
-		toAsker(func() {
-			hearReturn(asker)
-			asker.peers.RecordAnswer(asker.now(), n.control, age, listing.Revision)
+		runOnRequester(func() {
+			passStoreReturn(requester)
+			requester.peers.RecordAnswer(requester.now(), n.control, staleness, listing.Revision)
 			if known {
-				asker.changed(changes, age, nil, end)
+				requester.receiveChanges(changes, staleness, nil, end)
 				return
 			}
-			asker.replace(listing, age)
-			end(follow.Outcome{Age: age})
+			requester.applyListing(listing, staleness)
+			end(follow.Outcome{Age: staleness})
 		})
 	}
 }
 
-// announce sends a round of hellos at once.
+// announce sends a round of hellos at once unless peers are disabled.
 func (n *node) announce() {
 	if !n.world.options.Without.Peers {
-		n.sayHello()
+		n.sendHellos()
 	}
 }
 
-// sayHello tells other balancers that this one lives.
-func (n *node) sayHello() {
+func (n *node) sendHellos() {
 	now := n.now()
 	for i := range min(seedCount, len(n.world.nodes)) {
 		if n.peers.NeedsSeeds(now) {
@@ -93,24 +95,24 @@
 	n.steerer.SetPeerLoads(n.peers.Loads(now))
 	n.steerer.SetMembership(n.peers.Membership(now))
 	for _, target := range n.peers.Round(now, len(n.steerer.RecentLoad(peers.MaxLoads))) {
-		n.helloTo(target)
+		n.sendHelloTo(target)
 	}
 }
 
-// introduction is what other balancers are told of this one.
+// introduction returns this balancer's introduction to others.
 func (n *node) introduction() peers.Introduction {
 	return peers.Introduction{Control: n.control, Zone: n.zone, Capacity: n.capacity}
 }
 
-// hello is what this balancer says of itself, without others and loads.
+// hello returns this balancer's own state, without introductions and loads.
 func (n *node) hello() *peers.Hello {
 	return &peers.Hello{
-		Control: n.control, Zone: n.zone, Started: int64(n.startedAt) + 1, Leaving: n.leaving, StoreUnavailable: n.failing,
+		Control: n.control, Zone: n.zone, Started: int64(n.startedAt) + 1, Leaving: n.leaving, StoreUnavailable: n.storeUnavailable,
 		Revision: n.directory.Revision(), StoreAge: n.confirmed.Age(n.now()), Capacity: n.capacity,
 	}
 }
 
-func (n *node) helloTo(target peers.Target) {
+func (n *node) sendHelloTo(target peers.Target) {
 	now := n.now()
 	hello := n.hello()
 	hello.Introductions, hello.ReplyRequested, hello.Full = n.peers.Sample(now), target.ReplyRequested, true
@@ -129,13 +131,14 @@
 	n.world.hellos++
 	n.world.helloBytes += helloSize(hello)
 	peer := n.world.nodeAt(control)
-	if peer == nil || n.cutFromPeers || peer.cutFromPeers {
+	if peer == nil || n.partitionedFromPeers || peer.partitionedFromPeers {
 		return
 	}
-	n.world.send(n.zone, peer.zone, func() { peer.whileRunning(0, func() { peer.heardHello(hello) }) })
+	n.world.send(n.zone, peer.zone, func() { peer.whileRunning(0, func() { peer.receiveHello(hello) }) })
 }
 
-// actOnObservations ends flows at lost back ends and tells other balancers of silent ones.
+// actOnObservations resets flows at back ends that are down, and sends the urgent reports and
+// inquiries that are due.
 func (n *node) actOnObservations() {
 	for _, reset := range n.steerer.TakeResets() {
 		if c := n.world.clients[reset.Flow]; c != nil {
@@ -143,7 +146,7 @@
 		}
 	}
 	if n.steerer.TakeUrgentReport() {
-		n.sendAlarm()
+		n.sendUrgentReport()
 	}
 	if inquiries := n.steerer.TakeInquiries(); inquiries != nil {
 		n.inquire(inquiries)
@@ -151,24 +154,25 @@
 	}
 }
 
-// inquire asks all live peers where flows rest.
+// inquire asks all live peers for the back ends of flows.
 func (n *node) inquire(inquiries []steering.Inquiry) {
 	hello := n.hello()
 	hello.Inquiries = inquiries
 	targets := n.peers.AllLive(n.now())
 	for _, inquiry := range inquiries {
-		n.traceFlow(inquiry.Flow, "balancer %s asks %d others for it", n.control, len(targets))
+		n.traceFlow(inquiry.Flow, "balancer %s sends an inquiry to %d peers", n.control, len(targets))
 	}
 	for _, target := range targets {
 		n.sendHello(target.Control, hello)
 	}
 }
 
-// heardInquiries answers what another balancer asks of flows, and takes over what it answers.
-func (n *node) heardInquiries(hello *peers.Hello) {
+// receiveInquiries answers another balancer's inquiries and applies its answers to this
+// balancer's.
+func (n *node) receiveInquiries(hello *peers.Hello) {
 	n.steerer.ReceiveLocations(n.now(), hello.Locations)
 	for _, location := range hello.Locations {
-		n.traceFlow(location.Flow, "balancer %s hears from %s that it rests at %s", n.control, hello.Control, idText(location.Backend))
+		n.traceFlow(location.Flow, "balancer %s receives from %s its back end %s", n.control, hello.Control, idText(location.Backend))
 	}
 	if locations := n.steerer.Locate(n.now(), hello.Inquiries); locations != nil {
 		answer := n.hello()
@@ -177,15 +181,16 @@
 	}
 }
 
-// traceFlow tells what happens to a flow, if it is the traced one.
+// traceFlow reports an event of a flow if it is the traced one.
 func (n *node) traceFlow(key flow.Key, format string, arguments ...any) {
 	if c := n.world.clients[key]; c != nil {
 		n.world.trace(c, format, arguments...)
 	}
 }
 
-// sendAlarm tells all live peers at once what is known of back ends that are silent or fail.
-func (n *node) sendAlarm() {
+// sendUrgentReport sends all live peers at once what is known of unresponsive and failing back
+// ends.
+func (n *node) sendUrgentReport() {
 	now := n.now()
 	hello := n.hello()
 	hello.Suspects = n.steerer.Suspects(now, peers.MaxSuspects)
@@ -196,26 +201,26 @@
 	}
 }
 
-// helloSize is about how many bytes a hello has on the wire.
+// helloSize estimates the encoded size of a hello, in bytes.
 func helloSize(hello *peers.Hello) int {
-	const head, introduction, load, doubt, stall, failure, baseline, inquiry = 60, 24, 8, 9, 18, 7, 18, 22
-	return head + introduction*len(hello.Introductions) + load*len(hello.Loads) + doubt*len(hello.Suspects) + stall*len(hello.UnresponsiveReports) + failure*len(hello.Failures) + baseline*len(hello.Baselines) + inquiry*(len(hello.Inquiries)+len(hello.Locations))
+	const header, introduction, load, suspect, unresponsive, failure, baseline, inquiry = 60, 24, 8, 9, 18, 7, 18, 22
+	return header + introduction*len(hello.Introductions) + load*len(hello.Loads) + suspect*len(hello.Suspects) + unresponsive*len(hello.UnresponsiveReports) + failure*len(hello.Failures) + baseline*len(hello.Baselines) + inquiry*(len(hello.Inquiries)+len(hello.Locations))
 }
 
-func (n *node) heardHello(hello *peers.Hello) {
+func (n *node) receiveHello(hello *peers.Hello) {
 	if n.peers == nil {
 		return
 	}
 	n.steerer.ReceiveSuspects(n.now(), hello.Suspects)
 	n.steerer.ReceiveBaselines(hello.Baselines)
 	n.steerer.ReceiveUnresponsive(n.now(), hello.Control, hello.UnresponsiveReports)
-	n.heardInquiries(hello)
+	n.receiveInquiries(hello)
 	n.actOnObservations()
-	if n.lag.Observe(n.now(), n.directory.Revision(), hello.Revision) && n.giveUp != nil {
-		n.giveUp(follow.Outcome{Result: follow.Superseded})
+	if n.lag.Observe(n.now(), n.directory.Revision(), hello.Revision) && n.abandonCall != nil {
+		n.abandonCall(follow.Outcome{Result: follow.Superseded})
 	}
 	if hello.Revision == n.directory.Revision() {
-		n.noteConfirmed(hello.StoreAge, false)
+		n.recordConfirmed(hello.StoreAge, false)
 		n.confirmed.Update(n.now(), hello.StoreAge)
 	}
 	isNew := n.peers.Receive(n.now(), hello)
@@ -227,19 +232,19 @@
 		reply.Introductions = n.peers.IntroductionsFor(n.now(), hello)
 		n.sendHello(hello.Control, reply)
 	}
-	if hello.Revision == 0 || n.learned {
+	if hello.Revision == 0 || n.listingRequested {
 		return
 	}
-	n.learned = true
-	peer, toAsker := n.world.nodeAt(hello.Control), n.toThisRun()
+	n.listingRequested = true
+	peer, inProcess := n.world.nodeAt(hello.Control), n.forThisProcess()
 	n.world.After(n.world.delay(n.zone, peer.zone), func() {
 		peer.whileRunning(0, func() {
-			listing, age := peer.directory.Listing(), peer.confirmed.Age(peer.now())
-			hearReturn := peer.tellReturn()
+			listing, staleness := peer.directory.Listing(), peer.confirmed.Age(peer.now())
+			passStoreReturn := peer.captureStoreReturn()
 			n.world.After(n.world.delay(n.zone, peer.zone), func() {
-				toAsker(func() {
-					hearReturn(n)
-					n.replace(listing, age)
+				inProcess(func() {
+					passStoreReturn(n)
+					n.applyListing(listing, staleness)
 				})
 			})
 		})
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -9,25 +9,25 @@
 	"gaugeyard/internal/settings"
 )
 
-// Rules that the observer judges, by the names of the platform's rules.
+// Rules that the observer checks, by their names in the platform's rules.
 const (
-	ruleRoute   = "ROUTE"
-	ruleDrain   = "DRAIN"
-	ruleConfig  = "CONFIG"
-	ruleFlow    = "FLOW"
-	ruleTwice   = "UNASKED"
-	ruleRecover = "RECOVER"
-	ruleMixed   = "MIXED"
-	ruleLost    = "LOST"
-	ruleEvac    = "EVAC"
-	ruleWarmUp  = "FAILBACK"
+	ruleRoute      = "ROUTE"
+	ruleDrain      = "DRAIN"
+	ruleConfig     = "CONFIG"
+	ruleFlow       = "FLOW"
+	ruleRunOnce    = "UNASKED"
+	ruleRecover    = "RECOVER"
+	ruleMixed      = "MIXED"
+	ruleLost       = "LOST"
+	ruleEvacuation = "EVAC"
+	ruleWarmUp     = "FAILBACK"
 )
 
-// recoverShare is the part of requests that must be served after recovery.
-const recoverShare = 0.25
+// minServedShare is the share of requests that must be served after recovery.
+const minServedShare = 0.25
 
-// published is one version of the configuration.
-type published struct {
+// settingsVersion is one published version of the configuration.
+type settingsVersion struct {
 	version, revision uint64
 	at                time.Duration
 	services          map[netip.AddrPort][]string
@@ -35,58 +35,59 @@
 
 // Violation is one broken rule.
 type Violation struct {
-	Rule string        `json:"rule"`
-	At   time.Duration `json:"at"`
-	What string        `json:"what"`
+	Rule    string        `json:"rule"`
+	At      time.Duration `json:"at"`
+	Message string        `json:"what"`
 }
 
-// observer sees the whole truth and judges.
+// observer sees the state of the whole platform and checks the rules.
 type observer struct {
 	world    *world
-	versions []published
+	versions []settingsVersion
 	leftAt   map[settings.BackendID]time.Duration
-	// emptied is since when each zone is evacuated, and takenBack when it last was taken back.
-	emptied, takenBack map[string]time.Duration
-	requests           []*request
-	// checks counts how often each rule had something to judge.
+	// evacuatedSince is when each evacuated zone's evacuation began; evacuationEndedAt is when a
+	// zone's last one ended.
+	evacuatedSince, evacuationEndedAt map[string]time.Duration
+	requests                          []*request
+	// checks counts the checks made of each rule.
 	checks     map[string]int
 	violations []Violation
-	// allKilled is when every balancer was killed, and backAt when they were back.
-	backAt    time.Duration
-	allKilled bool
-	refusals  int
-	// lookupsAt counts lookups begun by service, once weights have settled.
-	lookupsAt map[string]int
+	// restartedAt is when all balancers were running again, if allKilled is set.
+	restartedAt time.Duration
+	allKilled   bool
+	refusals    int
+	// lookupsByService counts lookups started after sharesMeasuredFrom.
+	lookupsByService map[string]int
 }
 
 func newObserver(w *world) *observer {
-	return &observer{world: w, leftAt: map[settings.BackendID]time.Duration{}, emptied: map[string]time.Duration{}, takenBack: map[string]time.Duration{}, checks: map[string]int{}, lookupsAt: map[string]int{}}
+	return &observer{world: w, leftAt: map[settings.BackendID]time.Duration{}, evacuatedSince: map[string]time.Duration{}, evacuationEndedAt: map[string]time.Duration{}, checks: map[string]int{}, lookupsByService: map[string]int{}}
 }
 
-// broken notes a violation.
-func (o *observer) broken(rule, format string, arguments ...any) {
+// reportViolation records a violation at the present time.
+func (o *observer) reportViolation(rule, format string, arguments ...any) {
 	o.violations = append(o.violations, Violation{rule, o.world.Now, fmt.Sprintf(format, arguments...)})
 }
 
-func (o *observer) published(version, revision uint64, services map[netip.AddrPort][]string) {
-	o.versions = append(o.versions, published{version, revision, o.world.Now, services})
+func (o *observer) recordPublished(version, revision uint64, services map[netip.AddrPort][]string) {
+	o.versions = append(o.versions, settingsVersion{version, revision, o.world.Now, services})
 }
 
-// drained notes that the store has taken that a server is draining or gone.
-func (o *observer) drained(id settings.BackendID) {
-	if _, known := o.leftAt[id]; !known && o.world.store.stable() {
+// serverLeft records that the store accepted a server's draining or removal.
+func (o *observer) serverLeft(id settings.BackendID) {
+	if _, known := o.leftAt[id]; !known && o.world.store.isStable() {
 		o.leftAt[id] = o.world.Now
 	}
 }
 
-// returned notes that a server announces itself as ready, perhaps again.
-func (o *observer) returned(id settings.BackendID) {
+// serverReturned records that a server registers as ready.
+func (o *observer) serverReturned(id settings.BackendID) {
 	delete(o.leftAt, id)
 }
 
-// allowed returns the services that any version in force since the time allows; a
-// nil entry stands for no route.
-func (o *observer) allowed(address netip.AddrPort, since time.Duration) (services []string, absent bool) {
+// allowedServices returns the services that any version in force since the time allows for an
+// address; absent is set if one of these versions has no route.
+func (o *observer) allowedServices(address netip.AddrPort, since time.Duration) (services []string, absent bool) {
 	for i, version := range o.versions {
 		if i+1 < len(o.versions) && o.versions[i+1].at < since {
 			continue
@@ -100,59 +101,60 @@
 	return services, absent
 }
 
-// openTaken judges where an opening packet arrived; isNew is set unless the server has it already.
-func (o *observer) openTaken(s *server, via *node, d *datagram, isNew bool) {
+// checkOpen checks which server received an opening packet; isNew is set unless the server already
+// has the flow.
+func (o *observer) checkOpen(s *server, via *node, d *datagram, isNew bool) {
 	if isNew {
-		o.warmUpTaken(s, d)
+		o.checkWarmUpRate(s, d)
 	}
 	o.checks[ruleRoute]++
-	ever, _ := o.allowed(d.Flow.Service, -1)
+	ever, _ := o.allowedServices(d.Flow.Service, -1)
 	if !slices.Contains(ever, s.service) {
-		o.broken(ruleRoute, "%s took a flow for %s", s.service, d.Flow.Service)
+		o.reportViolation(ruleRoute, "service %s accepted a flow for %s, which no version routes to it", s.service, d.Flow.Service)
 		return
 	}
-	if !via.inTouch() {
+	if !via.isInContact() {
 		return
 	}
 	o.checks[ruleDrain]++
-	if left, gone := o.leftAt[s.id]; gone && o.world.Now-left > drainBound {
-		o.broken(ruleDrain, "server %s took a flow %v after it left, through %s", idText(s.id), o.world.Now-left, via.control)
+	if left, known := o.leftAt[s.id]; known && o.world.Now-left > drainBound {
+		o.reportViolation(ruleDrain, "server %s accepted a flow %v after it left, through %s", idText(s.id), o.world.Now-left, via.control)
 	}
-	o.evacuatedTaken(s, via)
+	o.checkEvacuation(s, via)
 	o.checks[ruleConfig]++
-	if services, _ := o.allowed(d.Flow.Service, d.sent-applyBound); !slices.Contains(services, s.service) {
-		o.broken(ruleConfig, "%s took a flow for %s by an older version, through %s", s.service, d.Flow.Service, via.control)
+	if services, _ := o.allowedServices(d.Flow.Service, d.sent-applyBound); !slices.Contains(services, s.service) {
+		o.reportViolation(ruleConfig, "service %s accepted a flow for %s by an outdated version, through %s", s.service, d.Flow.Service, via.control)
 	}
 }
 
-// forwarded judges that a balancer does not go back to an older version.
-func (o *observer) forwarded(n *node, d *datagram, _ settings.BackendID) {
+// checkForwarded checks that a balancer does not return to an older version.
+func (o *observer) checkForwarded(n *node, d *datagram, _ settings.BackendID) {
 	if d.Kind != 0 {
 		return
 	}
 	version := n.directory.SettingsVersion()
 	o.checks[ruleConfig]++
-	if version < n.newest {
-		o.broken(ruleConfig, "balancer %s went back from version %d to %d", n.control, n.newest, version)
+	if version < n.newestVersion {
+		o.reportViolation(ruleConfig, "balancer %s returned from version %d to %d", n.control, n.newestVersion, version)
 	}
-	n.newest = max(n.newest, version)
+	n.newestVersion = max(n.newestVersion, version)
 }
 
-// refused judges an answer that there is no route.
-func (o *observer) refused(n *node, d *datagram) {
+// checkRefusal checks an answer that there is no route.
+func (o *observer) checkRefusal(n *node, d *datagram) {
 	o.refusals++
-	if !n.inTouch() {
+	if !n.isInContact() {
 		return
 	}
 	o.checks[ruleConfig]++
-	services, absent := o.allowed(d.Flow.Service, d.sent-applyBound)
-	if len(services) > 0 && !absent && o.anyServer(services) {
-		o.broken(ruleConfig, "balancer %s refused %s though it is routed", n.control, d.Flow.Service)
+	services, absent := o.allowedServices(d.Flow.Service, d.sent-applyBound)
+	if len(services) > 0 && !absent && o.hasServer(services) {
+		o.reportViolation(ruleConfig, "balancer %s rejected a flow for %s, which is routed", n.control, d.Flow.Service)
 	}
 }
 
-// anyServer tells whether a server of the services takes flows.
-func (o *observer) anyServer(services []string) bool {
+// hasServer reports whether a server of the services accepts flows.
+func (o *observer) hasServer(services []string) bool {
 	for _, s := range o.world.incarnations {
 		_, left := o.leftAt[s.id]
 		if !o.zoneTakesFlows(s.zone) {
@@ -167,17 +169,17 @@
 	return false
 }
 
-// opened notes where a flow is open.
-func (o *observer) opened(s *server, c *clientFlow) {
+// recordOpened records the server at which a flow opened first.
+func (o *observer) recordOpened(s *server, c *clientFlow) {
 	if c.server == nil {
 		c.server, c.opened = s, o.world.Now
 	}
 }
 
-// packetAt judges whether a flow's packets reach its own server.
-func (o *observer) packetAt(s *server, d *datagram, _ bool) {
+// checkPacket checks whether a flow's packets reach its own server.
+func (o *observer) checkPacket(s *server, d *datagram, _ bool) {
 	c := d.client
-	if c.server == nil || c.counted {
+	if c.server == nil || c.violationReported {
 		return
 	}
 	o.checks[ruleFlow]++
@@ -189,78 +191,79 @@
 		c.strayAt = o.world.Now
 	}
 	c.strayPackets++
-	if c.strayPackets >= 3 && o.world.Now-c.strayAt <= reorderBound && o.countsAsBroken(c) {
-		c.counted = true
-		o.broken(ruleFlow, "packets of %s reach server %s, not %s", c.key.Caller, idText(s.id), idText(c.server.id))
+	if c.strayPackets >= 3 && o.world.Now-c.strayAt <= reorderBound && o.mustSurvive(c) {
+		c.violationReported = true
+		o.reportViolation(ruleFlow, "packets of %s reach server %s, not %s", c.key.Caller, idText(s.id), idText(c.server.id))
 	}
 }
 
-// resetByOther judges a reset that the flow's server did not send.
-func (o *observer) resetByOther(c *clientFlow, from *server) {
+// checkReset checks a reset that the flow's server did not send; from is nil for a balancer's.
+func (o *observer) checkReset(c *clientFlow, from *server) {
 	o.checks[ruleFlow]++
-	if c.counted || !o.countsAsBroken(c) {
+	if c.violationReported || !o.mustSurvive(c) {
 		return
 	}
-	c.counted = true
+	c.violationReported = true
 	by := "a balancer"
 	if from != nil {
 		by = "server " + idText(from.id)
 	}
-	o.broken(ruleFlow, "flow %s, open at server %s, is reset by %s", c.key.Caller, idText(c.server.id), by)
+	o.reportViolation(ruleFlow, "flow %s, open at server %s, is reset by %s", c.key.Caller, idText(c.server.id), by)
 }
 
-// countsAsBroken tells whether the flow's server lives undisturbed.
-func (o *observer) countsAsBroken(c *clientFlow) bool {
+// mustSurvive reports whether the flow's server is up and undisturbed and the flow is not older
+// than flowLife.
+func (o *observer) mustSurvive(c *clientFlow) bool {
 	s := c.server
 	return !s.crashed && !s.hung && o.world.Now-s.disturbed >= contactBound && o.world.Now-c.opened <= flowLife
 }
 
-// answered judges that an answer comes from the server at which its flow is open.
-func (o *observer) answered(s *server, c *clientFlow, r *request) {
+// checkAnswer checks that an answer comes from the server at which the flow is open.
+func (o *observer) checkAnswer(s *server, c *clientFlow, r *request) {
 	o.checks[ruleMixed]++
 	if c.server != nil && c.server != s {
-		o.broken(ruleMixed, "request %d of a flow at server %s is answered by %s", r.id, idText(c.server.id), idText(s.id))
+		o.reportViolation(ruleMixed, "request %d of a flow at server %s is answered by %s", r.id, idText(c.server.id), idText(s.id))
 	}
 }
 
-// ran judges that a request that may not be repeated runs once.
-func (o *observer) ran(s *server, r *request) {
-	o.checks[ruleTwice]++
-	if r.kind == lookup && o.world.Now > o.world.sharesFrom {
-		o.lookupsAt[s.service]++
+// checkRun checks that a request that must not be repeated runs once.
+func (o *observer) checkRun(s *server, r *request) {
+	o.checks[ruleRunOnce]++
+	if r.kind == lookup && o.world.Now > o.world.sharesMeasuredFrom {
+		o.lookupsByService[s.service]++
 	}
 	if r.kind != stream && r.runs > 1 {
-		o.broken(ruleTwice, "request %d ran %d times, at last at server %s", r.id, r.runs, idText(s.id))
+		o.reportViolation(ruleRunOnce, "request %d ran %d times, the last time at server %s", r.id, r.runs, idText(s.id))
 	}
 }
 
-// judgeLost judges that what operators were told is accepted is in force at the end
-// on every balancer in touch.
-func (o *observer) judgeLost() {
-	newest := o.versions[len(o.versions)-1]
-	if o.world.Now-newest.at < applyBound {
+// checkLostSettings checks that the last accepted version is in force at the end on every balancer
+// in contact.
+func (o *observer) checkLostSettings() {
+	latest := o.versions[len(o.versions)-1]
+	if o.world.Now-latest.at < applyBound {
 		return
 	}
 	for _, n := range o.world.nodes {
-		if !n.inTouch() {
+		if !n.isInContact() {
 			continue
 		}
 		o.checks[ruleLost]++
-		if version := n.directory.SettingsVersion(); version != newest.version {
-			o.broken(ruleLost, "balancer %s has version %d, not %d", n.control, version, newest.version)
+		if version := n.directory.SettingsVersion(); version != latest.version {
+			o.reportViolation(ruleLost, "balancer %s has settings version %d, want %d", n.control, version, latest.version)
 		}
 	}
 }
 
-// finish judges what only the end shows.
+// finish checks the rules that depend on the whole run.
 func (o *observer) finish() {
-	o.judgeLost()
+	o.checkLostSettings()
 	if !o.allKilled {
 		return
 	}
 	served, after := 0, 0
 	for _, r := range o.requests {
-		if r.started < o.backAt+recoverBound {
+		if r.started < o.restartedAt+recoverBound {
 			continue
 		}
 		after++
@@ -269,7 +272,7 @@
 		}
 	}
 	o.checks[ruleRecover] += after
-	if after > 0 && float64(served) < recoverShare*float64(after) {
-		o.broken(ruleRecover, "%d of %d requests are served after recovery", served, after)
+	if after > 0 && float64(served) < minServedShare*float64(after) {
+		o.reportViolation(ruleRecover, "%d of %d requests were served after recovery", served, after)
 	}
 }
--- a/internal/emulator/observer_zone.go
+++ b/internal/emulator/observer_zone.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// evacuated notes that the store has taken that a zone is evacuated, or taken back.
-func (o *observer) evacuated(zone string, active bool) {
+// evacuationChanged records that the store accepted the start or the end of a zone's evacuation.
+func (o *observer) evacuationChanged(zone string, active bool) {
 	if active {
-		o.emptied[zone] = o.world.Now
+		o.evacuatedSince[zone] = o.world.Now
 		return
 	}
-	delete(o.emptied, zone)
-	o.takenBack[zone] = o.world.Now
+	delete(o.evacuatedSince, zone)
+	o.evacuationEndedAt[zone] = o.world.Now
 }
 
-// evacuatedTaken judges a flow that a server took through a balancer in touch.
-func (o *observer) evacuatedTaken(s *server, via *node) {
-	since, emptied := o.emptied[s.zone]
-	if !emptied {
+// checkEvacuation checks a flow that a server accepted through a balancer in contact.
+func (o *observer) checkEvacuation(s *server, via *node) {
+	since, evacuated := o.evacuatedSince[s.zone]
+	if !evacuated {
 		return
 	}
-	o.checks[ruleEvac]++
+	o.checks[ruleEvacuation]++
 	if o.world.Now-since > evacuateBound {
-		o.broken(ruleEvac, "server %s took a flow %v after %s was evacuated, through %s", idText(s.id), o.world.Now-since, s.zone, via.control)
+		o.reportViolation(ruleEvacuation, "server %s accepted a flow %v after the evacuation of %s, through %s", idText(s.id), o.world.Now-since, s.zone, via.control)
 	}
 }
 
-// zoneTakesFlows tells whether a zone has not been evacuated for as long as balancers may need to
-// hear of it.
+// zoneTakesFlows reports whether a zone has not been evacuated within the last applyBound.
 func (o *observer) zoneTakesFlows(zone string) bool {
-	_, emptied := o.emptied[zone]
-	back, was := o.takenBack[zone]
-	return !emptied && (!was || o.world.Now-back > applyBound)
+	_, evacuated := o.evacuatedSince[zone]
+	endedAt, ended := o.evacuationEndedAt[zone]
+	return !evacuated && (!ended || o.world.Now-endedAt > applyBound)
 }
 
-// warmUpTaken judges in each span of a second how many flows a server takes while it warms up.
-func (o *observer) warmUpTaken(s *server, d *datagram) {
+// checkWarmUpRate checks the number of flows that a server accepted within the last second of its
+// warm-up.
+func (o *observer) checkWarmUpRate(s *server, d *datagram) {
 	rate := o.world.operator.warmUpRate
-	if rate == 0 || s.coldAt == 0 || !s.cold() {
+	if rate == 0 || s.warmUpStart == 0 || !s.warmingUp() {
 		return
 	}
 	o.checks[ruleWarmUp]++
-	s.taken = append(s.taken, takenFlow{d.sent, o.world.Now})
-	within := 0
-	for _, taken := range s.taken {
-		if taken.sent >= o.world.Now-time.Second {
-			within++
+	s.warmUpFlows = append(s.warmUpFlows, acceptedFlow{d.sent, o.world.Now})
+	recent := 0
+	for _, accepted := range s.warmUpFlows {
+		if accepted.sent >= o.world.Now-time.Second {
+			recent++
 		}
 	}
-	if bound := rate*warmUpOvershoot + warmUpSlack; float64(within) > bound {
-		o.broken(ruleWarmUp, "server %s takes %d flows in a second while it warms up, %g are allowed", idText(s.id), within, bound)
+	if bound := rate*warmUpOvershoot + warmUpSlack; float64(recent) > bound {
+		o.reportViolation(ruleWarmUp, "server %s accepted %d flows within a second of its warm-up, at most %g are allowed", idText(s.id), recent, bound)
 	}
 }
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -8,15 +8,15 @@
 	"gaugeyard/internal/settings"
 )
 
-// Services that servers announce.
+// Services that servers register for.
 const (
 	serviceFeed   = "feed"
 	serviceUpload = "ingest"
-	// servicePart is the smaller part of a split route, and serves nothing else.
-	servicePart = "canary"
+	// serviceCanary is the smaller group of a split route and serves no other route.
+	serviceCanary = "canary"
 )
 
-// Sizes of each zone's load and servers.
+// Numbers of servers and streams, and rates of requests per second, in each zone.
 const (
 	feedServers    = 5
 	uploadServers  = 2
@@ -35,88 +35,87 @@
 	routeFeed   = route{"feed", netip.MustParseAddrPort("198.18.0.1:443")}
 	routeLookup = route{"lookup", netip.MustParseAddrPort("198.18.0.1:8443")}
 	routeUpload = route{"upload", netip.MustParseAddrPort("198.18.0.2:443")}
-	// routeProbe comes and goes; it shows which configuration is in force.
+	// routeProbe is added and removed; it shows which configuration is in force.
 	routeProbe = route{"probe", netip.MustParseAddrPort("198.18.0.9:443")}
 )
 
-// group is one part of a route.
-type group struct {
+// weightedService is one group of a route.
+type weightedService struct {
 	service string
 	share   float64
 }
 
-// operator writes configurations.
+// operator publishes configurations.
 type operator struct {
 	world   *world
 	version uint64
-	// probe is the service of the probe route, empty for no such route.
-	probe string
-	// lookups are the groups of the lookup route.
-	lookups []group
-	// idle is how many routes without traffic there are.
-	idle int
-	// warmUpRate limits the new flows of servers that warm up; 0 is no limit.
+	// probeService is the service of the probe route; empty means that there is no such route.
+	probeService string
+	// lookupServices are the groups of the lookup route.
+	lookupServices []weightedService
+	// idleRoutes is the number of routes without traffic.
+	idleRoutes int
+	// warmUpRate limits the new flows per second of servers that are warming up; 0 means no limit.
 	warmUpRate float64
 }
 
 func newOperator(w *world) operator {
-	return operator{world: w, lookups: []group{{serviceFeed, 1}}, idle: 5}
+	return operator{world: w, lookupServices: []weightedService{{serviceFeed, 1}}, idleRoutes: 5}
 }
 
-// publish writes the configuration to the store.
 func (o *operator) publish() {
 	o.version += 1 + uint64(o.world.Random.IntN(3))
 	tree := settings.Tree{"": settings.Values{}}
-	o.add(tree, routeFeed, group{serviceFeed, 1})
-	o.add(tree, routeLookup, o.lookups...)
-	o.add(tree, routeUpload, group{serviceUpload, 1})
+	o.add(tree, routeFeed, weightedService{serviceFeed, 1})
+	o.add(tree, routeLookup, o.lookupServices...)
+	o.add(tree, routeUpload, weightedService{serviceUpload, 1})
 	services := map[netip.AddrPort][]string{
 		routeFeed.address:   {serviceFeed},
 		routeUpload.address: {serviceUpload},
 	}
-	for _, part := range o.lookups {
-		services[routeLookup.address] = append(services[routeLookup.address], part.service)
+	for _, weighted := range o.lookupServices {
+		services[routeLookup.address] = append(services[routeLookup.address], weighted.service)
 	}
-	if o.probe != "" {
-		o.add(tree, routeProbe, group{o.probe, 1})
-		services[routeProbe.address] = []string{o.probe}
+	if o.probeService != "" {
+		o.add(tree, routeProbe, weightedService{o.probeService, 1})
+		services[routeProbe.address] = []string{o.probeService}
 	}
-	for i := range o.idle {
+	for i := range o.idleRoutes {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(1 + i/200), byte(10 + i%200)}), 80)
-		o.add(tree, route{"idle-" + strconv.Itoa(i), address}, group{serviceFeed, 1})
+		o.add(tree, route{"idle-" + strconv.Itoa(i), address}, weightedService{serviceFeed, 1})
 	}
 	revision := o.world.store.publish(o.version, tree)
-	o.world.truth.published(o.version, revision, services)
+	o.world.observer.recordPublished(o.version, revision, services)
 }
 
-func (o *operator) add(tree settings.Tree, r route, groups ...group) {
+func (o *operator) add(tree settings.Tree, r route, services ...weightedService) {
 	path := settings.Path(r.name)
 	mustSet(tree, path, settings.KeyAddress, r.address.String())
 	if r == routeFeed {
 		mustSet(tree, path, settings.KeyRepeatable, "true")
 	}
 	tree[path.Child("any")] = settings.Values{}
-	for i, part := range groups {
-		place := path.Child("any").Child(strconv.Itoa(i))
-		mustSet(tree, place, settings.KeyDiscover, part.service)
+	for i, weighted := range services {
+		servicePath := path.Child("any").Child(strconv.Itoa(i))
+		mustSet(tree, servicePath, settings.KeyDiscover, weighted.service)
 		if o.warmUpRate > 0 {
-			mustSet(tree, place, settings.KeyWarmUpRate, strconv.FormatFloat(o.warmUpRate, 'g', -1, 64))
+			mustSet(tree, servicePath, settings.KeyWarmUpRate, strconv.FormatFloat(o.warmUpRate, 'g', -1, 64))
 		}
-		mustSet(tree, place, settings.KeyShare, strconv.FormatFloat(part.share, 'g', -1, 64))
+		mustSet(tree, servicePath, settings.KeyShare, strconv.FormatFloat(weighted.share, 'g', -1, 64))
 	}
 }
 
-// mustSet sets what the model itself makes up, which is always valid.
+// mustSet sets a value and panics if it is invalid: the model makes up valid values alone.
 func mustSet(tree settings.Tree, path settings.Path, key settings.Key, value string) {
 	if err := tree.Set(path, key, value); err != nil {
 		panic(err)
 	}
 }
 
-// probeClients ask for the probe route now and then, whether it is there or not.
+// probeClients sends opening packets to the probe route regularly, whether the route exists or not.
 func (w *world) probeClients() {
 	w.Every(100*time.Millisecond, func() {
-		if w.Now > w.options.Scenario.length()-quietEnd {
+		if w.Now > w.options.Scenario.duration()-quietPeriod {
 			return
 		}
 		zone := w.zones[w.Random.IntN(len(w.zones))]
@@ -124,9 +123,9 @@
 		c.opening = true
 		c.request = nil
 		c.sendOpen(0)
-		w.After(openLimit, func() {
+		w.After(openTimeout, func() {
 			if !c.closed {
-				c.finish()
+				c.close()
 			}
 		})
 	})
--- a/internal/emulator/router.go
+++ b/internal/emulator/router.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// probeInterval is how often routers ask for readiness.
+	// probeInterval is how often routers probe readiness.
 	probeInterval = 500 * time.Millisecond
-	// probeMisses is after how many misses a balancer is out.
-	probeMisses = 2
+	// maxFailedProbes is after how many consecutive failures a balancer is inactive.
+	maxFailedProbes = 2
 )
 
-// router hands the packets of a zone's clients to the zone's balancers.
+// router forwards the packets of a zone's clients to the zone's balancers.
 type router struct {
 	world   *world
 	zone    string
@@ -25,57 +25,56 @@
 
 // member is a balancer as a router sees it.
 type member struct {
-	node   *node
-	in     bool
-	misses int
+	node         *node
+	active       bool
+	failedProbes int
 }
 
 func (r *router) add(n *node) {
 	r.members = append(r.members, &member{node: n})
 }
 
-// probe asks each balancer whether it is ready.
 func (r *router) probe() {
 	for _, m := range r.members {
-		if m.node.answersReady() {
-			m.in, m.misses = true, 0
+		if m.node.isReady() {
+			m.active, m.failedProbes = true, 0
 			continue
 		}
-		m.misses++
-		if m.misses >= probeMisses {
-			m.in = false
+		m.failedProbes++
+		if m.failedProbes >= maxFailedProbes {
+			m.active = false
 		}
 	}
 }
 
-// eligible returns the balancers that packets go to: those that are in; all when
-// fewer than half are; of other zones when none is.
+// eligible returns the balancers that packets go to: the active ones; all if fewer than half are
+// active; those of the first other zone with active ones if none is.
 func (r *router) eligible() []*node {
-	in := r.nodes(true)
-	if len(in) == 0 {
+	active := r.memberNodes(true)
+	if len(active) == 0 {
 		for _, zone := range r.world.zones {
-			if in := r.world.routers[zone].nodes(true); len(in) > 0 {
-				return in
+			if active := r.world.routers[zone].memberNodes(true); len(active) > 0 {
+				return active
 			}
 		}
 	}
-	if 2*len(in) < len(r.members) {
-		return r.nodes(false)
+	if 2*len(active) < len(r.members) {
+		return r.memberNodes(false)
 	}
-	return in
+	return active
 }
 
-func (r *router) nodes(onlyIn bool) []*node {
+func (r *router) memberNodes(activeOnly bool) []*node {
 	var nodes []*node
 	for _, m := range r.members {
-		if m.in || !onlyIn {
+		if m.active || !activeOnly {
 			nodes = append(nodes, m.node)
 		}
 	}
 	return nodes
 }
 
-// pick returns the balancer for a flow's packets now.
+// pick returns the balancer for a flow's packets at present, or nil if there is none.
 func (r *router) pick(hash uint64) *node {
 	nodes := r.eligible()
 	if len(nodes) == 0 {
@@ -85,17 +84,17 @@
 		return nodes[hash%uint64(len(nodes))]
 	}
 	return slices.MaxFunc(nodes, func(a, b *node) int {
-		return cmp.Compare(weight(hash, a), weight(hash, b))
+		return cmp.Compare(rendezvousWeight(hash, a), rendezvousWeight(hash, b))
 	})
 }
 
-// weight ranks a balancer for a flow at steady routers.
-func weight(hash uint64, n *node) uint64 {
+// rendezvousWeight ranks a balancer for a flow at steady routers.
+func rendezvousWeight(hash uint64, n *node) uint64 {
 	return placement.Mix(hash, uint64(settings.BackendIDOf(n.control)))
 }
 
-// toBalancer carries a client's packet.
-func (w *world) toBalancer(c *clientFlow, d *datagram) {
+// sendToBalancer sends a client's packet through its zone's router.
+func (w *world) sendToBalancer(c *clientFlow, d *datagram) {
 	target := w.routers[c.zone].pick(c.key.Hash())
 	if target == nil {
 		return
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -9,42 +9,44 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Result is what one run measured. Its JSON names are stable.
+// Result holds the measurements of one run. Its JSON names are stable.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Requests int    `json:"requests"`
-	// Share of requests answered within their aim, and at all.
+	// InAim and Served are the shares of requests answered within their aim, and at all.
 	InAim  float64 `json:"in_aim"`
 	Served float64 `json:"served"`
 	Failed int     `json:"failed"`
-	// Busiest is the largest number of requests begun at a feed server over the
-	// mean, of servers that were there all the time; 0 when there were none.
+	// Busiest is the largest number of requests started at a feed server over the mean, counting
+	// servers that were up for the whole run; 0 if there are fewer than two.
 	Busiest float64 `json:"busiest_over_mean"`
-	// BusiestBack is the same for the time in which half of the entries come back after an outage.
-	BusiestBack float64 `json:"busiest_while_back"`
+	// BusiestDuringReturn is the same for the time in which the first half of the entries return
+	// after an outage.
+	BusiestDuringReturn float64 `json:"busiest_while_back"`
 	// Spread is the standard deviation of the same numbers over their mean.
 	Spread float64 `json:"spread_over_mean"`
-	// BusiestBySpeed is the largest time of work at a feed server over the mean, of those that were there
-	// all the time: requests begun, each by the speed of the server.
+	// BusiestBySpeed is the largest amount of work at a feed server over the mean, counting servers
+	// that were up for the whole run. Work is the number of requests started divided by the
+	// server's speed.
 	BusiestBySpeed float64 `json:"busiest_by_speed"`
-	// SmallShare is the part of lookups that ran at the smaller group of a split route.
+	// SmallShare is the share of lookups that ran at the smaller group of a split route.
 	SmallShare float64 `json:"small_share"`
-	// LookupsInAim is the part of lookups answered within their aim.
+	// LookupsInAim is the share of lookups answered within their aim.
 	LookupsInAim float64 `json:"lookups_in_aim"`
 	StoreCalls   int     `json:"store_calls"`
-	// HellosPerSecond is how many hellos a balancer sends, the mean.
+	// HellosPerSecond is the mean number of hellos that a balancer sends per second.
 	HellosPerSecond float64 `json:"hellos_per_second"`
-	// HelloBytesPerSecond is about what they have in all.
+	// HelloBytesPerSecond is their approximate size, in bytes per second and balancer.
 	HelloBytesPerSecond float64 `json:"hello_bytes_per_second"`
 	Refusals            int     `json:"refusals"`
-	// Checks counts how often each rule had something to judge.
+	// Checks counts the checks made of each rule.
 	Checks     map[string]int `json:"checks"`
 	Violations []Violation    `json:"violations"`
 }
 
-// Broken returns the names of the broken rules, each once.
-func (r *Result) Broken() []string {
+// BrokenRules returns the sorted names of the broken rules without duplicates.
+func (r *Result) BrokenRules() []string {
 	var rules []string
 	for _, violation := range r.Violations {
 		if !slices.Contains(rules, violation.Rule) {
@@ -55,13 +57,13 @@
 	return rules
 }
 
-// Run carries out one run.
+// Run simulates one run and returns its measurements.
 func Run(options Options) Result {
-	return ran(options).result()
+	return simulate(options).result()
 }
 
-// ran carries out one run and returns the world at its end.
-func ran(options Options) *world {
+// simulate carries out one run and returns the world at its end.
+func simulate(options Options) *world {
 	w := newWorld(options)
 	w.build()
 	w.Every(probeInterval, func() {
@@ -69,26 +71,26 @@
 			w.routers[zone].probe()
 		}
 	})
-	w.Every(heartbeat/4, w.store.expire)
+	w.Every(heartbeatInterval/4, w.store.expireOverdue)
 	w.At(trafficStart, func() {
 		w.startClients()
 		w.probeClients()
 	})
-	options.Scenario.events(w)
-	w.RunUntil(options.Scenario.length())
-	w.truth.finish()
+	options.Scenario.schedule(w)
+	w.RunUntil(options.Scenario.duration())
+	w.observer.finish()
 	return w
 }
 
 func (w *world) result() Result {
 	result := Result{
-		Scenario: w.options.Scenario.Name, Seed: w.options.Seed, Requests: len(w.truth.requests),
-		StoreCalls: w.store.calls, Refusals: w.truth.refusals, Checks: w.truth.checks, Violations: w.truth.violations,
+		Scenario: w.options.Scenario.Name, Seed: w.options.Seed, Requests: len(w.observer.requests),
+		StoreCalls: w.store.calls, Refusals: w.observer.refusals, Checks: w.observer.checks, Violations: w.observer.violations,
 	}
 	result.HellosPerSecond = float64(w.hellos) / float64(len(w.nodes)) / w.Now.Seconds()
 	result.HelloBytesPerSecond = float64(w.helloBytes) / float64(len(w.nodes)) / w.Now.Seconds()
 	inAimCount, served, lookups, lookupsInAim := 0, 0, 0, 0
-	for _, r := range w.truth.requests {
+	for _, r := range w.observer.requests {
 		if r.kind == lookup {
 			lookups++
 			if r.outcome == inAim {
@@ -105,25 +107,25 @@
 			result.Failed++
 		}
 	}
-	result.InAim = float64(inAimCount) / float64(len(w.truth.requests))
-	result.Served = float64(served) / float64(len(w.truth.requests))
+	result.InAim = float64(inAimCount) / float64(len(w.observer.requests))
+	result.Served = float64(served) / float64(len(w.observer.requests))
 	result.Busiest, result.Spread, result.BusiestBySpeed = w.evenness()
 	result.SmallShare = w.smallShare()
 	result.LookupsInAim = float64(lookupsInAim) / float64(max(1, lookups))
-	result.BusiestBack = w.busiestBack
+	result.BusiestDuringReturn = w.busiestDuringReturn
 	return result
 }
 
-// evenness measures how evenly the feed servers were used that were there all the time: the
-// busiest, and the standard deviation, over the mean; and the busiest by time of work.
+// evenness measures how evenly the feed servers that were up for the whole run were used: the
+// busiest and the standard deviation over the mean, and the busiest by work over the mean.
 func (w *world) evenness() (busiest, spread, bySpeed float64) {
 	var begun, work []float64
 	for _, s := range w.incarnations {
-		if s.service != serviceFeed || s.coldAt > 0 || s.crashed || s.draining || s.slow != 1 || s.hung {
+		if s.service != serviceFeed || s.warmUpStart > 0 || s.crashed || s.draining || s.slowdown != 1 || s.hung {
 			continue
 		}
-		begun = append(begun, float64(s.begun))
-		work = append(work, float64(s.begun)/s.speed)
+		begun = append(begun, float64(s.requestsStarted))
+		work = append(work, float64(s.requestsStarted)/s.speed)
 	}
 	if len(begun) < 2 || floats.Sum(begun) == 0 {
 		return 0, 0, 0
@@ -132,17 +134,16 @@
 	return floats.Max(begun) / mean, deviation / mean, floats.Max(work) / stat.Mean(work, nil)
 }
 
-// smallShare measures what part of the lookups after the change of weights went to the smaller
-// group.
+// smallShare returns the share of lookups that the smaller group served after sharesMeasuredFrom.
 func (w *world) smallShare() float64 {
-	small := w.truth.lookupsAt[serviceUpload] + w.truth.lookupsAt[servicePart]
-	return float64(small) / float64(max(1, small+w.truth.lookupsAt[serviceFeed]))
+	small := w.observer.lookupsByService[serviceUpload] + w.observer.lookupsByService[serviceCanary]
+	return float64(small) / float64(max(1, small+w.observer.lookupsByService[serviceFeed]))
 }
 
-// balancerIP is the address of an added balancer.
+// balancerIP returns the address of a balancer that a scenario adds.
 func balancerIP(zone, number int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(zone + 1), 0, byte(number)})
 }
 
-// weightsSettled is when weights are judged from, unless a scenario says otherwise.
-const weightsSettled = troubleStart + 5*time.Second
+// defaultSharesMeasuredFrom is sharesMeasuredFrom unless a scenario sets another time.
+const defaultSharesMeasuredFrom = faultStart + 5*time.Second
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// defaultLength is how long a run takes, quietEnd the time before its end in
-	// which no request begins, so that each has an outcome.
-	defaultLength = 40 * time.Second
-	quietEnd      = 9 * time.Second
-	// trafficStart is when clients begin, troubleStart when scenarios do.
+	// defaultDuration is the length of a run. No request begins in the quietPeriod at its end, so
+	// that each has an outcome.
+	defaultDuration = 40 * time.Second
+	quietPeriod     = 9 * time.Second
+	// trafficStart is when clients start, faultStart when most scenarios inject their faults.
 	trafficStart = 3 * time.Second
-	troubleStart = 8 * time.Second
+	faultStart   = 8 * time.Second
 )
 
-// Scenario is what happens in a run beyond the load.
+// Scenario describes what happens in a run besides the load.
 type Scenario struct {
 	Name, About string
-	events      func(*world)
+	schedule    func(*world)
 }
 
-func (s Scenario) length() time.Duration { return defaultLength }
+func (s Scenario) duration() time.Duration { return defaultDuration }
 
-// Scenarios lists all scenarios.
+// Scenarios lists all scenarios. Their names and texts are printed by gaugeyard-sim.
 var Scenarios = []Scenario{
 	{"calm", "nothing happens", func(*world) {}},
 	{"rolling-restart", "every balancer is stopped as planned and starts again", (*world).rollingRestart},
@@ -34,8 +34,8 @@
 	{"restart-servers-unseen", "the same while half of the balancers are cut off from the store and each other", (*world).restartServersUnseen},
 	{"restart-servers-back", "the same while the servers' clocks are set back", (*world).restartServersBack},
 	{"release-quiet", "servers leave without saying so; their entries go, they serve on", (*world).releaseQuiet},
-	{"restart-and-release", "balancers restart while servers are replaced", both((*world).rollingRestart, (*world).release)},
-	{"restart-and-release-quiet", "balancers restart while servers leave without saying so", both((*world).rollingRestart, (*world).releaseQuiet)},
+	{"restart-and-release", "balancers restart while servers are replaced", combine((*world).rollingRestart, (*world).release)},
+	{"restart-and-release-quiet", "balancers restart while servers leave without saying so", combine((*world).rollingRestart, (*world).releaseQuiet)},
 	{"config-storm", "a version every 300 ms; a route comes, goes and changes its service", (*world).configStorm},
 	{"weights", "a route is split 90 to 10 between two services", (*world).weights},
 	{"split-dark", "all servers of one part of a split route stand still for six seconds", (*world).splitDark},
@@ -45,34 +45,34 @@
 	{"split-shift", "the weights of a split route are turned round in two steps", (*world).splitShift},
 	{"server-crash", "a third of the feed servers crash", func(w *world) { w.crashServers(false) }},
 	{"address-reuse", "servers crash and their addresses go to the other service", func(w *world) { w.crashServers(true) }},
-	{"address-reuse-cut", "the same while half of the balancers are cut off from the store and each other", both((*world).cutHalfWhileAddressesGo, func(w *world) { w.crashServers(true) })},
+	{"address-reuse-cut", "the same while half of the balancers are cut off from the store and each other", combine((*world).partitionDuringAddressReuse, func(w *world) { w.crashServers(true) })},
 	{"servers-hang", "a third of the feed servers stand still", (*world).hangServers},
 	{"servers-slow", "a third of the feed servers are five times slower", (*world).slowServers},
-	{"servers-differ", "feed servers work at speeds of 0.6, 1.0 and 1.6", (*world).differentServers},
-	{"servers-differ-slow", "the same, and those of 1.6 turn three times slower", both((*world).differentServers, (*world).slowFastest)},
+	{"servers-differ", "feed servers work at speeds of 0.6, 1.0 and 1.6", (*world).mixedSpeedServers},
+	{"servers-differ-slow", "the same, and those of 1.6 turn three times slower", combine((*world).mixedSpeedServers, (*world).slowFastest)},
 	{"servers-grey-reset", "a third of the feed servers reset two in five requests, and are well by all else", greyServers(failReset)},
-	{"servers-errors", "a third of the feed servers answer errors at once, and are well by all else", failing(1, failError)},
-	{"servers-errors-part", "a third of the feed servers answer errors to two in five requests", failing(greyShare, failError)},
-	{"answers-vary", "one answer in five of all servers is short and quick, as from a cache", func(w *world) { w.varied = true }},
+	{"servers-errors", "a third of the feed servers answer errors at once, and are well by all else", failRequests(1, failError)},
+	{"servers-errors-part", "a third of the feed servers answer errors to two in five requests", failRequests(greyShare, failError)},
+	{"answers-vary", "one answer in five of all servers is short and quick, as from a cache", func(w *world) { w.variedAnswers = true }},
 	{"answers-shorten", "feed servers are replaced by such as answer in an eighth of the bytes", (*world).releaseShorter},
-	{"servers-grey-mute", "a third of the feed servers never answer two in five requests", greyServers(failMute)},
-	{"balancer-kill", "a balancer of each zone is killed", (*world).killSome},
-	{"balancer-freeze", "a balancer of each zone stands still for three seconds", (*world).freezeSome},
+	{"servers-grey-mute", "a third of the feed servers never answer two in five requests", greyServers(failNoAnswer)},
+	{"balancer-kill", "a balancer of each zone is killed", (*world).killOnePerZone},
+	{"balancer-freeze", "a balancer of each zone stands still for three seconds", (*world).pauseOnePerZone},
 	{"kill-all", "every balancer is killed at once", (*world).killAll},
-	{"able-lost", "the able machines are killed for long and come back cut off from the store, while servers leave", (*world).loseAble},
-	{"store-silent", "the store says nothing for six seconds while servers leave", duringFault(storeSilent)},
+	{"able-lost", "the able machines are killed for long and come back cut off from the store, while servers leave", (*world).loseHighCapacity},
+	{"store-silent", "the store says nothing for six seconds while servers leave", storeFaultDuringRelease(storeUnresponsive)},
 	{"store-silent-late", "the store is silent late in the run, and a version follows", (*world).silentLate},
-	{"store-busy", "the store is not available for six seconds while servers leave", duringFault(storeBusy)},
-	{"store-reset", "the store breaks connections for six seconds", duringFault(storeReset)},
-	{"store-slow", "the store takes sixty times as long for six seconds", duringFault(storeSlow)},
-	{"store-lapse", "all entries lapse during an outage", (*world).storeLapse},
-	{"lapse", "all entries lapse during an outage and are back one by one", (*world).lapseInOutage},
-	{"lapse-crash", "the same; a third of the feed servers crash in the outage, and some addresses go to the other service", (*world).lapseAndCrash},
-	{"lapse-release", "the same while servers leave, with and without a word", (*world).lapseAndRelease},
-	{"lapse-power", "all entries lapse during an outage, in which every balancer loses what it knows", both((*world).lapseInOutage, (*world).powerInOutage)},
-	{"lapse-power-release", "the same while servers leave, with and without a word", both((*world).lapseAndRelease, (*world).powerInOutage)},
-	{"lapse-power-writes", "the same while half of the writes to the store are not answered, and writers are killed", both((*world).lapseAndRelease, both((*world).powerInOutage, (*world).loseWrites))},
-	{"power-release", "every balancer loses what it knows while servers leave", both((*world).release, (*world).powerInOutage)},
+	{"store-busy", "the store is not available for six seconds while servers leave", storeFaultDuringRelease(storeUnavailable)},
+	{"store-reset", "the store breaks connections for six seconds", storeFaultDuringRelease(storeReset)},
+	{"store-slow", "the store takes sixty times as long for six seconds", storeFaultDuringRelease(storeSlow)},
+	{"store-lapse", "all entries lapse during an outage", (*world).storeExpiry},
+	{"lapse", "all entries lapse during an outage and are back one by one", (*world).expireInOutage},
+	{"lapse-crash", "the same; a third of the feed servers crash in the outage, and some addresses go to the other service", (*world).expireAndCrash},
+	{"lapse-release", "the same while servers leave, with and without a word", (*world).expireAndRelease},
+	{"lapse-power", "all entries lapse during an outage, in which every balancer loses what it knows", combine((*world).expireInOutage, (*world).restartAllInOutage)},
+	{"lapse-power-release", "the same while servers leave, with and without a word", combine((*world).expireAndRelease, (*world).restartAllInOutage)},
+	{"lapse-power-writes", "the same while half of the writes to the store are not answered, and writers are killed", combine((*world).expireAndRelease, combine((*world).restartAllInOutage, (*world).loseWrites))},
+	{"power-release", "every balancer loses what it knows while servers leave", combine((*world).release, (*world).restartAllInOutage)},
 	{"store-compact", "the store loses its history after changes that no watch heard of", (*world).storeCompact},
 	{"store-cut", "half of the balancers are cut off from the store, and the cut heals", (*world).storeCut},
 	{"cut-sources", "the balancers that others follow are cut off from the store while the others restart in turn and servers leave", (*world).cutSources},
@@ -90,14 +90,14 @@
 	{"evacuate-restart", "every balancer is killed while a zone is evacuated and settings change quickly", (*world).evacuateRestart},
 	{"evacuate-dark", "the servers of a second zone fall silent while a zone is evacuated", (*world).evacuateDark},
 	{"cold-return", "the servers of a zone crash and come back together, cold, with a limit of rate", (*world).coldReturn},
-	{"cold-return-kill", "the same while most balancers of the zone are killed", both((*world).coldReturn, (*world).killMost)},
-	{"cold-return-split", "the same while half of the balancers are cut off from the store and each other", both((*world).coldReturn, (*world).cutHalf)},
-	{"cold-return-restart", "the same while balancers restart in turn", both((*world).coldReturn, (*world).rollingRestart)},
+	{"cold-return-kill", "the same while most balancers of the zone are killed", combine((*world).coldReturn, (*world).killMost)},
+	{"cold-return-split", "the same while half of the balancers are cut off from the store and each other", combine((*world).coldReturn, (*world).partitionHalf)},
+	{"cold-return-restart", "the same while balancers restart in turn", combine((*world).coldReturn, (*world).rollingRestart)},
 	{"cold-evacuation", "a zone is evacuated, and its servers are cold with a limit of rate when it is taken back", (*world).coldEvacuation},
 	{"chaos", "a mix of all of this, drawn from the seed", (*world).chaos},
 }
 
-// Find returns the scenario with the name.
+// Find returns the scenario with the given name.
 func Find(name string) (Scenario, bool) {
 	at := slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == name })
 	if at < 0 {
@@ -106,7 +106,7 @@
 	return Scenarios[at], true
 }
 
-func both(first, second func(*world)) func(*world) {
+func combine(first, second func(*world)) func(*world) {
 	return func(w *world) {
 		first(w)
 		second(w)
@@ -115,20 +115,20 @@
 
 func (w *world) rollingRestart() {
 	for i, n := range w.nodes {
-		w.At(troubleStart+time.Duration(i)*1300*time.Millisecond, n.stop)
+		w.At(faultStart+time.Duration(i)*1300*time.Millisecond, n.stop)
 	}
 }
 
 func (w *world) addBalancers() {
-	w.At(troubleStart, func() {
+	w.At(faultStart, func() {
 		for i, zone := range w.zones {
 			w.addNode(zone, balancerIP(i, 100))
 		}
 	})
 }
 
-// feedIncarnations returns the feed servers that take flows now.
-func (w *world) feedIncarnations() []*server {
+// availableFeedServers returns the feed servers that accept flows.
+func (w *world) availableFeedServers() []*server {
 	var list []*server
 	for _, s := range w.incarnations {
 		if s.service == serviceFeed && !s.crashed && !s.draining && !s.hung {
@@ -141,12 +141,12 @@
 func (w *world) release()      { w.replaceServers(false) }
 func (w *world) releaseQuiet() { w.replaceServers(true) }
 
-func (w *world) replaceServers(quiet bool) {
-	w.At(troubleStart, func() {
-		for i, s := range w.feedIncarnations() {
+func (w *world) replaceServers(unannounced bool) {
+	w.At(faultStart, func() {
+		for i, s := range w.availableFeedServers() {
 			w.After(time.Duration(i)*time.Second, func() {
 				w.addServer(s.service, s.zone)
-				w.After(500*time.Millisecond, func() { s.leave(quiet) })
+				w.After(500*time.Millisecond, func() { s.leave(unannounced) })
 			})
 		}
 	})
@@ -155,101 +155,101 @@
 func (w *world) configStorm() {
 	services := []string{serviceFeed, "", serviceUpload, serviceFeed, serviceUpload, ""}
 	for i := range 50 {
-		w.At(troubleStart+time.Duration(i)*300*time.Millisecond, func() {
-			w.operator.probe = services[(i/8)%len(services)]
-			w.operator.idle = 5 + i*7%40
+		w.At(faultStart+time.Duration(i)*300*time.Millisecond, func() {
+			w.operator.probeService = services[(i/8)%len(services)]
+			w.operator.idleRoutes = 5 + i*7%40
 			w.operator.publish()
 		})
 	}
 }
 
 func (w *world) weights() {
-	w.At(troubleStart, func() {
-		w.operator.lookups = []group{{serviceFeed, 90}, {serviceUpload, 10}}
+	w.At(faultStart, func() {
+		w.operator.lookupServices = []weightedService{{serviceFeed, 90}, {serviceUpload, 10}}
 		w.operator.publish()
 	})
 }
 
-// third picks a third of the feed servers.
-func (w *world) third() []*server {
-	list := w.feedIncarnations()
+// randomThird returns a random third of the available feed servers.
+func (w *world) randomThird() []*server {
+	list := w.availableFeedServers()
 	w.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:len(list)/3]
 }
 
 func (w *world) crashServers(reuse bool) {
-	w.At(troubleStart, func() {
-		for _, s := range w.third() {
+	w.At(faultStart, func() {
+		for _, s := range w.randomThird() {
 			s.crash(reuse)
 		}
 	})
 }
 
 func (w *world) hangServers() {
-	w.At(troubleStart, func() {
-		for _, s := range w.third() {
+	w.At(faultStart, func() {
+		for _, s := range w.randomThird() {
 			s.hung, s.disturbed = true, w.Now
 		}
 	})
 }
 
 func (w *world) slowServers() {
-	w.At(troubleStart, func() {
-		for _, s := range w.third() {
-			s.slow = 5
+	w.At(faultStart, func() {
+		for _, s := range w.randomThird() {
+			s.slowdown = 5
 		}
 	})
 }
 
-// differentServers gives feed servers three speeds, in turn.
-func (w *world) differentServers() {
+// mixedSpeedServers gives feed servers three speeds in rotation.
+func (w *world) mixedSpeedServers() {
 	w.speeds = []float64{0.6, 1, 1.6}
-	for i, s := range w.feedIncarnations() {
+	for i, s := range w.availableFeedServers() {
 		s.speed = w.speeds[i%len(w.speeds)]
 	}
 }
 
-// slowFastest lets the quickest feed servers turn slow.
+// slowFastest slows down the fastest feed servers.
 func (w *world) slowFastest() {
-	w.At(troubleStart, func() {
-		for _, s := range w.feedIncarnations() {
+	w.At(faultStart, func() {
+		for _, s := range w.availableFeedServers() {
 			if s.speed > 1 {
-				s.slow = 3
+				s.slowdown = 3
 			}
 		}
 	})
 }
 
-// greyShare is the part of its requests that a grey server fails.
+// greyShare is the share of its requests that a server with a grey failure fails.
 const greyShare = 0.4
 
-func greyServers(how failure) func(*world) { return failing(greyShare, how) }
+func greyServers(mode failureMode) func(*world) { return failRequests(greyShare, mode) }
 
-// failing lets a third of the feed servers fail a part of their requests.
-func failing(part float64, how failure) func(*world) {
+// failRequests makes a third of the feed servers fail a share of their requests.
+func failRequests(share float64, mode failureMode) func(*world) {
 	return func(w *world) {
-		w.At(troubleStart, func() {
-			for _, s := range w.third() {
-				s.grey, s.failing = part, how
+		w.At(faultStart, func() {
+			for _, s := range w.randomThird() {
+				s.failureRate, s.failureMode = share, mode
 			}
 		})
 	}
 }
 
-// releaseShorter replaces servers by a version whose answers are far shorter.
+// releaseShorter replaces servers by a version with much shorter answers.
 func (w *world) releaseShorter() {
-	w.At(troubleStart, func() {
-		for i, s := range w.feedIncarnations() {
+	w.At(faultStart, func() {
+		for i, s := range w.availableFeedServers() {
 			w.After(time.Duration(i)*time.Second, func() {
-				w.addServer(s.service, s.zone).shorter = 1.0 / 8
+				w.addServer(s.service, s.zone).answerScale = 1.0 / 8
 				w.After(500*time.Millisecond, func() { s.leave(false) })
 			})
 		}
 	})
 }
 
-// oneInEachZone returns a balancer of each zone, drawn by chance.
-func (w *world) oneInEachZone() []*node {
+// randomNodePerZone returns a random balancer of each zone.
+func (w *world) randomNodePerZone() []*node {
 	var list []*node
 	for i := range w.zones {
 		list = append(list, w.nodes[i*w.options.BalancersPerZone+w.Random.IntN(w.options.BalancersPerZone)])
@@ -257,26 +257,26 @@
 	return list
 }
 
-func (w *world) killSome() {
-	w.At(troubleStart, func() {
-		for _, n := range w.oneInEachZone() {
+func (w *world) killOnePerZone() {
+	w.At(faultStart, func() {
+		for _, n := range w.randomNodePerZone() {
 			n.kill(2 * time.Second)
 		}
 	})
 }
 
-func (w *world) freezeSome() {
-	w.At(troubleStart, func() {
-		for _, n := range w.oneInEachZone() {
-			n.freeze(3 * time.Second)
+func (w *world) pauseOnePerZone() {
+	w.At(faultStart, func() {
+		for _, n := range w.randomNodePerZone() {
+			n.pause(3 * time.Second)
 		}
 	})
 }
 
 func (w *world) killAll() {
-	w.At(troubleStart, func() {
-		w.truth.allKilled = true
-		w.truth.backAt = w.Now + time.Second
+	w.At(faultStart, func() {
+		w.observer.allKilled = true
+		w.observer.restartedAt = w.Now + time.Second
 		for _, n := range w.nodes {
 			n.kill(time.Second)
 		}
@@ -289,54 +289,54 @@
 }
 
 func (w *world) lossyAnswers() {
-	w.At(trafficStart, func() { w.lostAnswers, w.loss = 0.5, 0.02 })
+	w.At(trafficStart, func() { w.openAnswerLoss, w.loss = 0.5, 0.02 })
 	w.rollingRestart()
 }
 
-// chaos draws troubles by the seed.
+// chaos injects random faults at random times.
 func (w *world) chaos() {
 	w.loss = 0.005
-	troubles := []func(){
+	faults := []func(){
 		func() { w.nodes[w.Random.IntN(len(w.nodes))].stop() },
 		func() { w.nodes[w.Random.IntN(len(w.nodes))].kill(w.Between(300*time.Millisecond, 4*time.Second)) },
 		func() {
-			w.nodes[w.Random.IntN(len(w.nodes))].freeze(w.Between(300*time.Millisecond, 5*time.Second))
+			w.nodes[w.Random.IntN(len(w.nodes))].pause(w.Between(300*time.Millisecond, 5*time.Second))
 		},
 		func() {
-			w.nodes[w.Random.IntN(len(w.nodes))].cut(w.Between(time.Second, 8*time.Second), w.Chance(0.5))
+			w.nodes[w.Random.IntN(len(w.nodes))].partition(w.Between(time.Second, 8*time.Second), w.Chance(0.5))
 		},
-		func() { w.randomServer().leave(w.Chance(0.3)) },
-		func() { w.randomServer().crash(w.Chance(0.5)) },
-		func() { s := w.randomServer(); s.hung, s.disturbed = true, w.Now },
+		func() { w.replaceRandomServer().leave(w.Chance(0.3)) },
+		func() { w.replaceRandomServer().crash(w.Chance(0.5)) },
+		func() { s := w.replaceRandomServer(); s.hung, s.disturbed = true, w.Now },
 		func() { w.addServer(serviceFeed, w.zones[w.Random.IntN(len(w.zones))]) },
 		func() {
-			w.operator.probe = []string{"", serviceFeed, serviceUpload}[w.Random.IntN(3)]
+			w.operator.probeService = []string{"", serviceFeed, serviceUpload}[w.Random.IntN(3)]
 			w.operator.publish()
 		},
 		func() {
 			w.store.setFault(storeFault(1 + w.Random.IntN(4)))
-			w.After(w.Between(500*time.Millisecond, 6*time.Second), func() { w.store.setFault(storeSound) })
+			w.After(w.Between(500*time.Millisecond, 6*time.Second), func() { w.store.setFault(storeHealthy) })
 		},
 		func() {
-			w.store.stalled = true
+			w.store.watchesBlocked = true
 			w.After(time.Second, w.store.compact)
 		},
 		func() {
-			w.store.setFault(storeSilent)
+			w.store.setFault(storeUnresponsive)
 			w.After(w.Between(4*time.Second, 6*time.Second), func() {
-				w.store.lapse()
-				w.store.setFault(storeSound)
+				w.store.expireAll()
+				w.store.setFault(storeHealthy)
 			})
 		},
 	}
-	for at := troubleStart; at < defaultLength-quietEnd; at += w.Between(200*time.Millisecond, 2*time.Second) {
-		w.At(at, troubles[w.Random.IntN(len(troubles))])
+	for at := faultStart; at < defaultDuration-quietPeriod; at += w.Between(200*time.Millisecond, 2*time.Second) {
+		w.At(at, faults[w.Random.IntN(len(faults))])
 	}
 }
 
-// randomServer draws a feed server; a new one takes its place.
-func (w *world) randomServer() *server {
-	list := w.feedIncarnations()
+// replaceRandomServer returns a random feed server after adding another one to its zone.
+func (w *world) replaceRandomServer() *server {
+	list := w.availableFeedServers()
 	s := list[w.Random.IntN(len(list))]
 	w.addServer(s.service, s.zone)
 	return s
--- a/internal/emulator/scenario_cold.go
+++ b/internal/emulator/scenario_cold.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	// limitedRate is how many flows a second a server takes while it warms up, limitedColdTime how
-	// long that is.
-	limitedRate     = 4
-	limitedColdTime = 8 * time.Second
-	// goneTime is how long servers that come back cold are gone.
-	goneTime = 4500 * time.Millisecond
+	// limitedWarmUpRate is how many new flows per second a server accepts during warm-up,
+	// limitedWarmUpTime how long that lasts.
+	limitedWarmUpRate = 4
+	limitedWarmUpTime = 8 * time.Second
+	// coldReturnDownTime is how long the servers are down.
+	coldReturnDownTime = 4500 * time.Millisecond
 )
 
-// limitColdServers bounds from now on what servers that warm up may get.
-func (w *world) limitColdServers() {
-	w.coldTime, w.operator.warmUpRate = limitedColdTime, limitedRate
+// limitWarmUp limits the rate of new flows during warm-up from now on.
+func (w *world) limitWarmUp() {
+	w.warmUpTime, w.operator.warmUpRate = limitedWarmUpTime, limitedWarmUpRate
 	w.operator.publish()
 }
 
-// coldReturn has only the servers of the first zone come back cold, all at once.
+// coldReturn crashes the feed servers of the first zone and starts all of them again at once.
 func (w *world) coldReturn() {
-	w.limitColdServers()
-	w.At(troubleStart, func() {
-		for _, s := range w.feedIncarnations() {
+	w.limitWarmUp()
+	w.At(faultStart, func() {
+		for _, s := range w.availableFeedServers() {
 			if s.zone == w.zones[0] {
 				s.crash(false)
-				w.After(goneTime, func() { w.startServer(s.service, s.zone, s.address) })
+				w.After(coldReturnDownTime, func() { w.startServer(s.service, s.zone, s.address) })
 			}
 		}
 	})
 }
 
-// killMost kills the balancers of the first zone but for one while its servers warm up.
+// killMost kills all balancers but one of the first zone while its servers are warming up.
 func (w *world) killMost() {
-	w.At(troubleStart+goneTime+2*time.Second, func() {
-		left := 0
+	w.At(faultStart+coldReturnDownTime+2*time.Second, func() {
+		seen := 0
 		for _, n := range w.nodes {
 			if n.zone == w.zones[0] {
-				if left++; left > 1 {
+				if seen++; seen > 1 {
 					n.kill(restartTime)
 				}
 			}
@@ -44,20 +44,21 @@
 	})
 }
 
-// cutHalf cuts half of the balancers off while the servers are gone and when they are back.
-func (w *world) cutHalf() { w.cutEverySecond(troubleStart+3*time.Second, 6*time.Second) }
+// partitionHalf partitions half of the balancers while the servers are down and after their return.
+func (w *world) partitionHalf() { w.partitionEverySecond(faultStart+3*time.Second, 6*time.Second) }
 
-// coldEvacuation has the entries tell that servers are cold just before the zone is taken back.
+// coldEvacuation makes the servers of an evacuated zone register as warming up just before the
+// evacuation ends.
 func (w *world) coldEvacuation() {
-	w.limitColdServers()
-	w.At(troubleStart, func() { w.store.evacuate(w.zones[0], true) })
-	w.At(troubleStart+evacuationTime, func() {
-		for _, s := range w.feedIncarnations() {
+	w.limitWarmUp()
+	w.At(faultStart, func() { w.store.setEvacuated(w.zones[0], true) })
+	w.At(faultStart+evacuationDuration, func() {
+		for _, s := range w.availableFeedServers() {
 			if s.zone == w.zones[0] {
-				s.coldAt = w.Now
+				s.warmUpStart = w.Now
 				s.heartbeat()
 			}
 		}
-		w.store.evacuate(w.zones[0], false)
+		w.store.setEvacuated(w.zones[0], false)
 	})
 }
--- a/internal/emulator/scenario_evacuate.go
+++ b/internal/emulator/scenario_evacuate.go
@@ -2,87 +2,89 @@
 
 import "time"
 
-// evacuationTime is how long scenarios keep a zone empty: well beyond the bound.
-const evacuationTime = 8 * time.Second
+// evacuationDuration is how long scenarios evacuate a zone, well beyond evacuateBound.
+const evacuationDuration = 8 * time.Second
 
-// zoneAt counts on from the first zone again where there are fewer.
+// zoneAt returns the zone with the index modulo the number of zones.
 func (w *world) zoneAt(i int) string { return w.zones[i%len(w.zones)] }
 
-// evacuateAt evacuates a zone at a time and takes it back later.
+// evacuateAt evacuates a zone for evacuationDuration.
 func (w *world) evacuateAt(at time.Duration, zone string) {
-	w.At(at, func() { w.store.evacuate(zone, true) })
-	w.At(at+evacuationTime, func() { w.store.evacuate(zone, false) })
+	w.At(at, func() { w.store.setEvacuated(zone, true) })
+	w.At(at+evacuationDuration, func() { w.store.setEvacuated(zone, false) })
 }
 
 func (w *world) evacuateInTurn() {
-	w.evacuateAt(troubleStart, w.zoneAt(0))
-	w.evacuateAt(troubleStart+evacuationTime+time.Second, w.zoneAt(1))
+	w.evacuateAt(faultStart, w.zoneAt(0))
+	w.evacuateAt(faultStart+evacuationDuration+time.Second, w.zoneAt(1))
 	w.release()
 }
 
 func (w *world) evacuateAll() {
 	for _, zone := range w.zones {
-		w.evacuateAt(troubleStart, zone)
+		w.evacuateAt(faultStart, zone)
 	}
 }
 
-// evacuateCompact has a removal and an evacuation in one gap that no watch heard of.
+// evacuateCompact ends one evacuation and begins another while watches are blocked and before the
+// history is compacted.
 func (w *world) evacuateCompact() {
-	w.At(troubleStart, func() { w.store.evacuate(w.zoneAt(0), true) })
-	w.At(troubleStart+4*time.Second, func() {
-		w.store.stalled = true
-		w.store.evacuate(w.zoneAt(0), false)
-		w.store.evacuate(w.zoneAt(1), true)
-		w.operator.probe = serviceFeed
+	w.At(faultStart, func() { w.store.setEvacuated(w.zoneAt(0), true) })
+	w.At(faultStart+4*time.Second, func() {
+		w.store.watchesBlocked = true
+		w.store.setEvacuated(w.zoneAt(0), false)
+		w.store.setEvacuated(w.zoneAt(1), true)
+		w.operator.probeService = serviceFeed
 		w.operator.publish()
 	})
-	w.At(troubleStart+5*time.Second, w.store.compact)
-	w.At(troubleStart+14*time.Second, func() { w.store.evacuate(w.zoneAt(1), false) })
+	w.At(faultStart+5*time.Second, w.store.compact)
+	w.At(faultStart+14*time.Second, func() { w.store.setEvacuated(w.zoneAt(1), false) })
 }
 
 func (w *world) evacuateCut() {
-	w.cutEverySecond(troubleStart, 6*time.Second)
-	w.At(troubleStart+2*time.Second, func() { w.store.evacuate(w.zoneAt(0), true) })
-	w.At(troubleStart+16*time.Second, func() { w.store.evacuate(w.zoneAt(0), false) })
+	w.partitionEverySecond(faultStart, 6*time.Second)
+	w.At(faultStart+2*time.Second, func() { w.store.setEvacuated(w.zoneAt(0), true) })
+	w.At(faultStart+16*time.Second, func() { w.store.setEvacuated(w.zoneAt(0), false) })
 }
 
 func (w *world) evacuateTurnedAway() {
 	w.storeTurnsAway()
-	w.evacuateAt(troubleStart+500*time.Millisecond, w.zoneAt(0))
-	w.evacuateAt(troubleStart+4*time.Second, w.zoneAt(2))
+	w.evacuateAt(faultStart+500*time.Millisecond, w.zoneAt(0))
+	w.evacuateAt(faultStart+4*time.Second, w.zoneAt(2))
 }
 
-// evacuateOutage has balancers that start learn of the evacuation from others alone.
+// evacuateOutage restarts balancers in an outage, so that they learn of the evacuation from peers
+// alone.
 func (w *world) evacuateOutage() {
-	w.evacuateAt(troubleStart, w.zoneAt(0))
-	w.At(troubleStart+500*time.Millisecond, func() { w.store.setFault(storeSilent) })
+	w.evacuateAt(faultStart, w.zoneAt(0))
+	w.At(faultStart+500*time.Millisecond, func() { w.store.setFault(storeUnresponsive) })
 	for i, n := range w.nodes {
-		w.At(troubleStart+time.Second+time.Duration(i)*400*time.Millisecond, func() { n.kill(restartTime) })
+		w.At(faultStart+time.Second+time.Duration(i)*400*time.Millisecond, func() { n.kill(restartTime) })
 	}
-	w.At(troubleStart+faultTime, func() { w.store.setFault(storeSound) })
+	w.At(faultStart+storeFaultDuration, func() { w.store.setFault(storeHealthy) })
 }
 
 func (w *world) evacuateRestart() {
-	w.At(troubleStart, func() { w.store.evacuate(w.zoneAt(0), true) })
-	w.At(troubleStart+2*time.Second, func() {
+	w.At(faultStart, func() { w.store.setEvacuated(w.zoneAt(0), true) })
+	w.At(faultStart+2*time.Second, func() {
 		for _, n := range w.nodes {
 			n.kill(restartTime)
 		}
 	})
 	w.configStorm()
-	w.At(troubleStart+16*time.Second, func() { w.store.evacuate(w.zoneAt(0), false) })
+	w.At(faultStart+16*time.Second, func() { w.store.setEvacuated(w.zoneAt(0), false) })
 }
 
 func (w *world) evacuateDark() {
-	w.evacuateAt(troubleStart, w.zoneAt(0))
-	w.At(troubleStart+3*time.Second, func() {
+	w.evacuateAt(faultStart, w.zoneAt(0))
+	w.At(faultStart+3*time.Second, func() {
 		for _, s := range w.incarnations {
 			if s.zone == w.zoneAt(1) {
 				s.hung, s.disturbed = true, w.Now
 			}
 		}
 	})
-	w.At(troubleStart+evacuationTime, func() {
+	w.At(faultStart+evacuationDuration, func() {
 		for _, s := range w.incarnations {
 			s.hung, s.disturbed = false, w.Now
 		}
--- a/internal/emulator/scenario_lapse.go
+++ b/internal/emulator/scenario_lapse.go
@@ -7,71 +7,73 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// backWithin is within what time of the store's return servers' entries are back.
-const backWithin = 2 * time.Second
+// returnPeriod is the time from the store's return within which all servers register again.
+const returnPeriod = 2 * time.Second
 
-// lapseInOutage drops all entries while the store is away. Servers get through to it again one by one.
-func (w *world) lapseInOutage() {
-	w.At(troubleStart, func() { w.store.setFault(storeSilent) })
-	w.At(troubleStart+faultTime, func() {
-		w.store.lapse()
-		w.store.setFault(storeSound)
-		w.backOneByOne()
+// expireInOutage removes all entries while the store is unresponsive. Servers register again one by
+// one after its return.
+func (w *world) expireInOutage() {
+	w.At(faultStart, func() { w.store.setFault(storeUnresponsive) })
+	w.At(faultStart+storeFaultDuration, func() {
+		w.store.expireAll()
+		w.store.setFault(storeHealthy)
+		w.returnOneByOne()
 	})
 }
 
-// backOneByOne lets each server write its entry at some time within backWithin.
-func (w *world) backOneByOne() {
+// returnOneByOne lets each server register at a random time within returnPeriod.
+func (w *world) returnOneByOne() {
 	for _, s := range w.incarnations {
-		if s.crashed || s.mute {
+		if s.crashed || s.heartbeatStopped {
 			continue
 		}
-		s.mute = true
-		w.After(time.Duration(w.Random.Float64()*float64(backWithin)), func() {
-			s.mute = false
+		s.heartbeatStopped = true
+		w.After(time.Duration(w.Random.Float64()*float64(returnPeriod)), func() {
+			s.heartbeatStopped = false
 			s.heartbeat()
 		})
 	}
-	w.measureBack()
+	w.measureReturn()
 }
 
-// measureBack compares how many requests the feed servers began until half of the entries are back:
-// few that are back first must not take everything.
-func (w *world) measureBack() {
+// measureReturn measures how evenly feed servers are used until half of the entries are back: the
+// first ones must not receive all requests.
+func (w *world) measureReturn() {
 	type count struct {
 		server *server
 		before int
 	}
 	var counts []count
-	for _, s := range w.feedIncarnations() {
-		counts = append(counts, count{s, s.begun})
+	for _, s := range w.availableFeedServers() {
+		counts = append(counts, count{s, s.requestsStarted})
 	}
-	w.After(backWithin/2, func() {
+	w.After(returnPeriod/2, func() {
 		var begun []float64
 		for _, c := range counts {
-			begun = append(begun, float64(c.server.begun-c.before))
+			begun = append(begun, float64(c.server.requestsStarted-c.before))
 		}
 		if floats.Sum(begun) > 0 {
-			w.busiestBack = floats.Max(begun) / stat.Mean(begun, nil)
+			w.busiestDuringReturn = floats.Max(begun) / stat.Mean(begun, nil)
 		}
 	})
 }
 
-// lapseAndCrash has a third of the feed servers crash in the outage; their addresses go to others.
-func (w *world) lapseAndCrash() {
-	w.lapseInOutage()
-	w.At(troubleStart+faultTime-3*time.Second, func() {
-		for i, s := range w.third() {
+// expireAndCrash crashes a third of the feed servers in the outage and reuses the addresses of half
+// of them.
+func (w *world) expireAndCrash() {
+	w.expireInOutage()
+	w.At(faultStart+storeFaultDuration-3*time.Second, func() {
+		for i, s := range w.randomThird() {
 			s.crash(i%2 == 0)
 		}
 	})
 }
 
-// lapseAndRelease has servers leave before, in and after the outage, with and without a word.
-func (w *world) lapseAndRelease() {
-	w.lapseInOutage()
-	w.At(troubleStart-2*time.Second, func() {
-		for i, s := range w.feedIncarnations() {
+// expireAndRelease replaces servers before, during and after the outage, half of them unannounced.
+func (w *world) expireAndRelease() {
+	w.expireInOutage()
+	w.At(faultStart-2*time.Second, func() {
+		for i, s := range w.availableFeedServers() {
 			w.After(time.Duration(i)*time.Second, func() {
 				w.addServer(s.service, s.zone)
 				w.After(500*time.Millisecond, func() { s.leave(i%2 == 0) })
@@ -80,19 +82,21 @@
 	})
 }
 
-// powerInOutage kills every balancer before the store is back; those that are on start soon after it.
-func (w *world) powerInOutage() {
+// restartAllInOutage kills every balancer shortly before the store returns; they start shortly
+// after it.
+func (w *world) restartAllInOutage() {
 	const down = 1700 * time.Millisecond
-	w.At(troubleStart+faultTime-down, func() {
+	w.At(faultStart+storeFaultDuration-down, func() {
 		for _, n := range w.nodes {
 			n.kill(down)
 		}
 	})
 }
 
-// loseWrites leaves writes unanswered, and kills the balancer that writes now and then.
+// loseWrites leaves half of the writes unanswered and kills the balancer that writes the snapshot
+// several times.
 func (w *world) loseWrites() {
-	w.store.lostWrites = 0.5
+	w.store.unansweredWrites = 0.5
 	first := w.ranked()[0]
 	for i := range 3 {
 		w.At(trafficStart+time.Duration(i)*1300*time.Millisecond, func() { first.kill(restartTime) })
--- a/internal/emulator/scenario_restart.go
+++ b/internal/emulator/scenario_restart.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// downTime is how long a server that starts again under its identifier is down: less than its entry lives.
-const downTime = 700 * time.Millisecond
+// serverDownTime is how long a restarting server is down, less than entryTTL.
+const serverDownTime = 700 * time.Millisecond
 
-// restartServers has a third of the feed servers crash and start again under their identifiers, once in each
-// of times.
+// restartServers restarts a third of the feed servers under their identifiers, once at each of the
+// times.
 func (w *world) restartServers(times ...time.Duration) {
-	w.At(troubleStart, func() {
-		for _, s := range w.third() {
+	w.At(faultStart, func() {
+		for _, s := range w.randomThird() {
 			for _, at := range times {
 				w.After(at, w.servers[s.address].restart)
 			}
@@ -17,32 +17,33 @@
 	})
 }
 
-// restart ends whoever is at the server's address and starts another one under its identifier, which holds
-// nothing of it.
+// restart ends the present server at the address and starts another one, without its flows, under
+// the same identifier.
 func (s *server) restart() {
 	w := s.world
 	if present := w.servers[s.address]; present != nil {
-		present.end()
+		present.stop()
 	}
-	w.After(downTime, func() { w.startServerAs(s.id, s.service, s.zone, s.address) })
+	w.After(serverDownTime, func() { w.startServerAs(s.id, s.service, s.zone, s.address) })
 }
 
 func (w *world) restartServersOnce() { w.restartServers(0) }
 
-// restartServersOften has them restart three times within one interval of their entries, so that balancers
-// learn of the last start alone, and once more later.
+// restartServersOften restarts them three times within one heartbeat interval, so that balancers
+// learn of the last start only, and once more later.
 func (w *world) restartServersOften() {
-	w.restartServers(0, downTime+10*time.Millisecond, 2*(downTime+10*time.Millisecond), 8*time.Second)
+	w.restartServers(0, serverDownTime+10*time.Millisecond, 2*(serverDownTime+10*time.Millisecond), 8*time.Second)
 }
 
-// restartServersUnseen has them restart while half of the balancers are cut off from the store and the others.
+// restartServersUnseen restarts them while half of the balancers are partitioned.
 func (w *world) restartServersUnseen() {
-	w.cutHalf()
+	w.partitionHalf()
 	w.restartServers(4 * time.Second)
 }
 
-// restartServersBack has their clocks set back meanwhile, so that the later start tells the earlier birth.
+// restartServersBack sets the servers' clocks back meanwhile, so that the later start has the
+// earlier start time.
 func (w *world) restartServersBack() {
 	w.restartServers(0)
-	w.At(troubleStart, func() { w.clockBack = 3600 * time.Second })
+	w.At(faultStart, func() { w.clockSetBack = 3600 * time.Second })
 }
--- a/internal/emulator/scenario_reuse.go
+++ b/internal/emulator/scenario_reuse.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// cutHalfWhileAddressesGo cuts half of the balancers off from just before servers crash until after their
-// addresses have gone to others: these learn of both at once, late.
-func (w *world) cutHalfWhileAddressesGo() {
-	w.cutEverySecond(troubleStart-time.Second, 6*time.Second)
+// partitionDuringAddressReuse partitions half of the balancers from before servers crash until
+// after their addresses are reused, so that these learn of both changes at once.
+func (w *world) partitionDuringAddressReuse() {
+	w.partitionEverySecond(faultStart-time.Second, 6*time.Second)
 }
--- a/internal/emulator/scenario_store.go
+++ b/internal/emulator/scenario_store.go
@@ -7,77 +7,77 @@
 	"gaugeyard/internal/peers"
 )
 
-// faultTime is how long the store's faults last.
-const faultTime = 6 * time.Second
+const storeFaultDuration = 6 * time.Second
 
-func duringFault(fault storeFault) func(*world) {
+func storeFaultDuringRelease(fault storeFault) func(*world) {
 	return func(w *world) {
-		w.At(troubleStart, func() { w.store.setFault(fault) })
-		w.At(troubleStart+faultTime, func() { w.store.setFault(storeSound) })
+		w.At(faultStart, func() { w.store.setFault(fault) })
+		w.At(faultStart+storeFaultDuration, func() { w.store.setFault(storeHealthy) })
 		w.release()
-		w.At(troubleStart+faultTime+time.Second, func() {
-			w.operator.probe = serviceFeed
+		w.At(faultStart+storeFaultDuration+time.Second, func() {
+			w.operator.probeService = serviceFeed
 			w.operator.publish()
 		})
 	}
 }
 
 func (w *world) silentLate() {
-	const begin = troubleStart + 12*time.Second
-	w.At(begin, func() { w.store.setFault(storeSilent) })
-	w.At(begin+faultTime, func() { w.store.setFault(storeSound) })
-	w.At(begin+faultTime+time.Second, func() {
-		w.operator.probe = serviceFeed
+	const begin = faultStart + 12*time.Second
+	w.At(begin, func() { w.store.setFault(storeUnresponsive) })
+	w.At(begin+storeFaultDuration, func() { w.store.setFault(storeHealthy) })
+	w.At(begin+storeFaultDuration+time.Second, func() {
+		w.operator.probeService = serviceFeed
 		w.operator.publish()
 	})
 }
 
-func (w *world) storeLapse() {
-	w.At(troubleStart, func() { w.store.setFault(storeSilent) })
-	w.At(troubleStart+faultTime, func() {
-		w.store.lapse()
-		w.store.setFault(storeSound)
+func (w *world) storeExpiry() {
+	w.At(faultStart, func() { w.store.setFault(storeUnresponsive) })
+	w.At(faultStart+storeFaultDuration, func() {
+		w.store.expireAll()
+		w.store.setFault(storeHealthy)
 	})
 }
 
 func (w *world) storeCompact() {
-	w.At(troubleStart, func() {
-		w.store.stalled = true
-		for _, s := range w.third() {
-			s.serveOn = serveLong
+	w.At(faultStart, func() {
+		w.store.watchesBlocked = true
+		for _, s := range w.randomThird() {
+			s.serveAfterDrain = longServeAfterDrain
 			s.leave(true)
 		}
-		w.operator.probe = serviceFeed
+		w.operator.probeService = serviceFeed
 		w.operator.publish()
 	})
-	w.At(troubleStart+time.Second, w.store.compact)
+	w.At(faultStart+time.Second, w.store.compact)
 }
 
-// cutEverySecond cuts every second balancer off from the store and the others, not from clients and servers.
-func (w *world) cutEverySecond(at, length time.Duration) {
+// partitionEverySecond partitions every second balancer from the store and its peers, not from
+// clients and servers.
+func (w *world) partitionEverySecond(at, length time.Duration) {
 	w.At(at, func() {
 		for i, n := range w.nodes {
 			if i%2 == 0 {
-				n.cut(length, true)
+				n.partition(length, true)
 			}
 		}
 	})
 }
 
 func (w *world) storeCut() {
-	w.cutEverySecond(troubleStart, 8*time.Second)
+	w.partitionEverySecond(faultStart, 8*time.Second)
 	w.release()
-	w.At(troubleStart+4*time.Second, func() {
-		w.operator.probe = serviceFeed
+	w.At(faultStart+4*time.Second, func() {
+		w.operator.probeService = serviceFeed
 		w.operator.publish()
 	})
-	w.At(troubleStart+9*time.Second, func() {
-		w.operator.probe = ""
+	w.At(faultStart+9*time.Second, func() {
+		w.operator.probeService = ""
 		w.operator.publish()
 	})
 }
 
-// ranked returns the balancers in the order in which others follow them.
+// ranked returns the balancers by rank, the first ones being those that others follow.
 func (w *world) ranked() []*node {
 	ranked := slices.Clone(w.nodes)
 	slices.SortFunc(ranked, func(a, b *node) int {
@@ -86,35 +86,36 @@
 	return ranked
 }
 
-// storeTurnsAway has those that are turned away count as in touch: others are served, and tell them.
+// storeTurnsAway rejects a third of the balancers. These still count as in contact, as they can
+// follow peers that the store serves.
 func (w *world) storeTurnsAway() {
-	const awayTime = 9 * time.Second
+	const rejectTime = 9 * time.Second
 	ranked := w.ranked()
-	away := ranked[:len(ranked)/3]
-	w.At(troubleStart, func() { w.store.turnAway(away, true) })
-	w.At(troubleStart+awayTime, func() { w.store.turnAway(away, false) })
+	rejected := ranked[:len(ranked)/3]
+	w.At(faultStart, func() { w.store.setRejected(rejected, true) })
+	w.At(faultStart+rejectTime, func() { w.store.setRejected(rejected, false) })
 	w.release()
 	for i := range 4 {
-		w.At(troubleStart+time.Duration(2*i+1)*time.Second, func() {
-			w.operator.probe = []string{serviceFeed, ""}[i%2]
+		w.At(faultStart+time.Duration(2*i+1)*time.Second, func() {
+			w.operator.probeService = []string{serviceFeed, ""}[i%2]
 			w.operator.publish()
 		})
 	}
 }
 
-// cutSources cuts those that most others follow off from the store alone, so that they go
-// on telling what they know, and restarts the others in turn while servers leave.
+// cutSources partitions the balancers that most others follow from the store alone, so that they
+// still answer their peers, and restarts the others in rotation while servers leave.
 func (w *world) cutSources() {
 	const cutTime = 14 * time.Second
 	ranked := w.ranked()
 	sources, others := ranked[:2], ranked[2:]
-	w.At(troubleStart, func() {
+	w.At(faultStart, func() {
 		for _, n := range sources {
-			n.cut(cutTime, false)
+			n.partition(cutTime, false)
 		}
 	})
 	for i := range 2 * len(others) {
-		w.At(troubleStart+time.Duration(i)*1100*time.Millisecond, func() {
+		w.At(faultStart+time.Duration(i)*1100*time.Millisecond, func() {
 			if n := others[i%len(others)]; n.up && !n.leaving {
 				n.stop()
 			}
@@ -123,33 +124,34 @@
 	w.release()
 }
 
-// loseAble takes those away that come first by rank, one in each zone where machines are alike.
-func (w *world) loseAble() {
-	const downTime, cutTime = 6 * time.Second, 10 * time.Second
+// loseHighCapacity kills as many of the first balancers by rank as there are zones, and partitions
+// them from the store when they are back.
+func (w *world) loseHighCapacity() {
+	const killTime, cutTime = 6 * time.Second, 10 * time.Second
 	for _, n := range w.ranked()[:len(w.zones)] {
-		w.At(troubleStart, func() { n.kill(downTime) })
-		w.At(troubleStart+downTime+time.Second, func() { n.cut(cutTime, false) })
+		w.At(faultStart, func() { n.kill(killTime) })
+		w.At(faultStart+killTime+time.Second, func() { n.partition(cutTime, false) })
 	}
 	w.release()
 }
 
-// cut partitions a machine from the store, and from other balancers too.
-func (n *node) cut(length time.Duration, peersToo bool) {
+// partition partitions a machine from the store, and with peersToo from other balancers.
+func (n *node) partition(length time.Duration, peersToo bool) {
 	n.disturb()
-	n.cutFromStore, n.cutFromPeers = true, peersToo
+	n.partitionedFromStore, n.partitionedFromPeers = true, peersToo
 	n.world.After(length, func() {
 		n.disturb()
-		n.cutFromStore, n.cutFromPeers = false, false
+		n.partitionedFromStore, n.partitionedFromPeers = false, false
 	})
 }
 
 func (w *world) startInOutage() {
-	w.At(troubleStart, func() { w.store.setFault(storeSilent) })
-	w.At(troubleStart+time.Second, func() {
-		for _, n := range w.oneInEachZone() {
+	w.At(faultStart, func() { w.store.setFault(storeUnresponsive) })
+	w.At(faultStart+time.Second, func() {
+		for _, n := range w.randomNodePerZone() {
 			n.kill(restartTime)
 		}
 	})
 	w.addBalancers()
-	w.At(troubleStart+10*time.Second, func() { w.store.setFault(storeSound) })
+	w.At(faultStart+10*time.Second, func() { w.store.setFault(storeHealthy) })
 }
--- a/internal/emulator/second_server_test.go
+++ b/internal/emulator/second_server_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// TestNoSecondServerAnswersAtFewSigns: a balancer that has just started knows of no loss yet (lossy-answers,
-// 695), three answers in a row are lost (234), two flows go unanswered at a sound server by chance
-// (lossy), or another balancer doubts it for a lost packet (the other seeds).
-func TestNoSecondServerAnswersAtFewSigns(t *testing.T) {
+// TestNoSecondServerAnswersOnWeakEvidence guards against suspecting a healthy server on weak
+// evidence: by a balancer that has just started and has seen no loss (lossy-answers 695), after
+// three lost answers in a row (234), after two flows that went unanswered by chance (lossy), or on
+// a peer's suspicion after one lost packet (the other seeds).
+func TestNoSecondServerAnswersOnWeakEvidence(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		scenario string
@@ -18,11 +19,11 @@
 	}
 }
 
-// TestAnOpenFlowLivesThoughTwoServersAnswer: its routers move it to a balancer that has not seen it open, just after a
-// second server's late answer has changed the tag that its caller returns. The traces show the flow open at one server, "answered
-// by server ..., opening false" by another one, and the next packet there. The larger the zone, the more seldom the balancer
-// is one that knows the flow.
-func TestAnOpenFlowLivesThoughTwoServersAnswer(t *testing.T) {
+// TestOpenFlowSurvivesASecondServersAnswer guards against forwarding an open flow to the wrong
+// server: a second server's late answer changes the tag that the caller returns, and its routers
+// then move the flow to a balancer that has not seen it open. Larger zones make such a move more
+// likely.
+func TestOpenFlowSurvivesASecondServersAnswer(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		scenario  string
@@ -36,18 +37,19 @@
 	}
 }
 
-// TestOthersAreAskedWhereAFlowRests: without it the same happens, more seldom.
-func TestOthersAreAskedWhereAFlowRests(t *testing.T) {
+// TestInquiriesPreventMisroutedFlows checks that inquiries prevent this failure in a run that has
+// it without them.
+func TestInquiriesPreventMisroutedFlows(t *testing.T) {
 	t.Parallel()
 	without := runNamed(t, "lossy-answers", 6, Without{Inquiries: true})
 	if with := runNamed(t, "lossy-answers", 6, Without{}); len(without.Violations) == 0 || len(with.Violations) > 0 {
-		t.Errorf("without %v, with %v", without.Violations, with.Violations)
+		t.Errorf("without inquiries: %v, with inquiries: %v", without.Violations, with.Violations)
 	}
 }
 
-// TestNoSecondServerAnswersWhereRoutersMoveACopy to a balancer that has just started and does not know yet how many
-// answers are lost.
-func TestNoSecondServerAnswersWhereRoutersMoveACopy(t *testing.T) {
+// TestNoSecondServerAnswersWhenRoutersMoveACopy covers a copy that routers move to a balancer that
+// has just started and does not know the loss rate.
+func TestNoSecondServerAnswersWhenRoutersMoveACopy(t *testing.T) {
 	t.Parallel()
 	for _, violation := range runNamed(t, "lossy-answers", 861, Without{}).Violations {
 		t.Error(violation)
--- a/internal/emulator/server_answer.go
+++ b/internal/emulator/server_answer.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// failure is how a server that is well by all signs fails a request.
-type failure uint8
+// failureMode is how a server that otherwise responds fails a request.
+type failureMode uint8
 
 const (
-	// failReset resets the flow in place of an answer.
-	failReset failure = iota
-	// failMute never answers.
-	failMute
+	// failReset resets the flow instead of answering.
+	failReset failureMode = iota
+	// failNoAnswer never answers.
+	failNoAnswer
 	// failError answers at once with a short error.
 	failError
 )
 
-// answerOutcome is what an answer says.
+// answerOutcome is the outcome that an answer reports.
 type answerOutcome uint8
 
 const (
-	answerWhole answerOutcome = iota
-	// answerNotRun says that the request did not run.
+	answerComplete answerOutcome = iota
+	// answerNotRun means that the request was rejected and did not run.
 	answerNotRun
-	// answerFailed is an error.
-	answerFailed
+	// answerError means that the request ran and failed.
+	answerError
 )
 
-// answer is what a server sends back.
+// answer is a server's response to a request.
 type answer struct {
 	outcome answerOutcome
 	// length is in bytes.
@@ -33,20 +33,20 @@
 }
 
 const (
-	// refusalLength is the length of answers that are errors or say that a request did not run.
-	refusalLength = 175
-	// answerSpread is the spread of the logarithm of the lengths of answers.
-	answerSpread = 0.6
+	// shortAnswerLength is the length of errors, rejections and cached answers, in bytes.
+	shortAnswerLength = 175
+	// answerLengthSigma is the standard deviation of the logarithm of answer lengths.
+	answerLengthSigma = 0.6
 )
 
-// answerTo draws the answer to a request that has run.
+// answerTo returns a random answer to a request that has run.
 func (s *server) answerTo(r *request) answer {
-	length := float64(profiles[r.kind].answer) * s.shorter
-	if s.world.varied {
-		// As where one answer in five comes short and at once from a cache.
+	length := float64(profiles[r.kind].answerLength) * s.answerScale
+	if s.world.variedAnswers {
+		// Models cache hits, which are short.
 		if s.world.Chance(0.2) {
-			return answer{answerWhole, refusalLength}
+			return answer{answerComplete, shortAnswerLength}
 		}
 	}
-	return answer{answerWhole, uint32(length * math.Exp(answerSpread*s.world.Random.NormFloat64()))}
+	return answer{answerComplete, uint32(length * math.Exp(answerLengthSigma*s.world.Random.NormFloat64()))}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -8,284 +8,286 @@
 	"gaugeyard/internal/snapshot"
 )
 
-// storeFault is how the platform's store misbehaves.
+// storeFault selects how the platform's store misbehaves.
 type storeFault uint8
 
 const (
-	storeSound storeFault = iota
-	// storeSilent says nothing, and what waited for an answer hears none.
-	storeSilent
-	// storeBusy answers at once that it is not available.
-	storeBusy
+	storeHealthy storeFault = iota
+	// storeUnresponsive answers nothing; pending watches get no answer either.
+	storeUnresponsive
+	// storeUnavailable answers at once with an error.
+	storeUnavailable
 	// storeReset breaks connections.
 	storeReset
-	// storeSlow takes slowFactor times as long.
+	// storeSlow multiplies the latency by storeSlowFactor.
 	storeSlow
 )
 
 const (
-	// storeAnswer is how long the sound store takes.
-	storeAnswer = 4 * time.Millisecond
-	slowFactor  = 60
-	// heartbeat is how often servers write; entryLife is how long without.
-	heartbeat = 1200 * time.Millisecond
-	entryLife = 3 * heartbeat
-	// hangTime is how long a call without a deadline hangs.
-	hangTime = 25 * time.Second
+	// storeLatency is how long the healthy store takes to answer.
+	storeLatency    = 4 * time.Millisecond
+	storeSlowFactor = 60
+	// heartbeatInterval is how often servers write their entries; entryTTL is how long an entry
+	// lives without a write.
+	heartbeatInterval = 1200 * time.Millisecond
+	entryTTL          = 3 * heartbeatInterval
+	// hangTimeout is how long a call without a deadline blocks.
+	hangTimeout = 25 * time.Second
 )
 
-// change is one write to the store.
+// change is one write to the store; one of the pointers, removed or snapshotWrite is set.
 type change struct {
-	revision uint64
-	settings *directory.Settings
-	record   *directory.Record
-	gone     settings.BackendID
-	zone     *directory.Evacuation
-	// kept is set for writes of the balancers' own.
-	kept bool
-	at   time.Duration
+	revision   uint64
+	settings   *directory.Settings
+	record     *directory.Record
+	removed    settings.BackendID
+	evacuation *directory.Evacuation
+	// snapshotWrite marks the balancers' own writes.
+	snapshotWrite bool
+	at            time.Duration
 }
 
-// watcher waits for changes.
+// watcher is a pending watch of a node.
 type watcher struct {
 	node  *node
-	over  *connection
+	conn  *connection
 	after uint64
 	reply func(*directory.Changes, error)
 	done  bool
 }
 
-// store models the platform's store as far as the desired state goes.
+// store models the part of the platform's store that holds the desired state.
 type store struct {
-	world    *world
-	fault    storeFault
-	revision uint64
-	settings *directory.Settings
-	entries  map[settings.BackendID]directory.Record
-	written  map[settings.BackendID]time.Duration
-	// warmAt is when each server has warmed up by its entry, with a heartbeat of leeway.
-	warmAt map[settings.BackendID]time.Duration
-	// evacuated has the revision of each zone's evacuation that is in force.
+	world       *world
+	fault       storeFault
+	revision    uint64
+	settings    *directory.Settings
+	entries     map[settings.BackendID]directory.Record
+	lastWritten map[settings.BackendID]time.Duration
+	// warmUpEnds is when each server's warm-up ends according to its entry, plus a heartbeat's
+	// leeway.
+	warmUpEnds map[settings.BackendID]time.Duration
+	// evacuated maps each evacuated zone to the revision of its evacuation.
 	evacuated map[string]uint64
-	// kept are the parts of the snapshot.
-	kept map[int]snapshot.Stored
-	// lostWrites is the part of transactions that are done and not answered.
-	lostWrites float64
-	history    []change
-	// forgotten is up to where history is dropped.
-	forgotten uint64
-	// stalled watches hear nothing.
-	stalled  bool
-	watchers []*watcher
-	calls    int
-	// unstable is when the store was last disturbed.
-	unstable time.Duration
+	// snapshotParts are the stored parts of the snapshot by number.
+	snapshotParts map[int]snapshot.Stored
+	// unansweredWrites is the share of transactions that are applied but not answered.
+	unansweredWrites float64
+	history          []change
+	// compactedTo is the revision up to which the history was dropped.
+	compactedTo uint64
+	// watchesBlocked suppresses the answers of all watches.
+	watchesBlocked bool
+	watchers       []*watcher
+	calls          int
+	// disturbedAt is when the store was last disturbed.
+	disturbedAt time.Duration
 }
 
 func newStore(w *world) *store {
 	return &store{
-		world:     w,
-		entries:   map[settings.BackendID]directory.Record{},
-		written:   map[settings.BackendID]time.Duration{},
-		warmAt:    map[settings.BackendID]time.Duration{},
-		evacuated: map[string]uint64{},
-		kept:      map[int]snapshot.Stored{},
-		unstable:  -contactBound,
+		world:         w,
+		entries:       map[settings.BackendID]directory.Record{},
+		lastWritten:   map[settings.BackendID]time.Duration{},
+		warmUpEnds:    map[settings.BackendID]time.Duration{},
+		evacuated:     map[string]uint64{},
+		snapshotParts: map[int]snapshot.Stored{},
+		disturbedAt:   -contactBound,
 	}
 }
 
-// stable tells whether the store has been sound for the contact bound.
-func (s *store) stable() bool {
-	return s.fault == storeSound && s.world.Now-s.unstable >= contactBound
+// isStable reports whether the store has been healthy for the contact bound.
+func (s *store) isStable() bool {
+	return s.fault == storeHealthy && s.world.Now-s.disturbedAt >= contactBound
 }
 
-// setFault changes the fault and notes the disturbance.
+// setFault changes the fault and records the disturbance.
 func (s *store) setFault(fault storeFault) {
-	s.unstable = s.world.Now
+	s.disturbedAt = s.world.Now
 	s.fault = fault
-	if fault == storeReset || fault == storeBusy {
+	if fault == storeReset || fault == storeUnavailable {
 		for _, watcher := range s.watchers {
-			s.answer(watcher, nil, errStore)
+			s.completeWatch(watcher, nil, errStore)
 		}
 	}
-	if fault == storeSilent {
+	if fault == storeUnresponsive {
 		s.watchers = nil
 	}
 }
 
-// publish accepts a configuration.
+// publish stores a configuration and returns its revision.
 func (s *store) publish(version uint64, tree settings.Tree) uint64 {
 	s.revision++
 	s.settings = &directory.Settings{Version: version, Revision: s.revision, Tree: tree}
-	s.note(change{revision: s.revision, settings: s.settings})
+	s.record(change{revision: s.revision, settings: s.settings})
 	return s.revision
 }
 
-// evacuate accepts that a zone takes no new flow, or does again.
-func (s *store) evacuate(zone string, active bool) {
+// setEvacuated begins or ends the evacuation of a zone.
+func (s *store) setEvacuated(zone string, active bool) {
 	s.revision++
 	delete(s.evacuated, zone)
 	if active {
 		s.evacuated[zone] = s.revision
 	}
-	s.note(change{revision: s.revision, zone: &directory.Evacuation{Zone: zone, Active: active, Revision: s.revision}})
-	s.world.truth.evacuated(zone, active)
+	s.record(change{revision: s.revision, evacuation: &directory.Evacuation{Zone: zone, Active: active, Revision: s.revision}})
+	s.world.observer.evacuationChanged(zone, active)
 }
 
-// write takes a server's entry. It changes only when more than the heartbeat does.
-func (s *store) write(backend directory.Backend) (taken bool) {
-	if s.fault == storeSilent || s.fault == storeBusy || s.fault == storeReset {
+// write stores a server's entry and reports whether it was accepted. A write that changes only the
+// heartbeat makes no new revision.
+func (s *store) write(backend directory.Backend) (accepted bool) {
+	if s.fault == storeUnresponsive || s.fault == storeUnavailable || s.fault == storeReset {
 		return false
 	}
-	s.written[backend.ID] = s.world.Now
+	s.lastWritten[backend.ID] = s.world.Now
 	known, live := s.entries[backend.ID]
-	if live && known.Backend.StartTime == backend.StartTime && known.Backend.Draining == backend.Draining && s.world.Now+backend.WarmUp <= s.warmAt[backend.ID] {
+	if live && known.Backend.StartTime == backend.StartTime && known.Backend.Draining == backend.Draining && s.world.Now+backend.WarmUp <= s.warmUpEnds[backend.ID] {
 		return true
 	}
 	s.revision++
-	s.warmAt[backend.ID] = s.world.Now + backend.WarmUp + heartbeat
+	s.warmUpEnds[backend.ID] = s.world.Now + backend.WarmUp + heartbeatInterval
 	record := directory.Record{Backend: backend, Revision: s.revision}
 	s.entries[backend.ID] = record
-	s.note(change{revision: s.revision, record: &record})
+	s.record(change{revision: s.revision, record: &record})
 	if backend.Draining {
-		s.world.truth.drained(backend.ID)
+		s.world.observer.serverLeft(backend.ID)
 	} else {
-		s.world.truth.returned(backend.ID)
+		s.world.observer.serverReturned(backend.ID)
 	}
 	return true
 }
 
-// remove drops an entry.
 func (s *store) remove(id settings.BackendID) {
 	if _, live := s.entries[id]; !live {
 		return
 	}
 	delete(s.entries, id)
 	s.revision++
-	s.note(change{revision: s.revision, gone: id})
-	s.world.truth.drained(id)
+	s.record(change{revision: s.revision, removed: id})
+	s.world.observer.serverLeft(id)
 }
 
-// expire drops entries that were not written for long.
-func (s *store) expire() {
-	if s.fault != storeSound {
+// expireOverdue removes entries that were not written for entryTTL.
+func (s *store) expireOverdue() {
+	if s.fault != storeHealthy {
 		return
 	}
 	for _, server := range s.world.incarnations {
-		if _, live := s.entries[server.id]; live && s.world.Now-s.written[server.id] > entryLife {
+		if _, live := s.entries[server.id]; live && s.world.Now-s.lastWritten[server.id] > entryTTL {
 			s.remove(server.id)
 		}
 	}
 }
 
-// lapse drops all entries, as when leases run out during an outage.
-func (s *store) lapse() {
+// expireAll removes all entries, as when their leases run out during an outage.
+func (s *store) expireAll() {
 	for _, server := range s.world.incarnations {
 		s.remove(server.id)
 	}
 }
 
-// compact drops the history and cuts watches.
+// compact drops the history and fails all watches.
 func (s *store) compact() {
-	s.unstable = s.world.Now
-	s.stalled = false
-	s.forgotten = s.revision
+	s.disturbedAt = s.world.Now
+	s.watchesBlocked = false
+	s.compactedTo = s.revision
 	s.history = nil
 	for _, watcher := range s.watchers {
-		s.answer(watcher, nil, errStore)
+		s.completeWatch(watcher, nil, errStore)
 	}
 }
 
-func (s *store) note(c change) {
+func (s *store) record(c change) {
 	c.at = s.world.Now
 	s.history = append(s.history, c)
-	if s.stalled {
+	if s.watchesBlocked {
 		return
 	}
 	for _, watcher := range s.watchers {
-		s.answerIfChanged(watcher)
+		s.completeIfChanged(watcher)
 	}
 }
 
-// reachable tells whether a node's calls get to the store.
+// reachable reports whether a node's calls reach the store.
 func (s *store) reachable(n *node) bool {
-	return s.fault != storeSilent && !n.cutFromStore
+	return s.fault != storeUnresponsive && !n.partitionedFromStore
 }
 
-// refuses tells whether a node's calls are refused at once.
-func (s *store) refuses(n *node) bool {
-	return s.fault == storeBusy || s.fault == storeReset || n.turnedAway
+// rejects reports whether a node's calls fail at once.
+func (s *store) rejects(n *node) bool {
+	return s.fault == storeUnavailable || s.fault == storeReset || n.rejectedByStore
 }
 
-// turnAway refuses the calls of some nodes, those that wait too, and serves all others.
-func (s *store) turnAway(nodes []*node, away bool) {
+// setRejected makes the store reject the calls of some nodes, pending watches included, or accept
+// them again.
+func (s *store) setRejected(nodes []*node, away bool) {
 	for _, n := range nodes {
-		n.turnedAway = away
+		n.rejectedByStore = away
 	}
 	for _, watcher := range s.watchers {
-		if watcher.node.turnedAway {
-			s.answer(watcher, nil, errStore)
+		if watcher.node.rejectedByStore {
+			s.completeWatch(watcher, nil, errStore)
 		}
 	}
 }
 
-// latency is how long the store takes to answer.
 func (s *store) latency() time.Duration {
 	if s.fault == storeSlow {
-		return slowFactor * storeAnswer
+		return storeSlowFactor * storeLatency
 	}
-	return storeAnswer
+	return storeLatency
 }
 
-// deliver carries an answer to a node, unless it is cut off or the connection falls silent
-// meanwhile.
-func (s *store) deliver(n *node, over *connection, run func()) {
+// deliver carries an answer to a node unless the node is partitioned or the connection is
+// blackholed meanwhile.
+func (s *store) deliver(n *node, conn *connection, run func()) {
 	s.world.After(clientDelay, func() {
-		if s.reachable(n) && !over.silent() {
+		if s.reachable(n) && !conn.isBlackholed() {
 			run()
 		}
 	})
 }
 
-// watch answers changes after a revision as soon as there are any, or none when
-// the wait is over.
-func (s *store) watch(n *node, over *connection, after uint64, wait time.Duration, reply func(*directory.Changes, error)) {
+// watch replies with the changes after a revision as soon as there are any, or with none after the
+// wait.
+func (s *store) watch(n *node, conn *connection, after uint64, wait time.Duration, reply func(*directory.Changes, error)) {
 	s.calls++
-	n.countCall()
+	n.countStoreCall()
 	s.world.After(clientDelay, func() {
-		if !s.reachable(n) || over.silent() {
+		if !s.reachable(n) || conn.isBlackholed() {
 			return
 		}
-		watcher := &watcher{node: n, over: over, after: after, reply: reply}
+		watcher := &watcher{node: n, conn: conn, after: after, reply: reply}
 		switch {
-		case s.refuses(n):
-			s.answer(watcher, nil, errStore)
+		case s.rejects(n):
+			s.completeWatch(watcher, nil, errStore)
 			return
-		case after < s.forgotten:
-			s.answer(watcher, nil, errHistory)
+		case after < s.compactedTo:
+			s.completeWatch(watcher, nil, errHistory)
 			return
 		}
 		s.watchers = append(s.watchers, watcher)
-		if !s.stalled {
-			s.answerIfChanged(watcher)
+		if !s.watchesBlocked {
+			s.completeIfChanged(watcher)
 		}
 		s.world.After(wait, func() {
-			if s.stalled {
+			if s.watchesBlocked {
 				return
 			}
-			s.answer(watcher, s.since(watcher.after), nil)
+			s.completeWatch(watcher, s.changesSince(watcher.after), nil)
 		})
 	})
 }
 
-func (s *store) answerIfChanged(w *watcher) {
+func (s *store) completeIfChanged(w *watcher) {
 	if !w.done && s.revision > w.after {
-		s.answer(w, s.since(w.after), nil)
+		s.completeWatch(w, s.changesSince(w.after), nil)
 	}
 }
 
-// answer ends a watch; a node that is cut off does not hear it.
-func (s *store) answer(w *watcher, changes *directory.Changes, err error) {
+// completeWatch answers a watch once; a partitioned node does not receive the answer.
+func (s *store) completeWatch(w *watcher, changes *directory.Changes, err error) {
 	if w.done {
 		return
 	}
@@ -296,11 +298,11 @@
 			break
 		}
 	}
-	s.world.After(s.latency(), func() { s.deliver(w.node, w.over, func() { w.reply(changes, err) }) })
+	s.world.After(s.latency(), func() { s.deliver(w.node, w.conn, func() { w.reply(changes, err) }) })
 }
 
-// since collects the changes after a revision.
-func (s *store) since(after uint64) *directory.Changes {
+// changesSince returns the changes after a revision.
+func (s *store) changesSince(after uint64) *directory.Changes {
 	changes := &directory.Changes{Revision: s.revision}
 	for _, c := range s.history {
 		switch {
@@ -309,11 +311,11 @@
 			changes.Settings = c.settings
 		case c.record != nil:
 			changes.Records = append(changes.Records, *c.record)
-		case c.kept:
-		case c.zone != nil:
-			changes.Evacuations = append(changes.Evacuations, *c.zone)
+		case c.snapshotWrite:
+		case c.evacuation != nil:
+			changes.Evacuations = append(changes.Evacuations, *c.evacuation)
 		default:
-			changes.Removed = append(changes.Removed, directory.Removal{ID: c.gone, Revision: c.revision})
+			changes.Removed = append(changes.Removed, directory.Removal{ID: c.removed, Revision: c.revision})
 		}
 	}
 	return changes
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,8 +1,7 @@
-// Package emulator runs a fleet on the users' platform on a virtual clock, in one
-// goroutine: the real beliefs, decisions, peers and follower of each balancer,
-// between models of callers, routers, servers, the platform's store and operators.
-// An observer that sees what really happened judges the rules from outside. Equal
-// options give equal runs.
+// Package emulator runs a fleet on a model of the users' platform. It uses a virtual clock and one
+// goroutine. Each balancer runs the real directory, steering, peers and follow packages; callers,
+// routers, servers, the store and operators are models. An observer that sees the state of the
+// whole platform checks its rules from outside. Equal options give equal runs.
 package emulator
 
 import (
@@ -16,84 +15,88 @@
 	"gaugeyard/internal/virtual"
 )
 
-// Options select one run.
+// Options configures one run.
 type Options struct {
 	Scenario Scenario
 	Seed     uint64
-	// Without turns mechanisms off, to show what each is for.
+	// Without turns mechanisms off to show what each one prevents.
 	Without Without
-	// Steady routers move only the flows of a balancer that comes or goes; others
-	// hash by modulo, which moves nearly all.
+	// Steady routers use rendezvous hashing: only the flows of a balancer that joins or leaves
+	// move. The others hash by modulo, which moves nearly all flows.
 	Steady bool
-	// Trace, if set, hears what happens to the flow of the caller Traced.
+	// Trace, if set, receives the events of the flow of the caller Traced.
 	Trace  func(at time.Duration, line string)
 	Traced netip.AddrPort
-	// BalancersPerZone and Zones size the fleet; 0 stands for 3.
+	// BalancersPerZone and Zones size the fleet; 0 means 3.
 	BalancersPerZone, Zones int
-	// AblePerZone of these have an able machine, the last ones; the others have the least.
-	AblePerZone int
-	// Servers and Traffic multiply the servers and the load of each zone; 0 stands for 1.
+	// HighCapacityPerZone is how many of a zone's balancers, the last ones, run on high-capacity
+	// machines. The others have the lowest capacity.
+	HighCapacityPerZone int
+	// Servers and Traffic multiply the servers and the load of each zone; 0 means 1.
 	Servers, Traffic float64
-	// Leave is the part of its requests after which a stream's client ends the flow and asks
-	// for the next one over a new flow; 0 is never.
-	Leave float64
-	// Varied draws for each stream how often it asks, up to variedMost times more or less often.
-	Varied bool
+	// FlowCloseShare is the share of requests after which a stream's client closes the flow and
+	// sends the next request over a new one; 0 means never.
+	FlowCloseShare float64
+	// VariedPauses multiplies the pauses of each stream by a random factor between 1/maxPauseFactor
+	// and maxPauseFactor.
+	VariedPauses bool
 }
 
-// Without names mechanisms that are turned off.
+// Without selects the mechanisms to turn off. The field names are the words of gaugeyard-sim's
+// --without.
 type Without struct {
-	// ServerNames sends packets to whichever server has the address.
+	// ServerNames delivers packets to whichever server has the address.
 	ServerNames bool
-	// Departed forgets back ends as soon as their entries vanish.
+	// Departed forgets back ends as soon as their entries are removed.
 	Departed bool
 	// CopyMemory places each copy of an opening packet anew.
 	CopyMemory bool
-	// CopyWait places copies of opening packets at once that another balancer may have placed.
+	// CopyWait places copies of opening packets at once, even if another balancer may have placed
+	// the flow.
 	CopyWait bool
-	// Pins follow the tag of each packet, also on flows whose back end is known.
+	// Pins follows the tag of each packet even if the flow's back end is known.
 	Pins bool
-	// Suspicion keeps sending new flows to silent back ends.
+	// Suspicion keeps sending new flows to unresponsive back ends.
 	Suspicion bool
-	// Outliers takes all answers for what callers asked for.
+	// Outliers does not detect responses that look like failures.
 	Outliers bool
-	// Faults places new flows as if no request had been left unanswered.
+	// Faults ignores unanswered requests in placement.
 	Faults bool
-	// Resets leaves flows at back ends that are lost.
+	// Resets does not end flows at back ends that are down.
 	Resets bool
-	// Pacing counts new flows as the recent requests that they are, however many come at once.
+	// Pacing does not correct loads for flows placed in the last moments.
 	Pacing bool
-	// Pace takes back ends that warm up or are slow for as quick as others.
+	// Pace assumes that back ends that are warming up or slow are as fast as others.
 	Pace bool
 	// Load places by hash alone.
 	Load bool
-	// Standstill forwards opening packets that waited while a balancer stood still.
+	// Standstill forwards opening packets that were queued while the process was paused.
 	Standstill bool
-	// Peers leaves a balancer alone with the store.
+	// Peers disables all exchange between balancers; each uses the store alone.
 	Peers bool
-	// Release ends a process at once when it is asked to stop.
+	// Release ends a process as soon as it is asked to stop.
 	Release bool
-	// Deadlines lets calls to the store wait for as long as they may hang.
+	// Deadlines lets calls to the store block until hangTimeout.
 	Deadlines bool
-	// ListingsAnew leaves a listing for what was known before it began, too.
+	// ListingsAnew also abandons a listing when the balancer already had state before it began.
 	ListingsAnew bool
-	// Inquiries asks no other balancer where a flow rests.
+	// Inquiries does not ask other balancers for a flow's back end.
 	Inquiries bool
-	// WarmUpLimit sends servers that warm up as many new flows as others.
+	// WarmUpLimit does not limit new flows to servers that are warming up.
 	WarmUpLimit bool
-	// WarmUpPlacers lets each balancer of a zone send its even share to servers that warm up.
+	// WarmUpPlacers lets each balancer of a zone use an even share of the warm-up rate.
 	WarmUpPlacers bool
-	// Evacuations leaves the operators' word on zones unheard.
+	// Evacuations ignores evacuations of zones.
 	Evacuations bool
-	// Snapshot keeps none in the store.
+	// Snapshot neither writes nor reads the snapshot in the store.
 	Snapshot bool
-	// Lapsed leaves servers alone whose entries vanished in an outage of the store.
+	// Lapsed does not use servers whose entries expired in an outage of the store.
 	Lapsed bool
-	// Differences applies a listing without what vanished since the last one.
+	// Differences applies a listing without removing what it lacks.
 	Differences bool
 }
 
-// Bounds of the platform that the emulator judges by.
+// Bounds of the platform that the observer enforces.
 const (
 	contactBound  = 4 * time.Second
 	applyBound    = 3 * time.Second
@@ -101,7 +104,8 @@
 	evacuateBound = 3 * time.Second
 	graceBound    = 6 * time.Second
 	flowLife      = 60 * time.Second
-	// A server that warms up gets in any second at most the rate times the overshoot, plus the slack.
+	// A server that is warming up receives at most rate*warmUpOvershoot + warmUpSlack new flows in
+	// any second.
 	warmUpOvershoot = 1.5
 	warmUpSlack     = 5.0
 	backSlack       = 250 * time.Millisecond
@@ -109,15 +113,15 @@
 	recoverBound    = 12 * time.Second
 )
 
-// Delays of the network, one way.
+// One-way network delays, and the default share of lost datagrams.
 const (
 	zoneDelay   = 200 * time.Microsecond
 	crossDelay  = 1400 * time.Microsecond
 	clientDelay = time.Millisecond
-	lossShare   = 0.0005
+	defaultLoss = 0.0005
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	virtual.Clock
 	options Options
@@ -126,36 +130,35 @@
 	routers map[string]*router
 	nodes   []*node
 	servers map[netip.AddrPort]*server
-	// clockBack is by how much the servers' time of day is set back.
-	clockBack time.Duration
-	// incarnations lists every start of a server.
+	// clockSetBack is how far the servers' clocks are set back.
+	clockSetBack time.Duration
+	// incarnations lists every start of a server, in order.
 	incarnations []*server
 	clients      map[flow.Key]*clientFlow
 	operator     operator
-	truth        *observer
+	observer     *observer
 	nextServer   uint32
 	nextCaller   uint32
 	nextRequest  uint64
-	// hellos counts those that balancers sent.
-	hellos int
-	// helloBytes is about what they had.
+	hellos       int
+	// helloBytes is the approximate total size of the hellos sent.
 	helloBytes int
 	// loss is the share of datagrams that are lost.
 	loss float64
-	// silences counts the times that all open connections fell silent.
-	silences int
-	// varied is set where a part of the answers of all servers is short and quick.
-	varied bool
-	// speeds are those of feed servers, in turn; none stands for servers that are all alike.
+	// connectionEpoch counts how often all open connections were blackholed.
+	connectionEpoch int
+	// variedAnswers makes a share of all servers' answers short and fast.
+	variedAnswers bool
+	// speeds are assigned to feed servers in rotation; empty means that all have speed 1.
 	speeds []float64
-	// coldTime is how long servers warm up.
-	coldTime time.Duration
-	// sharesFrom is when the shares of a split route are judged from.
-	sharesFrom time.Duration
-	// busiestBack is the evenness while entries came back after an outage, 0 where none did.
-	busiestBack float64
-	// lostAnswers is the part of servers' first answers to opening packets that are lost.
-	lostAnswers float64
+	// warmUpTime is how long servers warm up.
+	warmUpTime time.Duration
+	// sharesMeasuredFrom is when measuring the shares of a split route begins.
+	sharesMeasuredFrom time.Duration
+	// busiestDuringReturn is Result.BusiestDuringReturn; 0 if no entries returned after an outage.
+	busiestDuringReturn float64
+	// openAnswerLoss is the share of servers' first answers to opening packets that are lost.
+	openAnswerLoss float64
 }
 
 func newWorld(options Options) *world {
@@ -172,15 +175,15 @@
 		options.Traffic = 1
 	}
 	w := &world{
-		Clock:    virtual.New(options.Seed),
-		options:  options,
-		routers:  map[string]*router{},
-		servers:  map[netip.AddrPort]*server{},
-		clients:  map[flow.Key]*clientFlow{},
-		loss:     lossShare,
-		coldTime: usualColdTime, sharesFrom: weightsSettled,
+		Clock:      virtual.New(options.Seed),
+		options:    options,
+		routers:    map[string]*router{},
+		servers:    map[netip.AddrPort]*server{},
+		clients:    map[flow.Key]*clientFlow{},
+		loss:       defaultLoss,
+		warmUpTime: defaultWarmUpTime, sharesMeasuredFrom: defaultSharesMeasuredFrom,
 	}
-	w.truth = newObserver(w)
+	w.observer = newObserver(w)
 	w.store = newStore(w)
 	for i := range options.Zones {
 		zone := fmt.Sprintf("zone-%c", 'a'+i)
@@ -190,7 +193,7 @@
 	return w
 }
 
-// build puts balancers and servers in place, and the first configuration.
+// build creates the balancers and servers and publishes the first configuration.
 func (w *world) build() {
 	w.operator = newOperator(w)
 	w.operator.publish()
@@ -209,7 +212,7 @@
 
 func (w *world) addNode(zone string, ip netip.Addr) *node {
 	n := &node{world: w, zone: zone, control: netip.AddrPortFrom(ip, controlPort)}
-	if w.able(zone) {
+	if w.isHighCapacity(zone) {
 		n.capacity = peers.CapacityHigh
 	}
 	w.nodes = append(w.nodes, n)
@@ -218,18 +221,17 @@
 	return n
 }
 
-// able tells whether the next machine of a zone is an able one.
-func (w *world) able(zone string) bool {
+// isHighCapacity reports whether the next machine of a zone has high capacity.
+func (w *world) isHighCapacity(zone string) bool {
 	number := 0
 	for _, n := range w.nodes {
 		if n.zone == zone {
 			number++
 		}
 	}
-	return number < w.options.BalancersPerZone && number >= w.options.BalancersPerZone-w.options.AblePerZone
+	return number < w.options.BalancersPerZone && number >= w.options.BalancersPerZone-w.options.HighCapacityPerZone
 }
 
-// nextSpeed returns the speed of the next server of a service.
 func (w *world) nextSpeed(service string) float64 {
 	if service != serviceFeed || len(w.speeds) == 0 {
 		return 1
@@ -237,7 +239,7 @@
 	return w.speeds[int(w.nextServer)%len(w.speeds)]
 }
 
-// delay is one way between two zones; an empty one is a client's.
+// delay returns the one-way delay between two zones; an empty zone is a client's.
 func (w *world) delay(from, to string) time.Duration {
 	base := crossDelay
 	switch {
@@ -249,7 +251,7 @@
 	return base + time.Duration(float64(base)*0.1*w.Random.Float64())
 }
 
-// send carries a datagram, or loses it now and then.
+// send delivers a datagram after the network's delay unless it is lost.
 func (w *world) send(from, to string, deliver func()) {
 	if w.Chance(w.loss) {
 		return
@@ -266,14 +268,13 @@
 	return nil
 }
 
-// trace tells what happens to the traced flow.
+// trace reports an event of a flow if it is the traced one.
 func (w *world) trace(c *clientFlow, format string, arguments ...any) {
 	if w.options.Trace != nil && c.key.Caller == w.options.Traced {
 		w.options.Trace(w.Now, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// idText is how a server's identifier is shown.
 func idText(id settings.BackendID) string {
 	return fmt.Sprintf("%08x", uint64(id))
 }
