--- a/internal/datapath/fuzz_test.go
+++ b/internal/datapath/fuzz_test.go
@@ -11,7 +11,7 @@
 	"gaugeyard/internal/wire"
 )
 
-// TestOversizedIsDropped guards the max_datagram setting (4 KiB by default).
+// TestOversizedDatagramIsDropped guards the max_datagram setting (4 KiB by default).
 func TestOversizedDatagramIsDropped(t *testing.T) {
 	core := benchCore(t)
 	for _, c := range []struct{ length, dropped int }{{4 << 10, 0}, {4<<10 + 1, 1}} {
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -12,7 +12,7 @@
 	Version uint64
 	// Revision is the store's revision of the write.
 	Revision uint64
-	// Tree is in canonical form, as settings.Tree.Set and settings.Checked leave it.
+	// Tree is in canonical form, as settings.Tree.Set and settings.Normalize leave it.
 	Tree settings.Tree
 }
 
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -239,7 +239,7 @@
 	second := newTestNode(t, &fakeSource{})
 	source := &peerSource{second, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	const wait = 10 * time.Second
-	ask := func(age time.Duration) (took, staleness time.Duration) {
+	request := func(age time.Duration) (took, staleness time.Duration) {
 		began := time.Now()
 		answer, err := source.changes(context.Background(), peerRequest{after: 5, base: 1}, age, wait)
 		if err != nil {
@@ -247,7 +247,7 @@
 		}
 		return time.Since(began), answer.Age
 	}
-	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+	if took, staleness := request(time.Minute); took > wait/2 || staleness > wait/2 {
 		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, staleness)
 	}
 	// Make the last confirmation an old one.
@@ -256,7 +256,7 @@
 	first.confirmed.Update(first.now(), time.Minute)
 	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
-	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+	if took, staleness := request(time.Minute); took > wait/2 || staleness > wait/2 {
 		t.Errorf("a waiting follower receives a newer confirmation after %v: %v old", took, staleness)
 	}
 }
--- a/internal/edge/snapshot_test.go
+++ b/internal/edge/snapshot_test.go
@@ -103,17 +103,17 @@
 	}
 	few := eightBackends()
 	few.Records = few.Records[:2]
-	if lapsed := expiredCount(startedNode(t, true, few, store.parts[0])); lapsed != 6 {
-		t.Errorf("%d back ends are retained, want 6", lapsed)
+	if expired := expiredCount(startedNode(t, true, few, store.parts[0])); expired != 6 {
+		t.Errorf("%d back ends are retained, want 6", expired)
 	}
-	if lapsed := expiredCount(startedNode(t, false, few, store.parts[0])); lapsed != 0 {
-		t.Errorf("%d back ends are retained with snapshots disabled", lapsed)
+	if expired := expiredCount(startedNode(t, false, few, store.parts[0])); expired != 0 {
+		t.Errorf("%d back ends are retained with snapshots disabled", expired)
 	}
 	truncated := store.parts[0]
 	truncated.Value = truncated.Value[:len(truncated.Value)-1]
 	node := startedNode(t, true, few, truncated)
-	if lapsed := expiredCount(node); lapsed != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
-		t.Errorf("truncated part: %d back ends are retained, %d faults", lapsed, node.metrics.snapshotFaults.Get())
+	if expired := expiredCount(node); expired != 0 || node.metrics.snapshotFaults.Get() != 1 || node.directory.Revision() != 9 {
+		t.Errorf("truncated part: %d back ends are retained, %d faults", expired, node.metrics.snapshotFaults.Get())
 	}
 	// A process that has run for longer does not use the snapshot.
 	old := newTestNode(t, &fakeSource{listing: few, parts: []snapshot.Stored{store.parts[0]}})
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -192,17 +192,17 @@
 // HasQuorum reports whether this node receives heartbeats from a majority of the members it knows,
 // itself included. Peers that have left for good do not count.
 func (d *Detector) HasQuorum(now time.Duration) bool {
-	known, heard := 1, 1
+	known, alive := 1, 1
 	for _, p := range d.peers {
 		if p.Leaving {
 			continue
 		}
 		known++
 		if p.alive(now) {
-			heard++
+			alive++
 		}
 	}
-	return 2*heard > known
+	return 2*alive > known
 }
 
 // AllSettled reports whether every other live member of the view is settled.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -23,11 +23,11 @@
 		for i := range count {
 			members = append(members, member(i, zones[i%len(zones)]))
 		}
-		lost := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
+		scope := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
 		failed := members[rapid.IntRange(0, count-1).Draw(t, "struck")]
 		var rest []Member
 		for _, m := range members {
-			if m.ID != failed.ID && (lost == "node" || m.Zone != failed.Zone) {
+			if m.ID != failed.ID && (scope == "node" || m.Zone != failed.Zone) {
 				rest = append(rest, m)
 			}
 		}
--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -11,7 +11,7 @@
 const (
 	// minUnansweredFlows is the minimum number of unanswered flows in a row that make a back end
 	// silent, and silentFalsePositiveRate the accepted probability that packet loss alone explains
-	// them: copies of opening packets leave a silent back end, and a healthy one answers as well.
+	// them. A copy that leaves a healthy back end is answered twice.
 	minUnansweredFlows      = 2
 	silentFalsePositiveRate = 1e-3
 	// initialSilentPeriod is how long a silent back end gets no new flows. It doubles with each
@@ -39,9 +39,9 @@
 // backendState is what this balancer observes of one back end through the flows that pass it.
 type backendState struct {
 	id settings.BackendID
-	// born identifies the start of the back end that the state belongs to. Reports received before
+	// startTime is that of the back end's current start. Reports received before
 	// ignoreReportsUntil may refer to an earlier start.
-	born               directory.StartTime
+	startTime          directory.StartTime
 	ignoreReportsUntil time.Duration
 	// events are not yet taken by the driver.
 	events *[]BackendEvent
@@ -49,7 +49,7 @@
 	// yet.
 	flows   int
 	opening int
-	// active counts the requests under way.
+	// active counts the pending requests.
 	active int
 	// recent counts requests through this balancer, decaying; others is the load that other
 	// balancers reported.
@@ -115,8 +115,8 @@
 	return state
 }
 
-// observedState returns the state of a back end for reading only. Unobserved back ends share a
-// blank state per pool, which saves memory in large fleets.
+// observedState returns the state of a back end for reading only. Unobserved back ends share an
+// empty state per pool, which saves memory in large fleets.
 func (s *Steerer) observedState(member *directory.Member) *backendState {
 	if state := s.backends[member.ID]; state != nil {
 		return state
@@ -129,7 +129,7 @@
 }
 
 func (s *Steerer) newState(member *directory.Member) *backendState {
-	state := &backendState{id: member.ID, born: member.StartTime, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
+	state := &backendState{id: member.ID, startTime: member.StartTime, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
 	s.backends[member.ID] = state
 	if member.Removed {
 		s.removed[member.ID] = state
@@ -166,12 +166,12 @@
 	}
 }
 
-// recordAnswer records the latency of an answered request. Latencies of cold back ends only count
-// towards the warm-up slowdown of the pool.
-func (b *backendState) recordAnswer(now, latency time.Duration, cold bool) {
+// recordAnswer records the latency of an answered request. During warm-up it only counts towards
+// the warm-up slowdown of the pool.
+func (b *backendState) recordAnswer(now, latency time.Duration, warmingUp bool) {
 	b.active--
 	b.pool.cooldown.noteAnswer(now)
-	if cold {
+	if warmingUp {
 		b.pool.noteWarmUpLatency(latency)
 		return
 	}
@@ -241,7 +241,7 @@
 		return
 	}
 	b.unansweredFlows++
-	required := b.pool.minSilentFlows()
+	required := b.pool.minUnansweredFlows()
 	switch {
 	case now < b.reportedSuspectUntil && !b.pool.lossy():
 		// The other balancer's report counts as one more unanswered flow.
--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -29,9 +29,9 @@
 	balanceLoad float64
 	// failures counts recent failed requests, through all balancers.
 	failures float64
-	// slowdown is the response time relative to the typical one, at least 1.
+	// slowdown is the latency relative to the typical one, at least 1.
 	slowdown float64
-	// expectedTime is in multiples of the typical response time.
+	// expectedTime is in multiples of the typical latency.
 	expectedTime float64
 	// probe is set where the flow would test whether a slow back end has recovered.
 	probe bool
@@ -119,7 +119,7 @@
 	if !pass.skipFailing {
 		return true, PartScheduled
 	}
-	// Being busy is no failure: with few back ends a request in each slot is normal.
+	// Being busy is no failure: with few back ends a request for each slot is normal.
 	allEjected := true
 	for i := range s.candidates {
 		allEjected = allEjected && s.candidates[i].state.ejected
@@ -178,7 +178,7 @@
 	return local.load > service.LoadFactor*meanLoad(s.candidates)+loadSlack
 }
 
-// busy reports whether this balancer alone has a request in progress in each slot.
+// busy reports whether this balancer alone has a pending request for each slot.
 func (c *candidate) busy() bool {
 	return c.state.active >= max(c.member.Slots, 1)
 }
--- a/internal/steering/config.go
+++ b/internal/steering/config.go
@@ -51,7 +51,7 @@
 	EvenWarmUp bool
 	// NoLapsed does not use back ends whose entries expired in an outage of the store.
 	NoLapsed bool
-	// NoInquiries does not ask other balancers for a flow's back end.
+	// NoInquiries sends no inquiries about a flow's back end to other balancers.
 	NoInquiries bool
 	// NoStandstill forwards opening packets that were queued while the process was paused.
 	NoStandstill bool
--- a/internal/steering/cooldown.go
+++ b/internal/steering/cooldown.go
@@ -10,10 +10,10 @@
 	minCooldown = 500 * time.Millisecond
 	maxCooldown = 8 * time.Second
 	// probeTimeout is how long a probe has for an answer: the time to open a flow plus
-	// answerPatience.
+	// answerTimeout.
 	probeTimeout = 700 * time.Millisecond
-	// overdueFactor is how many typical response times an unanswered request must have waited to
-	// count, since responses may normally take as long as answerPatience.
+	// overdueFactor is how many typical latencies an unanswered request must have waited to count,
+	// since responses may normally take longer than answerTimeout.
 	overdueFactor = 4
 )
 
@@ -30,9 +30,9 @@
 	probing bool
 }
 
-// noteUnanswered counts a request sent at askedAt that stayed unanswered.
-func (c *cooldown) noteUnanswered(now, askedAt time.Duration) {
-	if c.lastAnswer > 0 && askedAt <= c.lastAnswer {
+// noteUnanswered counts a request sent at sentAt that stayed unanswered.
+func (c *cooldown) noteUnanswered(now, sentAt time.Duration) {
+	if c.lastAnswer > 0 && sentAt <= c.lastAnswer {
 		// Others were answered meanwhile: the part is slow but responds.
 		return
 	}
--- a/internal/steering/down_test.go
+++ b/internal/steering/down_test.go
@@ -335,8 +335,8 @@
 // Three retransmissions in 127 requests may be chance where six are typical.
 func TestMinDownCallersAllowsForSamplingError(t *testing.T) {
 	for _, test := range []struct {
-		asked, vain float64
-		want        int
+		requests, retransmitted float64
+		want                    int
 	}{
 		{0, 0, 4},
 		{127, 0, 4},
@@ -344,9 +344,9 @@
 		{127, 12, 8},
 		{2000, 20, 4},
 	} {
-		pool := &poolState{retransmitsLong: retransmitStats{requests: test.asked, retransmitted: test.vain}}
+		pool := &poolState{retransmitsLong: retransmitStats{requests: test.requests, retransmitted: test.retransmitted}}
 		if got := pool.minDownCallers(); got != test.want {
-			t.Errorf("%.0f of %.0f retransmitted: minDownCallers is %d, want %d", test.vain, test.asked, got, test.want)
+			t.Errorf("%.0f of %.0f retransmitted: minDownCallers is %d, want %d", test.retransmitted, test.requests, got, test.want)
 		}
 	}
 }
--- a/internal/steering/ended.go
+++ b/internal/steering/ended.go
@@ -47,7 +47,7 @@
 
 // resetPending resets flows with a pending request that may be repeated.
 func (s *Steerer) resetPending(b *backendState) {
-	for _, rec := range s.awaited.records {
+	for _, rec := range s.pending.records {
 		if rec.backend == b && rec.requestPending && !rec.closed && s.repeatable(rec.key) {
 			s.reset(rec)
 		}
--- a/internal/steering/established.go
+++ b/internal/steering/established.go
@@ -96,7 +96,7 @@
 		}
 	}
 	if rec.requestPending {
-		s.awaited.add(rec)
+		s.pending.add(rec)
 	}
 }
 
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -32,13 +32,13 @@
 	return !s.config.Mechanisms.NoSuspicion && (state.isSilent(p.now) || s.checkSuspect(p.now, state))
 }
 
-// filterExpired excludes back ends whose entries were removed too long ago, or expired in an outage
+// filterPastGrace excludes back ends whose entries were removed too long ago, or expired in an outage
 // of the store and did not return in time.
-func filterExpired(s *Steerer, p *placementState, member *directory.Member, _ *backendState) bool {
+func filterPastGrace(s *Steerer, p *placementState, member *directory.Member, _ *backendState) bool {
 	if member.UsableUntil > 0 && p.now >= member.UsableUntil {
 		return true
 	}
-	return p.now-member.RemovedAt > s.lapseGrace(p.pool)
+	return p.now-member.RemovedAt > s.removalGrace(p.pool)
 }
 
 // filterConnections excludes back ends that have this balancer's share of the flows that they may
@@ -76,9 +76,9 @@
 	return suspect
 }
 
-// lapseGrace returns how long a back end is still used after the removal of its entry. When all
+// removalGrace returns how long a back end is still used after the removal of its entry. When all
 // entries of a group disappear at once, the store has most likely lost them in an outage.
-func (s *Steerer) lapseGrace(pool *directory.Pool) time.Duration {
+func (s *Steerer) removalGrace(pool *directory.Pool) time.Duration {
 	if len(pool.Removed) < 2 {
 		return s.config.RemovalGrace
 	}
--- a/internal/steering/locate.go
+++ b/internal/steering/locate.go
@@ -54,7 +54,7 @@
 	firstNamed settings.BackendID
 }
 
-// Inquiry asks other balancers for the back end of a flow.
+// Inquiry requests the back end of a flow from other balancers.
 type Inquiry struct {
 	Flow flow.Key
 	// Acknowledged is the caller's position in the data it received, in the sequence numbers of the
--- a/internal/steering/packet.go
+++ b/internal/steering/packet.go
@@ -47,8 +47,8 @@
 //	s.Tick(now)                          // about once a second
 //	s.SetPeerLoads(loads)                // when other balancers have reported loads
 //	inquiries := s.TakeInquiries()       // after Steer: to be sent to other balancers, twice
-//	locations := s.Locate(inquiries)     // of another balancer: to be answered
-//	s.HearLocations(now, locations)      // the answers of others
+//	locations := s.Locate(now, inquiries) // of another balancer: to be answered
+//	s.ReceiveLocations(now, locations)   // the answers of others
 package steering
 
 import (
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// A part whose responses take longer than answerPatience must not enter a cooldown.
+// A part whose responses take longer than answerTimeout must not enter a cooldown.
 func TestSlowPartEntersNoCooldown(t *testing.T) {
 	r := cooldown{}
 	for at := time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -18,7 +18,7 @@
 	limit warmUp
 	// avoid is the back end that a copy of an opening packet moves away from, or nil.
 	avoid *backendState
-	// typicalLatency is the typical response time of the candidates in seconds, 0 while unknown.
+	// typicalLatency is the typical latency of the candidates in seconds, 0 while unknown.
 	typicalLatency float64
 }
 
@@ -44,7 +44,7 @@
 	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterConnections}, true},
 	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterFull}, true},
 	{openMembers, []filter{filterWarmingUp, filterFull}, false},
-	{removedMembers, []filter{filterExpired, filterWarmingUp, filterFull}, false},
+	{removedMembers, []filter{filterPastGrace, filterWarmingUp, filterFull}, false},
 }
 
 // scorers set the load first, then what makes the same load slower.
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -21,9 +21,8 @@
 	// unanswered packet is most likely lost. Suspects are then not reported urgently, which costs
 	// a datagram per balancer, and do not confirm each other.
 	lossyShare = 0.04
-	// lossyOpeningShare is the same for opening packets, whose answers may be lost where nothing
-	// else is: copies that moved would be answered by two back ends. A single retransmission among
-	// few flows does not reach it.
+	// lossyOpeningShare is the same for opening packets. Above it a copy that moves may be answered
+	// by two back ends. A single retransmission among few flows does not reach it.
 	lossyOpeningShare = 0.1
 	// longDecay is the factor per second for counts over about half a minute.
 	longDecay = 0.97
@@ -37,8 +36,7 @@
 	startedAt time.Duration
 	// rotation counts the placements in the pool and rotates the subset.
 	rotation int
-	// typicalLatency is the typical response time at the last placement in seconds, 0 while
-	// unknown.
+	// typicalLatency is the typical latency at the last placement in seconds, 0 while unknown.
 	typicalLatency float64
 	// warmUpSlowdown is the measured slowdown of back ends that are warming up.
 	warmUpSlowdown float64
@@ -71,9 +69,9 @@
 	return p.openingRetransmits.upperBound() >= lossyOpeningShare
 }
 
-// minSilentFlows returns how many flows in a row must go unanswered before a back end counts as
-// silent.
-func (p *poolState) minSilentFlows() int {
+// minUnansweredFlows returns how many flows in a row must go unanswered before a back end of the
+// pool is silent.
+func (p *poolState) minUnansweredFlows() int {
 	return max(minUnansweredFlows, minRunLength(silentFalsePositiveRate, p.openingRetransmits.upperBound()))
 }
 
@@ -98,9 +96,9 @@
 }
 
 // noteUnanswered counts an unanswered request that has waited much longer than is typical.
-func (p *poolState) noteUnanswered(now, askedAt time.Duration) {
-	if (now - askedAt).Seconds() >= overdueFactor*p.typicalLatency {
-		p.cooldown.noteUnanswered(now, askedAt)
+func (p *poolState) noteUnanswered(now, sentAt time.Duration) {
+	if (now - sentAt).Seconds() >= overdueFactor*p.typicalLatency {
+		p.cooldown.noteUnanswered(now, sentAt)
 	}
 }
 
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -62,11 +62,11 @@
 // from their probability.
 func TestUnansweredFlowsUntilSilent(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		now           time.Duration
-		openings      retransmitStats
-		heard         bool
-		silent, moves int
+		name               string
+		now                time.Duration
+		openings           retransmitStats
+		suspectedElsewhere bool
+		flows, silentAfter int
 	}{
 		{"just started", time.Second, retransmitStats{}, false, 3, 3},
 		{"just started, and another balancer suspects it", time.Second, retransmitStats{}, true, 1, 1},
@@ -75,13 +75,13 @@
 	} {
 		var events []BackendEvent
 		b := &backendState{pool: &poolState{openingRetransmits: test.openings}, events: &events}
-		if test.heard {
+		if test.suspectedElsewhere {
 			b.reportedSuspectUntil = test.now + time.Second
 		}
-		for flows := 1; flows <= test.silent; flows++ {
+		for count := 1; count <= test.flows; count++ {
 			b.recordUnansweredFlow(test.now, test.now-time.Millisecond)
-			if silent := b.isSilent(test.now); silent != (flows >= test.moves) {
-				t.Errorf("%s, after %d flows: silent %v", test.name, flows, silent)
+			if silent := b.isSilent(test.now); silent != (count >= test.silentAfter) {
+				t.Errorf("%s, after %d flows: silent %v", test.name, count, silent)
 			}
 		}
 	}
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -17,7 +17,7 @@
 	// closedRetention is how long a closed flow is stored for late packets.
 	closedRetention = 3 * time.Second
 	// minRetransmitDelay is the minimum age of a packet for its retransmission to count as evidence
-	// that the back end is silent. An earlier copy was queued here.
+	// that the back end is silent. A copy that comes sooner was queued here.
 	minRetransmitDelay = 150 * time.Millisecond
 )
 
@@ -38,15 +38,15 @@
 	previousTag directory.Tag
 	// attempt is the number of the last copy of the opening packet that came here.
 	attempt uint8
-	// inquired is set once another balancer has asked for the flow's back end.
+	// inquired is set once another balancer has inquired about the flow while it opened.
 	inquired bool
 	// closed is set once the caller has closed its side.
 	closed bool
-	// requestPending is set while a request is under way, and requested once there was one.
+	// requestPending is set from a request until its answer begins, and requested once there was one.
 	requestPending, requested bool
 	// countedSilent is set once the record has counted as evidence that the back end is silent.
 	countedSilent bool
-	// unanswered is set once the request under way has counted as unanswered.
+	// unanswered is set once the pending request has counted as unanswered.
 	unanswered bool
 	// tracked is set while the flow is in the steerer's pendingRequests.
 	tracked bool
@@ -57,7 +57,7 @@
 	responseStart     uint32
 	responseLatency   time.Duration
 	started, lastSeen time.Duration
-	// sentAt is when the opening packet or the request under way was sent.
+	// sentAt is when the opening packet or the last request was sent.
 	sentAt time.Duration
 }
 
@@ -159,7 +159,7 @@
 	return packet.Kind == Close || packet.Payload > 0 && sequenceAfter(packet.Sequence+uint32(packet.Payload), r.sequence)
 }
 
-// cancelRequest ends the request under way, if any, without learning from it.
+// cancelRequest drops the pending request, if any, without recording an answer.
 func (r *record) cancelRequest() {
 	if !r.requestPending {
 		return
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -9,13 +9,13 @@
 		c := &s.candidates[i]
 		slots := float64(max(c.member.Slots, 1))
 		load := float64(c.state.active+1) + c.state.work() + c.state.others.Requests
-		even := load
+		balanceLoad := load
 		if s.membership.Count >= minBalancersForSubsets {
-			even = c.state.steadyRate()
+			balanceLoad = c.state.steadyRate()
 		}
 		c.load = load / slots
 		c.expectedLoad = (load + s.loadCorrection(p.now, c.state, c.local)) / slots
-		c.balanceLoad = even / slots
+		c.balanceLoad = balanceLoad / slots
 		c.failures = c.state.failures + c.state.others.Failures
 	}
 }
@@ -35,8 +35,8 @@
 // scoreFailures increases the load of ejected back ends.
 func scoreFailures(s *Steerer, _ *placementState) { s.weighFailures() }
 
-// scoreTypicalLatency computes the typical response time of the candidates.
-func scoreTypicalLatency(s *Steerer, p *placementState) { p.typicalLatency = s.typicalAnswer() }
+// scoreTypicalLatency computes the typical latency of the candidates.
+func scoreTypicalLatency(s *Steerer, p *placementState) { p.typicalLatency = s.typicalLatency() }
 
 // scoreSlowness sets the slowdown of back ends that respond slowly.
 func scoreSlowness(s *Steerer, p *placementState) { s.weighSlowness(p.now, p.typicalLatency) }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -10,14 +10,14 @@
 	"gaugeyard/internal/settings"
 )
 
-// Load is the work at a back end over the last seconds, decaying each second.
+// Load is the recent work at a back end. All counts decay each second.
 type Load struct {
 	// Requests counts the requests that were sent. One that stayed unanswered counts as several.
 	// Steady is the same over a longer time, by which loads are balanced in large zones.
 	Requests, Steady float64
 	// Failures counts the requests whose responses look like failures.
 	Failures float64
-	// Answers counts the responses, and Time is the sum of their response times in seconds.
+	// Answers counts the responses, and Time is the sum of their latencies in seconds.
 	Answers, Time float64
 }
 
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// meanAnswer returns the back end's recent mean latency in seconds, 0 while unknown: of the answers
+// meanLatency returns the back end's recent mean latency in seconds, 0 while unknown: of the answers
 // through this balancer if there are enough, else of all.
-func (b *backendState) meanAnswer() float64 {
+func (b *backendState) meanLatency() float64 {
 	if b.answers.recentCount >= minLocalAnswers {
 		return b.answers.mean
 	}
@@ -69,12 +69,12 @@
 	return (b.answers.time + b.others.Time) / count
 }
 
-// typicalAnswer returns the lower median of the candidates' mean latencies in seconds, 0 while
+// typicalLatency returns the lower median of the candidates' mean latencies in seconds, 0 while
 // unknown.
-func (s *Steerer) typicalAnswer() float64 {
+func (s *Steerer) typicalLatency() float64 {
 	s.latencies = s.latencies[:0]
 	for i := range s.candidates {
-		if mean := s.candidates[i].state.meanAnswer(); mean > 0 {
+		if mean := s.candidates[i].state.meanLatency(); mean > 0 {
 			s.latencies = append(s.latencies, mean)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		mean := c.state.meanAnswer()
+		mean := c.state.meanLatency()
 		switch {
 		case mean > 0:
 			c.state.setSlowness(mean / typical)
--- a/internal/steering/start.go
+++ b/internal/steering/start.go
@@ -10,25 +10,25 @@
 )
 
 // ignoreReportsTime is how long after a restart reports of other balancers may still concern the
-// previous start: until they have received the news and their earlier loads have decayed.
+// previous start: until they know of the restart and their earlier loads have decayed.
 const ignoreReportsTime = 6 * time.Second
 
 // ignoresReports reports whether reports on the back end may concern its previous start.
 func (b *backendState) ignoresReports(now time.Duration) bool { return now < b.ignoreReportsUntil }
 
 // handleRestarts discards the observations of back ends that restarted under their identifiers,
-// and ends the flows that are older than the restart. Their next request would be lost, and a
-// caller that may not repeat it would not notice. Flows that may have opened since stay.
+// and ends the flows that are older than the restart. The new start does not have them and
+// would not answer their next request. Flows that may have opened since stay.
 func (s *Steerer) handleRestarts(changed []settings.BackendID) {
 	restarted := map[settings.BackendID]*directory.Member{}
 	for _, id := range changed {
 		b, member := s.backends[id], s.view.Member(id)
 		switch {
 		case b == nil, member == nil:
-		case member.StartTime.DiffersFrom(b.born):
+		case member.StartTime.DiffersFrom(b.startTime):
 			restarted[id] = member
-		case b.born == 0:
-			b.born = member.StartTime
+		case b.startTime == 0:
+			b.startTime = member.StartTime
 		}
 	}
 	if len(restarted) == 0 {
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -114,8 +114,8 @@
 		}
 	}
 	for i, id := range []settings.BackendID{2, 3, 1, 4} {
-		gone := directory.Changes{Removed: []directory.Removal{{ID: id}}}
-		step(complete, true, gone)
+		removal := directory.Changes{Removed: []directory.Removal{{ID: id}}}
+		step(complete, true, removal)
 		step(skipping, i%2 == 1, directory.Changes{Removed: []directory.Removal{{ID: id}}})
 	}
 	for _, f := range []*fleet{complete, skipping} {
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -35,9 +35,9 @@
 // initialSteadySpan returns the seconds that the steady count covers for a back end without
 // observations: as long as it has been known here.
 func (s *Steerer) initialSteadySpan(member *directory.Member) float64 {
-	const longest = 1 / (1 - steadyDecay)
+	const maxSpan = 1 / (1 - steadyDecay)
 	if member.StartSeenAt-s.startedAt < settleTime {
-		return longest
+		return maxSpan
 	}
-	return longest * (1 - math.Pow(steadyDecay, max(s.pulse-member.StartSeenAt, 0).Seconds()))
+	return maxSpan * (1 - math.Pow(steadyDecay, max(s.pulse-member.StartSeenAt, 0).Seconds()))
 }
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -64,9 +64,9 @@
 	resets       []Reset
 	urgentReport bool
 	urgentAt     time.Duration
-	// awaited are the requests in progress, and lastScan is when they were last searched for
-	// unanswered ones.
-	awaited  pendingRequests
+	// pending are the flows with a pending request, and lastScan is when they were last searched
+	// for unanswered ones.
+	pending  pendingRequests
 	lastScan time.Duration
 	// searches are for flows that may be pinned to another back end than their tags name, and
 	// inquiries are those to other balancers that the driver has not taken yet.
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -307,7 +307,7 @@
 			}
 		}
 		if spilled == 0 || spilled > 40 {
-			t.Errorf("%d of 60 flows with requests under way left the zone", spilled)
+			t.Errorf("%d of 60 flows with pending requests left the zone", spilled)
 		}
 	})
 	t.Run("empty", func(t *testing.T) {
--- a/internal/steering/unanswered.go
+++ b/internal/steering/unanswered.go
@@ -8,26 +8,26 @@
 	answerTimeout = 400 * time.Millisecond
 )
 
-// pendingRequests are the flows with a pending request at the last check. Keeping them apart makes
-// the check independent of the number of open flows.
+// pendingRequests are the flows that had a pending request at the last check or since. With them
+// the check does not depend on the number of open flows.
 type pendingRequests struct {
 	records []*record
 }
 
 // add adds a flow with a pending request, unless it is present.
-func (a *pendingRequests) add(rec *record) {
+func (p *pendingRequests) add(rec *record) {
 	if rec.tracked {
 		return
 	}
 	rec.tracked = true
-	a.records = append(a.records, rec)
+	p.records = append(p.records, rec)
 }
 
 // sweep calls visit for each flow whose request is pending and not counted as unanswered, and
 // removes the flows without a pending request.
-func (a *pendingRequests) sweep(visit func(rec *record)) {
-	pending := a.records[:0]
-	for _, rec := range a.records {
+func (p *pendingRequests) sweep(visit func(rec *record)) {
+	pending := p.records[:0]
+	for _, rec := range p.records {
 		if rec.requestPending && !rec.unanswered {
 			visit(rec)
 		}
@@ -36,18 +36,18 @@
 			pending = append(pending, rec)
 		}
 	}
-	clear(a.records[len(pending):])
-	a.records = pending
+	clear(p.records[len(pending):])
+	p.records = pending
 }
 
 // checkUnanswered looks for unanswered requests. A request that was pending while the process was
-// suspended is no evidence: its caller abandoned it or was answered through another balancer.
+// paused is no evidence: its caller abandoned it or was answered through another balancer.
 func (s *Steerer) checkUnanswered(now time.Duration) {
 	if now-s.resumed < answerTimeout || s.lagging(now) {
 		// Answers may have been missed.
 		return
 	}
-	s.awaited.sweep(func(rec *record) {
+	s.pending.sweep(func(rec *record) {
 		if rec.lastSeen < s.resumed+resumeTime {
 			rec.unanswered = true
 			return
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Callers abandon requests that are held in a standstill, or are answered through another balancer;
-// they are no evidence against a back end.
+// Requests that are held while the process is paused are no evidence against a back end: their callers
+// abandon them or are answered through another balancer.
 func TestRequestsHeldInAStandstillAreNoFailures(t *testing.T) {
 	for name, scenario := range map[string]func(f *fleet, request func()){
-		"asked before the standstill":      func(f *fleet, request func()) { request(); f.suspendProcess() },
-		"waited in the queue meanwhile":    func(f *fleet, request func()) { f.suspendProcess(); request() },
-		"came while the queue was emptied": func(f *fleet, request func()) { f.suspendProcess(); f.advance(resumeTime / 2); request() },
+		"requested before the pause":      func(f *fleet, request func()) { request(); f.pauseProcess() },
+		"queued during the pause":         func(f *fleet, request func()) { f.pauseProcess(); request() },
+		"received while the queue drains": func(f *fleet, request func()) { f.pauseProcess(); f.advance(resumeTime / 2); request() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
@@ -22,17 +22,17 @@
 	}
 	f := newFleet(t)
 	failures := f.failuresAfter(func(f *fleet, request func()) {
-		f.suspendProcess()
+		f.pauseProcess()
 		f.advance(2 * resumeTime)
 		request()
 	})
 	if failures != 4 {
-		t.Errorf("%v of 4 unanswered requests after a standstill count", failures)
+		t.Errorf("%v of 4 unanswered requests after a pause count", failures)
 	}
 }
 
-// suspendProcess simulates a standstill that is longer than callers wait.
-func (f *fleet) suspendProcess() {
+// suspendProcess simulates a pause that is longer than callers wait.
+func (f *fleet) pauseProcess() {
 	f.now += 2 * time.Second
 	f.steerer.Pulse(f.now)
 }
@@ -66,11 +66,11 @@
 		f.established(1, feedAddress, member.Tag, 1+100*round, 100)
 		f.established(1, feedAddress, member.Tag, 50+100*round, 0)
 	}
-	if entries := len(f.steerer.awaited.records); entries != 1 {
+	if entries := len(f.steerer.pending.records); entries != 1 {
 		t.Errorf("%d entries for one flow, want 1", entries)
 	}
 	f.advance(2 * unansweredCheckInterval)
-	if entries := len(f.steerer.awaited.records); entries != 0 {
+	if entries := len(f.steerer.pending.records); entries != 0 {
 		t.Errorf("%d entries after all answers, want 0", entries)
 	}
 }
--- a/internal/steering/unresponsive.go
+++ b/internal/steering/unresponsive.go
@@ -85,7 +85,7 @@
 // balancer has seen a later response.
 func (s *Steerer) ReceiveUnresponsive(now time.Duration, from netip.AddrPort, reports []UnresponsiveReport) {
 	if now-s.resumed < resumeTime || s.config.Mechanisms.NoResets {
-		// The report was queued while the process was suspended.
+		// The report was queued while the process was paused.
 		return
 	}
 	var down []*backendState
--- a/internal/steering/warmup.go
+++ b/internal/steering/warmup.go
@@ -11,8 +11,8 @@
 // A service may limit the new flows per second that a back end gets from all balancers while it
 // warms up, even if these receive no reports from each other. An even share of the limit would be
 // less than one flow for each balancer, so only the few of the zone that are nearest to the back
-// end by hash place flows there, at a minimum interval. Others use warm back ends of any zone, and
-// a flow that no back end may take is refused at once.
+// end by hash place flows there, at a minimum interval. Others use the remaining back ends of any
+// zone, and a flow that no back end may take is refused at once.
 const (
 	// warmUpPlacers is how many balancers place flows at a back end that is warming up: two, since
 	// one may have died unnoticed.
@@ -30,7 +30,7 @@
 type warmUp struct {
 	limited bool
 	// placers is how many balancers place flows at each back end, 0 for none, and interval the
-	// least time between two flows of one balancer.
+	// minimum time between two flows of one balancer.
 	placers  int
 	interval time.Duration
 }
@@ -84,8 +84,8 @@
 type Neighbours struct {
 	// Own is the hash of this balancer.
 	Own uint64
-	// Live are those heard from recently, and Silent is the number of others that were heard from
-	// before.
+	// Live are those from which a hello was received recently, and Silent is the number of others
+	// from which one was received before.
 	Live   []uint64
 	Silent int
 	// Truncated is set where there may be others, all of them farther from Own than those in Live.
--- a/internal/steering/warmup_test.go
+++ b/internal/steering/warmup_test.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// coldFleet limits the feed to 4 new flows per second for back ends that are warming up.
+// newWarmUpFleet returns a fleet in which back ends of the feed that are warming up get at most 4
+// new flows per second.
 func newWarmUpFleet(t *testing.T) *fleet {
 	f := newFleet(t)
 	f.steerer.Reconfigure(Config{Zone: "a", FlowLife: time.Minute, WarmUpOvershoot: 1.5, WarmUpSlack: 5})
