--- a/internal/balancer/answer.go
+++ b/internal/balancer/answer.go
@@ -118,8 +118,8 @@
 	f.RemoveExchange(messageID)
 }
 
-// timeOutRequest settles a request whose deadline has passed and tells the caller
-// that its outcome is unknown.
+// timeOutRequest ends a request whose deadline has passed. Its outcome is then
+// unknown, and the caller is answered with DeadlineExceeded.
 func (c *Core) timeOutRequest(now time.Duration, due deadline, effects *Effects) {
 	shard := c.flows.ShardOf(due.key.Hash())
 	shard.Lock()
--- a/internal/balancer/registry.go
+++ b/internal/balancer/registry.go
@@ -245,7 +245,7 @@
 // ramp returns the fraction of its share that a back end may fill now, in (0, 1].
 func (c *Core) ramp(now time.Duration, configured *settings.Backend, target *backend) float64 {
 	ramp := 1.0
-	if since, cold := c.rampStarts[configured.ID]; cold && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
+	if since, ramping := c.rampStarts[configured.ID]; ramping && configured.SlowStart > 0 && !c.config.Mechanisms.NoSlowStart {
 		ramp = min(1, max(minRamp, float64(now-since)/float64(configured.SlowStart)))
 	}
 	overload := float64(target.utilization.Load())/1000 - 1
--- a/internal/balancer/view.go
+++ b/internal/balancer/view.go
@@ -14,7 +14,7 @@
 	return now-c.viewChanged >= viewStableTime && c.detector.AllSettled(now)
 }
 
-// detectPause detects that this node was suspended for so long that its peers may
+// detectPause detects that this node was paused for so long that its peers may
 // have decided without it. The node then invalidates its records and joins again.
 // It runs before every event, because queued datagrams may precede the first tick
 // after the pause.
--- a/internal/directory/start_time.go
+++ b/internal/directory/start_time.go
@@ -9,7 +9,7 @@
 type StartTime int64
 
 // DiffersFrom reports whether two start times are those of different runs. It is false if either is not known.
-func (b StartTime) DiffersFrom(other StartTime) bool { return b != other && b != 0 && other != 0 }
+func (t StartTime) DiffersFrom(other StartTime) bool { return t != other && t != 0 && other != 0 }
 
 // maxSilentIntervals is the number of announce intervals without a write after which a server's entry expires.
 const maxSilentIntervals = 3
--- a/internal/edge/answers.go
+++ b/internal/edge/answers.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", headerAge, err)
 	}
-	answer := &peerAnswer{Age: time.Duration(age)}
+	answer := &peerAnswer{Staleness: time.Duration(age)}
 	if answer.ReturnAge, err = readReturnAge(reply.Header); err != nil {
 		return nil, err
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -245,7 +245,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return time.Since(began), answer.Age
+		return time.Since(began), answer.Staleness
 	}
 	if took, staleness := request(time.Minute); took > wait/2 || staleness > wait/2 {
 		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, staleness)
@@ -340,7 +340,7 @@
 func FuzzPeerAnswer(f *testing.F) {
 	var bodies [][]byte
 	for _, answer := range []peerAnswer{
-		{Age: time.Second, Listing: listing(&testing.T{}, 5)},
+		{Staleness: time.Second, Listing: listing(&testing.T{}, 5)},
 		{Changes: &directory.Changes{Revision: 3, Removed: []directory.Removal{{ID: 1, Revision: 3}}}},
 	} {
 		body, err := msgpack.Marshal(&answer)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -48,7 +48,7 @@
 func (n *Node) execute(ctx context.Context, call follow.Call) (follow.Outcome, error) {
 	ctx, cancel := WithResponseTimeout(ctx, call.Timeout, max(call.Timeout, follow.TransferTimeout), func() { n.receiving.Store(true) })
 	defer cancel()
-	n.overtaken.Store(false)
+	n.superseded.Store(false)
 	n.receiving.Store(false)
 	n.cancelCall.Store(&cancel)
 	var outcome follow.Outcome
@@ -62,7 +62,7 @@
 		outcome.Age, err = n.requestFromPeer(ctx, call)
 	}
 	switch {
-	case err != nil && n.overtaken.Load():
+	case err != nil && n.superseded.Load():
 		outcome.Result = follow.Superseded
 	case errors.Is(err, ErrListingAbandoned):
 		outcome.Result = follow.Superseded
@@ -120,14 +120,14 @@
 	switch {
 	case answer.Listing != nil:
 		n.receiveStoreReturn(answer.ReturnAge)
-		n.replace(answer.Listing, call.Peer.String(), answer.Age)
+		n.replace(answer.Listing, call.Peer.String(), answer.Staleness)
 	case answer.Changes != nil:
 		n.receiveStoreReturn(answer.ReturnAge)
 		n.applyFromPeer(answer, request, call.Peer.String())
 	default:
 		return 0, errEmptyAnswer
 	}
-	return answer.Age, nil
+	return answer.Staleness, nil
 }
 
 // recordPeerAnswer updates the peer's entry in the peer table with the staleness and revision of its answer.
@@ -141,7 +141,7 @@
 	}
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	n.peers.RecordAnswer(n.now(), peer, answer.Age, revision)
+	n.peers.RecordAnswer(n.now(), peer, answer.Staleness, revision)
 }
 
 // recordSource records the upstream of a call and logs it when it changes.
@@ -161,7 +161,7 @@
 // recordContact logs and counts the outcome of a call, and a loss or return of the store.
 func (n *Node) recordContact(contact follow.Contact, call follow.Call, err error) {
 	switch {
-	case errors.Is(err, ErrListingAbandoned), err != nil && n.overtaken.Load():
+	case errors.Is(err, ErrListingAbandoned), err != nil && n.superseded.Load():
 		n.log.Info("overtaken by peers", "call", call.Kind.String(), "revision", n.revision())
 	case errors.Is(err, ErrTooLong):
 		n.log.Info("long listing left to others", "bytes_at_most", n.maxListingBytes(call.Transfer))
@@ -175,26 +175,26 @@
 	switch contact {
 	case follow.Lost:
 		n.storeLostAt = n.now()
-		n.storeFailing.Store(true)
+		n.storeUnavailable.Store(true)
 		n.changed.wake()
 		n.announce()
 		n.log.Warn("store lost", "revision", n.revision(), "call", call.Kind.String(), "error", err)
 	case follow.Regained:
-		n.storeFailing.Store(false)
+		n.storeUnavailable.Store(false)
 		// Other balancers wait for this hello.
 		n.announce()
 		n.log.Info("store regained", "through", n.source, "revision", n.revision(), "after_ms", (n.now() - n.storeLostAt).Milliseconds())
 	}
 }
 
-// replace installs a listing that the store confirmed age ago, and logs the changes.
-func (n *Node) replace(listing *directory.Listing, from string, age time.Duration) {
+// replace installs a listing of the given staleness and logs the changes.
+func (n *Node) replace(listing *directory.Listing, from string, staleness time.Duration) {
 	n.applyDefaults(listing.Settings)
 	listing.Prepared = n.prepare(listing.Settings, nil)
 	n.stateMutex.Lock()
 	first := n.directory.Revision() == 0
-	n.recordCertainty()
-	n.publish(n.directory.Replace(n.now(), listing), from, age)
+	n.advanceConfirmedAt()
+	n.publish(n.directory.Replace(n.now(), listing), from, staleness)
 	n.stateMutex.Unlock()
 	if n.settingsKnown() {
 		n.handleQueued(true)
@@ -204,16 +204,16 @@
 	}
 }
 
-// apply applies changes that the store confirmed age ago, and logs them.
-func (n *Node) apply(changes *directory.Changes, from string, age time.Duration) {
+// apply applies changes of the given staleness and logs them.
+func (n *Node) apply(changes *directory.Changes, from string, staleness time.Duration) {
 	n.applyDefaults(changes.Settings)
 	changes.Prepared = n.prepare(changes.Settings, changes.Step)
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	n.recordCertainty()
-	n.recordConfirmation(age, changes.FromPeer)
+	n.advanceConfirmedAt()
+	n.detectStoreReturn(staleness, changes.FromPeer)
 	events := n.directory.Apply(n.now(), changes)
-	n.publish(events, from, age)
+	n.publish(events, from, staleness)
 }
 
 // applyFromPeer applies changes that another balancer sent in answer to a request. Where possible the
@@ -236,10 +236,10 @@
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
 	forwardable = n.changesRequest() == request && changes.Settings == nil
-	n.recordCertainty()
-	n.recordConfirmation(answer.Age, changes.FromPeer)
+	n.advanceConfirmedAt()
+	n.detectStoreReturn(answer.Staleness, changes.FromPeer)
 	events := n.directory.Apply(n.now(), changes)
-	n.publish(events, from, answer.Age)
+	n.publish(events, from, answer.Staleness)
 	step := changes.Step
 	return n.generation, forwardable && (step == nil || step.Revision == n.directory.SettingsRevision())
 }
@@ -251,8 +251,8 @@
 
 // publish installs the known state in the steerer and wakes followers that wait for changes. The state
 // mutex must be held.
-func (n *Node) publish(events []directory.Event, from string, age time.Duration) {
-	if n.confirmed.Update(n.now(), age) {
+func (n *Node) publish(events []directory.Event, from string, staleness time.Duration) {
+	if n.confirmed.Update(n.now(), staleness) {
 		n.changed.wake()
 	}
 	if n.viewRevision.Swap(n.directory.Revision()) == n.directory.Revision() && len(events) == 0 {
@@ -262,7 +262,7 @@
 	n.recordMembership(events)
 	n.installView()
 	n.changed.wake()
-	n.logEvents(events, from, age)
+	n.logEvents(events, from, staleness)
 }
 
 // installView gives the steerer a view of the known state. The state mutex must be held.
@@ -275,8 +275,8 @@
 	n.handleObservations(n.now(), &observed, make([]byte, maxDatagram))
 }
 
-// recordCertainty tells the directory up to when its contents are complete. The state mutex must be held.
-func (n *Node) recordCertainty() { n.directory.AdvanceConfirmedAt(n.now() - n.staleness()) }
+// advanceConfirmedAt records in the directory when the store last confirmed the known state. The state mutex must be held.
+func (n *Node) advanceConfirmedAt() { n.directory.AdvanceConfirmedAt(n.now() - n.staleness()) }
 
 // staleness returns the time since the store last confirmed the known state. The state mutex must be held.
 func (n *Node) staleness() time.Duration {
--- a/internal/edge/hello.go
+++ b/internal/edge/hello.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// sendInquiries asks all live peers for the back ends of flows.
+// sendInquiries sends inquiries about the back ends of flows to all live peers.
 func (n *Node) sendInquiries(inquiries []steering.Inquiry) {
 	n.stateMutex.Lock()
 	now := n.now()
@@ -127,7 +127,7 @@
 		Zone:             n.config().Zone,
 		Started:          n.started.UnixNano(),
 		Leaving:          n.leaving.Load(),
-		StoreUnavailable: n.storeFailing.Load(),
+		StoreUnavailable: n.storeUnavailable.Load(),
 		Revision:         n.directory.Revision(),
 		HasSummary:       n.offersSummary(),
 		StoreAge:         n.staleness(),
@@ -205,7 +205,7 @@
 	}
 	if hello.Revision == n.directory.Revision() {
 		// At equal revisions a confirmation to the sender is valid here too.
-		n.recordConfirmation(hello.StoreAge, false)
+		n.detectStoreReturn(hello.StoreAge, false)
 		n.confirmed.Update(now, hello.StoreAge)
 	}
 	var reply *peers.Hello
@@ -219,7 +219,7 @@
 	summaryFound = summaryFound && n.directory.SettingsVersion() == 0
 	n.stateMutex.Unlock()
 	if behind && !n.receiving.Load() {
-		n.stopCall()
+		n.supersedeCall()
 	}
 	n.steeringMutex.Lock()
 	n.steerer.ReceiveSuspects(now, hello.Suspects)
--- a/internal/edge/listing.go
+++ b/internal/edge/listing.go
@@ -24,7 +24,7 @@
 	}
 	// The store has confirmed the revision of the first page. The time for the other pages is no outage.
 	n.stateMutex.Lock()
-	n.recordConfirmation(0, false)
+	n.detectStoreReturn(0, false)
 	n.stateMutex.Unlock()
 	listing, parts := &page.Listing, page.SnapshotParts
 	if page.Next != "" && n.applySummary(listing, "store") {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -83,11 +83,11 @@
 	steerer       *steering.Steerer
 
 	startupQueue startupQueue
-	// lag is guarded by stateMutex. cancelCall cancels the follower's current call, and overtaken reports
+	// lag is guarded by stateMutex. cancelCall cancels the follower's current call, and superseded reports
 	// whether it was used since that call began.
 	lag        follow.Lag
 	cancelCall atomic.Pointer[context.CancelFunc]
-	overtaken  atomic.Bool
+	superseded atomic.Bool
 	// receiving is set once the response to that call has begun to arrive.
 	receiving atomic.Bool
 	// announcements requests an immediate round of hellos, urgentReports an urgent report on back ends to all
@@ -116,8 +116,8 @@
 	initializedAt time.Duration
 	// followsStore is set while the upstream of the follower is the store.
 	followsStore atomic.Bool
-	// storeFailing is set while the store does not respond.
-	storeFailing atomic.Bool
+	// storeUnavailable is set while the store does not respond.
+	storeUnavailable atomic.Bool
 	// delayed counts the datagrams that wait to be steered again.
 	delayed atomic.Int64
 	// lastPacket is the time of the last packet on the clock of now.
@@ -253,8 +253,7 @@
 	}
 }
 
-// pulse tells the steerer at intervals that the process runs, so that it detects when the process was
-// suspended.
+// pulse calls the steerer at intervals until ctx ends, so that it detects pauses of the process.
 func (n *Node) pulse(ctx context.Context) error {
 	ticker := time.NewTicker(steering.PulseInterval)
 	defer ticker.Stop()
--- a/internal/edge/observations.go
+++ b/internal/edge/observations.go
@@ -88,7 +88,7 @@
 	n.sendHello(answer, hello.Control)
 }
 
-// refuse tells a caller that its flow is refused or reset.
+// refuse sends a caller the refusal or reset of its flow.
 func (n *Node) refuse(buffer []byte, key flow.Key, acknowledged uint32) {
 	n.send(n.adapter.Codec.Refusal(buffer, key, acknowledged), n.adapter.deliverTo(key.Caller.Addr()))
 }
--- a/internal/edge/outage.go
+++ b/internal/edge/outage.go
@@ -13,16 +13,17 @@
 // is not part of the body, which is encoded once and sent at different times.
 const headerReturnAge = "Gaugeyard-Return-Age"
 
-// recordConfirmation tells the directory that the store confirmed the known state age ago. fromPeer is set
-// where a peer reports it together with the expired back ends. The state mutex must be held.
-func (n *Node) recordConfirmation(age time.Duration, fromPeer bool) {
+// detectStoreReturn detects and logs the end of an outage of the store, by a confirmation of the given
+// staleness. It does nothing if fromPeer is set: such a peer reports the return and the expired back ends
+// itself. The state mutex must be held.
+func (n *Node) detectStoreReturn(staleness time.Duration, fromPeer bool) {
 	before := n.staleness()
-	if fromPeer || !n.directory.DetectStoreReturn(n.now(), age, before) {
+	if fromPeer || !n.directory.DetectStoreReturn(n.now(), staleness, before) {
 		return
 	}
 	// Cached answers predate the return of the store.
 	n.generation++
-	n.log.Info("store back after an outage", "silent_ms", (before - age).Milliseconds(), "revision", n.directory.Revision())
+	n.log.Info("store back after an outage", "silent_ms", (before - staleness).Milliseconds(), "revision", n.directory.Revision())
 }
 
 // receiveStoreReturn records the time since the store returned from an outage, as a peer reported it; 0 if
--- a/internal/edge/peering.go
+++ b/internal/edge/peering.go
@@ -42,9 +42,9 @@
 
 // peerAnswer is the part of its known state that a balancer sends to another one.
 type peerAnswer struct {
-	// Age is the staleness of the answer. It is sent in a header, since the encoded body is sent to many at
+	// Staleness is of the answer. It is sent in a header, since the encoded body is sent to many at
 	// different times.
-	Age time.Duration `msgpack:"-"`
+	Staleness time.Duration `msgpack:"-"`
 	// received is the encoded body, to forward it.
 	received encodedAnswer
 	// ReturnAge is the time since the store returned from an outage, 0 if no entry has expired in one. It is
@@ -101,7 +101,7 @@
 	for range maxListingPeers {
 		err := n.fetchListingOnce(ctx, control)
 		if err == nil {
-			n.stopCall()
+			n.supersedeCall()
 			return
 		}
 		n.log.Warn("no listing from peer", "peer", control, "error", err)
@@ -129,14 +129,14 @@
 		return errEmptyAnswer
 	}
 	n.receiveStoreReturn(answer.ReturnAge)
-	n.replace(answer.Listing, control.String(), answer.Age)
+	n.replace(answer.Listing, control.String(), answer.Staleness)
 	return nil
 }
 
-// stopCall cancels the follower's current call, since newer state is known already.
-func (n *Node) stopCall() {
+// supersedeCall cancels the follower's current call, since newer state is known already.
+func (n *Node) supersedeCall() {
 	if cancel := n.cancelCall.Load(); cancel != nil {
-		n.overtaken.Store(true)
+		n.superseded.Store(true)
 		(*cancel)()
 	}
 }
--- a/internal/edge/serving.go
+++ b/internal/edge/serving.go
@@ -87,11 +87,11 @@
 }
 
 // hasNewer reports whether this balancer has changes after a revision, or a confirmation by the store that is
-// newer than one of the given age.
-func (n *Node) hasNewer(after uint64, age time.Duration) bool {
+// newer than one of the given staleness.
+func (n *Node) hasNewer(after uint64, staleness time.Duration) bool {
 	n.stateMutex.Lock()
 	defer n.stateMutex.Unlock()
-	return n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), age)
+	return n.directory.Revision() > after || n.confirmed.IsNewerThan(n.now(), staleness)
 }
 
 // peerRequest is a request of another balancer for a full listing, for changes or for a summary.
@@ -107,7 +107,7 @@
 // answerPeer sends the answer to a request of another balancer.
 func (n *Node) answerPeer(w http.ResponseWriter, request peerRequest) {
 	n.stateMutex.Lock()
-	age, generation := n.staleness(), n.generation
+	staleness, generation := n.staleness(), n.generation
 	n.stateMutex.Unlock()
 	body, err := n.answerCache.get(generation, request, func() *peerAnswer { return n.buildAnswer(request) })
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	// Set after the body is built, which may name back ends that have expired meanwhile.
 	n.setReturnAge(w.Header())
-	w.Header().Set(headerAge, strconv.FormatInt(int64(age), 10))
+	w.Header().Set(headerAge, strconv.FormatInt(int64(staleness), 10))
 	if body.compressed {
 		w.Header().Set("Content-Encoding", encodingGzip)
 	}
--- a/internal/edge/snapshot.go
+++ b/internal/edge/snapshot.go
@@ -39,7 +39,7 @@
 	now := n.now()
 	state := snapshot.Conditions{
 		Now: now, Staleness: n.staleness(), KnownFor: now - n.initializedAt, HasLowerRank: n.peers.HasLowerRank(now),
-		Eligible: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeFailing.Load(),
+		Eligible: n.directory.Revision() > 0 && n.followsStore.Load() && !n.leaving.Load() && !n.storeUnavailable.Load(),
 	}
 	if age, known := n.directory.SinceReturn(now); known {
 		state.SinceStoreReturn = age
@@ -74,7 +74,7 @@
 }
 
 // readSnapshot adds to a listing the back ends that are in the snapshot and missing from the listing. It does so only
-// if no state was known before, and while snapshotUsable holds: later, other balancers can be asked.
+// if no state was known before, and while snapshotUsable holds: later, other balancers may have the state.
 func (n *Node) readSnapshot(listing *directory.Listing, parts []snapshot.Stored) {
 	if len(parts) == 0 || !n.config().Snapshot {
 		return
@@ -103,10 +103,10 @@
 // store that it has detected itself.
 func (n *Node) snapshotUsable() bool {
 	bounds := &n.config().Bounds
-	return n.storeFailing.Load() || directory.ExpiryBoundsFor(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
+	return n.storeUnavailable.Load() || directory.ExpiryBoundsFor(bounds.Contact, bounds.Drain).EndsInTime(n.now(), bounds.Contact)
 }
 
-// recordMembership tells the writer of the snapshot about changes of membership. The state mutex must be held.
+// recordMembership records changes of membership for the writer of the snapshot. The state mutex must be held.
 func (n *Node) recordMembership(events []directory.Event) {
 	if n.initializedAt == 0 {
 		n.initializedAt = n.now()
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -134,9 +134,9 @@
 		answer peerAnswer
 		want   string
 	}{
-		{"listing", peerAnswer{Age: 1, ReturnAge: 2, Listing: wireListing()}, wantListing},
-		{"changes", peerAnswer{Age: 1, ReturnAge: 2, Changes: wireChanges()}, wantChanges},
-		{"empty", peerAnswer{Age: 1, ReturnAge: 2}, wantEmptyAnswer},
+		{"listing", peerAnswer{Staleness: 1, ReturnAge: 2, Listing: wireListing()}, wantListing},
+		{"changes", peerAnswer{Staleness: 1, ReturnAge: 2, Changes: wireChanges()}, wantChanges},
+		{"empty", peerAnswer{Staleness: 1, ReturnAge: 2}, wantEmptyAnswer},
 	} {
 		encoded, err := encodeAnswer(&test.answer)
 		if err != nil {
@@ -189,7 +189,7 @@
 	}
 	reply := httpReply(body)
 	reply.Header = http.Header{"Gaugeyard-Age": {"3"}, "Gaugeyard-Return-Age": {"4"}}
-	if answer, err := readAnswer(reply); err != nil || answer.Age != 3 || answer.ReturnAge != 4 {
+	if answer, err := readAnswer(reply); err != nil || answer.Staleness != 3 || answer.ReturnAge != 4 {
 		t.Errorf("answer %+v, %v", answer, err)
 	}
 	node := newTestNode(t, &fakeSource{})
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -40,7 +40,7 @@
 	DeadlineExceeded
 	// NoOwner means that no balancer that owns the flow was found within the hop limit.
 	NoOwner
-	// Undecided means that the balancers do not agree yet on the flow's owner.
+	// Undecided means that the balancers do not agree yet on the flow's owner or back end.
 	// The caller's retransmission is handled.
 	Undecided
 	// NoRoute is an opening packet for an address that is not in the newest known
@@ -50,11 +50,12 @@
 	NotReady
 	// UnknownTag is a packet whose tag names a back end that this balancer does not know.
 	UnknownTag
-	// Stale is an opening packet that waited too long in this process, such as while it was suspended.
+	// Stale is an opening packet that waited too long in this process, such as while it was paused.
 	Stale
-	// BackendLost is a request on an established flow whose back end is down.
+	// BackendLost is a request on an established flow whose back end is down or has ended.
 	BackendLost
-	// Unexpected is a well-formed packet of a type that callers do not send.
+	// Unexpected is a well-formed packet of a type that callers do not send, or a late copy of the
+	// packet that opened a flow.
 	Unexpected
 	// Incomplete is a part of the desired state with a missing or invalid field.
 	Incomplete
--- a/internal/follow/call.go
+++ b/internal/follow/call.go
@@ -53,25 +53,25 @@
 	// one is. ZoneSize is the number of live balancers in the own zone, including this one.
 	MoreCapable, Alone bool
 	ZoneSize           int
-	// FailingPeers is how many other live balancers report that the store does not respond to them.
-	FailingPeers int
+	// PeersWithoutStore is how many other live balancers report that the store does not respond to them.
+	PeersWithoutStore int
 	// Revision is the store's revision up to which the known state is complete, 0 for none.
 	Revision uint64
 	// Upstream is the balancer to follow, Freshest one with a newer revision;
 	// invalid if there is none.
 	Upstream, Freshest netip.AddrPort
-	// UpstreamAge is the time since the store confirmed the known state of Upstream.
-	UpstreamAge time.Duration
+	// UpstreamStaleness is the time since the store confirmed the known state of Upstream.
+	UpstreamStaleness time.Duration
 }
 
 // StateOf returns the state of a balancer that is complete up to a revision, from its table of
 // peers. contactBound is the platform's bound for contact with the store.
 func StateOf(now time.Duration, revision uint64, known *peers.Table, contactBound time.Duration) State {
-	state := State{Now: now, Revision: revision, Backup: known.HasLowerRank(now), FailingPeers: known.CountStoreUnavailable(now)}
+	state := State{Now: now, Revision: revision, Backup: known.HasLowerRank(now), PeersWithoutStore: known.CountStoreUnavailable(now)}
 	zoneRank, zoneSize, fleetSize := known.Position(now)
 	state.ZoneRank, state.ZoneSize, state.MoreCapable, state.Alone = zoneRank, zoneSize, known.HasHigherCapacity(now), fleetSize == 1
-	if peer, found := known.Upstream(now, MaxPeerAge(contactBound)); found {
-		state.Upstream, state.UpstreamAge = peer.Control, peer.Staleness(now)
+	if peer, found := known.Upstream(now, MaxPeerStaleness(contactBound)); found {
+		state.Upstream, state.UpstreamStaleness = peer.Control, peer.Staleness(now)
 	}
 	if peer, found := known.Newest(now, revision); found {
 		state.Freshest = peer.Control
@@ -100,7 +100,7 @@
 // Outcome is the outcome of a call.
 type Outcome struct {
 	Result Result
-	// Age is the time since the store confirmed the state that another balancer sent.
+	// Staleness is the time since the store confirmed the state that another balancer sent.
 	Age time.Duration
 	// Changes is the number of changes in the store's response.
 	Changes int
--- a/internal/follow/confirmation.go
+++ b/internal/follow/confirmation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// neverConfirmed is the age of a state that the store has never confirmed. It exceeds all bounds.
+// neverConfirmed is the staleness of a state that the store has never confirmed. It exceeds all bounds.
 const neverConfirmed = time.Hour
 
 // Confirmation is the time at which the store last confirmed a balancer's known state, to the
@@ -16,12 +16,12 @@
 // minRenewal is by how much newer a confirmation must be to be sent to other balancers at once.
 const minRenewal = 200 * time.Millisecond
 
-// Update records that the store confirmed the state age before now, on the monotonic clock of the
+// Update records that the store confirmed the state staleness before now, on the monotonic clock of the
 // process, unless a newer confirmation is known. It reports whether to send it to waiting
 // followers, so that a confirmation passes along a chain of balancers at once and the state is
 // little staler at its end than at the balancer that polls the store.
-func (c *Confirmation) Update(now, age time.Duration) (renewed bool) {
-	at := now - age
+func (c *Confirmation) Update(now, staleness time.Duration) (renewed bool) {
+	at := now - staleness
 	if c.known && at <= c.at {
 		return false
 	}
@@ -30,12 +30,13 @@
 	return renewed
 }
 
-// IsNewerThan reports whether this confirmation is newer, by minRenewal at least, than one of the age.
-func (c *Confirmation) IsNewerThan(now, age time.Duration) bool {
-	return c.Age(now)+minRenewal <= age
+// IsNewerThan reports whether this confirmation is newer, by minRenewal at least, than one of the
+// given staleness.
+func (c *Confirmation) IsNewerThan(now, staleness time.Duration) bool {
+	return c.Age(now)+minRenewal <= staleness
 }
 
-// Age returns the time since the store confirmed the state, neverConfirmed if it never did.
+// Staleness returns the time since the store confirmed the state, neverConfirmed if it never did.
 func (c *Confirmation) Age(now time.Duration) time.Duration {
 	if !c.known {
 		return neverConfirmed
--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestConfirmationOlderThanProcess: the state that a new process receives keeps its age, so that
+// TestConfirmationOlderThanProcess: the state that a new process receives keeps its staleness, so that
 // a restart does not make a stale state look fresh to others.
 func TestConfirmationOlderThanProcess(t *testing.T) {
 	var c Confirmation
-	if age := c.Age(100 * time.Millisecond); age != neverConfirmed {
-		t.Errorf("age %v before the first confirmation, want %v", age, neverConfirmed)
+	if staleness := c.Age(100 * time.Millisecond); staleness != neverConfirmed {
+		t.Errorf("staleness %v before the first confirmation, want %v", staleness, neverConfirmed)
 	}
 	c.Update(50*time.Millisecond, 1600*time.Millisecond)
-	if age := c.Age(250 * time.Millisecond); age != 1800*time.Millisecond {
-		t.Errorf("age %v, want 1.8s", age)
+	if staleness := c.Age(250 * time.Millisecond); staleness != 1800*time.Millisecond {
+		t.Errorf("staleness %v, want 1.8s", staleness)
 	}
 }
 
@@ -39,11 +39,11 @@
 	var c Confirmation
 	c.Update(3*time.Second, 0)
 	c.Update(4*time.Second, 2*time.Second)
-	if age := c.Age(5 * time.Second); age != 2*time.Second {
-		t.Errorf("age %v, want 2 s", age)
+	if staleness := c.Age(5 * time.Second); staleness != 2*time.Second {
+		t.Errorf("staleness %v, want 2 s", staleness)
 	}
 	c.Update(5*time.Second, 500*time.Millisecond)
-	if age := c.Age(5 * time.Second); age != 500*time.Millisecond {
-		t.Errorf("age %v, want 0.5 s", age)
+	if staleness := c.Age(5 * time.Second); staleness != 500*time.Millisecond {
+		t.Errorf("staleness %v, want 0.5 s", staleness)
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -50,11 +50,11 @@
 	// storeWaitDivisor sets how long to wait for the store, from its last response on, as a
 	// fraction of the contact bound.
 	storeWaitDivisor = 4
-	// peerAgeDivisor sets the maximum age of another balancer's state, as a fraction of the
+	// peerStalenessDivisor sets the maximum staleness of another balancer's state, as a fraction of the
 	// contact bound. A call there ends before the state is older, so that a balancer whose
-	// upstream is silent polls the store at most peerSlack after that age, within the bounds
+	// upstream is silent polls the store at most peerSlack after that, within the bounds
 	// of configuration and draining.
-	peerAgeDivisor = 2.5
+	peerStalenessDivisor = 2.5
 	// batchDivisor sets the pause after an early response of the store, as a fraction of the
 	// contact bound, so that consecutive changes are read together: stores charge for each read.
 	batchDivisor = 10
@@ -100,9 +100,9 @@
 	return &Follower{contactBound: contactBound, startPause: startPause, narrowLink: startPause > 0, limitsTransfer: startPause == narrowLinkDelay}
 }
 
-// MaxPeerAge returns the maximum age of the state of a balancer to follow.
-func MaxPeerAge(contactBound time.Duration) time.Duration {
-	return time.Duration(float64(contactBound) / peerAgeDivisor)
+// MaxPeerStaleness returns the maximum staleness of the state of a balancer to follow.
+func MaxPeerStaleness(contactBound time.Duration) time.Duration {
+	return time.Duration(float64(contactBound) / peerStalenessDivisor)
 }
 
 // Next returns the call to make.
@@ -130,7 +130,7 @@
 		return call
 	}
 	if state.Upstream.IsValid() && state.Revision > 0 && !f.storeNext {
-		wait := max(MaxPeerAge(f.contactBound)-max(state.UpstreamAge, 0), minPeerWait)
+		wait := max(MaxPeerStaleness(f.contactBound)-max(state.UpstreamStaleness, 0), minPeerWait)
 		return Call{Kind: QueryPeer, Peer: state.Upstream, Wait: wait, Timeout: wait + peerSlack}
 	}
 	f.storeNext = false
@@ -179,7 +179,7 @@
 			f.catchUp = true
 			return Unchanged
 		}
-		f.storeNext = outcome.Result != Done || outcome.Age > MaxPeerAge(f.contactBound)
+		f.storeNext = outcome.Result != Done || outcome.Age > MaxPeerStaleness(f.contactBound)
 		if f.storeNext {
 			return Unchanged
 		}
@@ -237,7 +237,7 @@
 		limit = maxListRetry
 	case state.isOutage():
 		return outageRetry
-	case state.Backup && f.failures == 0 && state.FailingPeers < minFailingPeers:
+	case state.Backup && f.failures == 0 && state.PeersWithoutStore < minPeersWithoutStore:
 		return backupRetry
 	case state.Backup:
 		return longBackupRetry
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -110,18 +110,18 @@
 	step(t, f, state, QueryPeer, Outcome{Age: time.Second})
 	step(t, f, state, QueryPeer, Outcome{Result: Failed})
 	step(t, f, state, WatchStore, Outcome{})
-	step(t, f, state, QueryPeer, Outcome{Age: MaxPeerAge(bound) + 1})
+	step(t, f, state, QueryPeer, Outcome{Age: MaxPeerStaleness(bound) + 1})
 	step(t, f, state, WatchStore, Outcome{})
 }
 
 // TestPeerCallEndsBeforeStateIsStale, so that the state is hardly staler when an upstream stops responding.
 func TestPeerCallEndsBeforeStateIsStale(t *testing.T) {
 	for _, test := range []struct{ age, wait time.Duration }{
-		{0, MaxPeerAge(bound)},
-		{MaxPeerAge(bound) - 400*time.Millisecond, 400 * time.Millisecond},
-		{MaxPeerAge(bound), minPeerWait},
+		{0, MaxPeerStaleness(bound)},
+		{MaxPeerStaleness(bound) - 400*time.Millisecond, 400 * time.Millisecond},
+		{MaxPeerStaleness(bound), minPeerWait},
 	} {
-		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamAge: test.age})
+		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamStaleness: test.age})
 		if call.Kind != QueryPeer || call.Wait != test.wait || call.Timeout != test.wait+peerSlack {
 			t.Errorf("age %v: %+v, want a wait of %v", test.age, call, test.wait)
 		}
@@ -207,8 +207,8 @@
 			t.Errorf("%v until changes are known, backup %v", total, backup)
 		}
 	}
-	for age := time.Duration(0); age <= MaxPeerAge(bound); age += MaxPeerAge(bound) / 16 {
-		query := running().Next(State{Revision: 5, Upstream: upstream, UpstreamAge: age})
+	for age := time.Duration(0); age <= MaxPeerStaleness(bound); age += MaxPeerStaleness(bound) / 16 {
+		query := running().Next(State{Revision: 5, Upstream: upstream, UpstreamStaleness: age})
 		if total := age + query.Timeout; total > bound/2 {
 			t.Errorf("the state is %v old when a call to a peer that hangs times out", total)
 		}
@@ -276,7 +276,7 @@
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{Result: Failed})
 	step(t, f, State{Revision: 5}, Pause, Outcome{})
-	if contact := step(t, f, state, QueryPeer, Outcome{Age: 2 * MaxPeerAge(bound)}); contact != Unchanged {
+	if contact := step(t, f, state, QueryPeer, Outcome{Age: 2 * MaxPeerStaleness(bound)}); contact != Unchanged {
 		t.Errorf("through a stale peer: %v", contact)
 	}
 	step(t, f, state.afterRetries(), WatchStore, Outcome{Result: Failed})
@@ -319,7 +319,7 @@
 
 // outageState is the state of a balancer whose upstream is stale.
 func outageState(zoneRank, failingPeers int) State {
-	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: zoneRank, FailingPeers: failingPeers}
+	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: zoneRank, PeersWithoutStore: failingPeers}
 }
 
 // storeTakeoverAfter returns how long after its upstream is stale a balancer polls the store, a minute if it
@@ -341,22 +341,22 @@
 func TestTakeoverByRank(t *testing.T) {
 	last := time.Duration(-1)
 	for rank := range primaryPollers {
-		after := storeTakeoverAfter(running(), outageState(rank, minFailingPeers))
+		after := storeTakeoverAfter(running(), outageState(rank, minPeersWithoutStore))
 		if after <= last || after > primaryPollers*takeoverStep*3/2 {
 			t.Errorf("rank %d polls after %v, the one before after %v", rank, after, last)
 		}
 		last = after
 	}
-	backup := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers-1))
-	if backup <= last || MaxPeerAge(bound)+peerSlack+backup > bound*3/4 {
+	backup := storeTakeoverAfter(running(), outageState(primaryPollers, minPeersWithoutStore-1))
+	if backup <= last || MaxPeerStaleness(bound)+peerSlack+backup > bound*3/4 {
 		t.Errorf("a backup polls after %v, the last primary after %v", backup, last)
 	}
-	if backup := storeTakeoverAfter(running(), outageState(primaryPollers, minFailingPeers)); backup < outageRetry || backup > 2*outageRetry {
+	if backup := storeTakeoverAfter(running(), outageState(primaryPollers, minPeersWithoutStore)); backup < outageRetry || backup > 2*outageRetry {
 		t.Errorf("in an outage a backup polls after %v", backup)
 	}
 	f := running()
 	f.disconnected = true
-	if calls := countStoreCalls(t, f, outageState(primaryPollers, minFailingPeers), 3*outageRetry); calls > 3 {
+	if calls := countStoreCalls(t, f, outageState(primaryPollers, minPeersWithoutStore), 3*outageRetry); calls > 3 {
 		t.Errorf("in an outage a backup polls %d times in %v", calls, 3*outageRetry)
 	}
 }
@@ -378,7 +378,7 @@
 // TestFreshestIsQueriedMeanwhile: while the store is left to others, also after a long time.
 func TestFreshestIsQueriedMeanwhile(t *testing.T) {
 	f := running()
-	state := outageState(primaryPollers, minFailingPeers)
+	state := outageState(primaryPollers, minPeersWithoutStore)
 	for range 10 {
 		step(t, f, state, Pause, Outcome{})
 		state.Now += maxPause
--- a/internal/follow/takeover.go
+++ b/internal/follow/takeover.go
@@ -12,10 +12,10 @@
 	// backupDelayDivisor sets the delay of all others, as a fraction of the contact bound. By then they
 	// receive the state from a primary that got a response.
 	backupDelayDivisor = 10
-	// minFailingPeers is how many peers must report that the store does not respond to them for an outage;
+	// minPeersWithoutStore is how many peers must report that the store does not respond to them for an outage;
 	// backups then poll the store outageRetry later.
-	minFailingPeers = 4
-	outageRetry     = 8 * time.Second
+	minPeersWithoutStore = 4
+	outageRetry          = 8 * time.Second
 )
 
 // takeoverDelay returns how long this balancer leaves the store to those of lower rank, once the state
@@ -46,5 +46,5 @@
 // isOutage reports whether the store is known to respond to nobody, and other balancers are the ones that
 // detect its return.
 func (s *State) isOutage() bool {
-	return s.Backup && s.ZoneRank >= primaryPollers && s.FailingPeers >= minFailingPeers
+	return s.Backup && s.ZoneRank >= primaryPollers && s.PeersWithoutStore >= minPeersWithoutStore
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -47,7 +47,7 @@
 	Leaving bool
 	// Settled is set when everything that the peer holds is replicated.
 	Settled bool
-	// Invalidations counts how often the peer has stopped to attest that its records are complete.
+	// Invalidations counts how often the peer has marked its records as incomplete.
 	Invalidations uint32
 }
 
@@ -91,8 +91,8 @@
 	return d.peers[index]
 }
 
-// Receive records a heartbeat. It returns accepted false for one that a newer one has overtaken, or
-// of this node itself, which change nothing. A new identifier at a known address is a restarted
+// Receive records a heartbeat. It returns accepted false, and changes nothing, for one that is older
+// than the last or of this node itself. A new identifier at a known address is a restarted
 // process without its predecessor's records. invalidated is set if the peer has invalidated its
 // records since its last heartbeat.
 func (d *Detector) Receive(now time.Duration, member Member, report Report) (accepted, invalidated bool) {
@@ -162,8 +162,8 @@
 }
 
 // MarkDecidedWithout records that this node decides from now on without the peers that have been
-// out of the view for ViewSettle. If one returns, it must be told that it may lack records. The
-// caller must have a quorum.
+// out of the view for ViewSettle. Heartbeats report this to a peer that returns, since it may lack records.
+// The caller must have a quorum.
 func (d *Detector) MarkDecidedWithout(now time.Duration) {
 	for _, p := range d.peers {
 		if p.ID == 0 || p.decidedWithout || p.Leaving || now-p.lastReceived <= DeadAfter+ViewSettle {
@@ -232,7 +232,7 @@
 // Target is a peer that heartbeats are sent to.
 type Target struct {
 	Address netip.AddrPort
-	// DecidedWithout is set if the peer must be told that this node decided without it.
+	// DecidedWithout is set if the heartbeat must report that this node decided without the peer.
 	DecidedWithout bool
 	// Introduce is set if the heartbeat must introduce this node; otherwise its identifier is
 	// enough.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -137,7 +137,7 @@
 	return isNew && t.peers[hello.Control] != nil
 }
 
-// Forget drops peers that have been silent for forgetTimeout.
+// Forget drops peers from which nothing was received for forgetTimeout.
 func (t *Table) Forget(now time.Duration) {
 	for address, peer := range t.peers {
 		if now-peer.lastReceived > forgetTimeout {
