--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -592,14 +592,14 @@
 	first.replace(listing(t, 5), "store", 0)
 	server := httptest.NewServer(first.controlHandler())
 	defer server.Close()
-	knowing := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
+	withState := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	second := newTestNode(t, &fakeSource{})
 	seed := netip.MustParseAddrPort("127.0.0.1:2")
 	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}}})
 	if second.fetchingListing.Load() {
 		t.Error("a listing is requested from a balancer without state")
 	}
-	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", HasView: true}}})
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: withState, Zone: "a", HasView: true}}})
 	for deadline := time.Now().Add(10 * time.Second); second.revision() != 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("revision %d", second.revision())
@@ -647,7 +647,7 @@
 		}
 		length, _, err := backend.ReadFromUDPAddrPort(buffer)
 		if err != nil && try < 3 && node.metrics.dropped[errkind.Stale].Get() > stale {
-			// The test process was suspended meanwhile, so that the delayed datagram was dropped.
+			// The test process was paused meanwhile, so that the delayed datagram was dropped.
 			continue
 		}
 		if err != nil || string(buffer[:length]) != "copy" {
--- a/internal/edge/event_log.go
+++ b/internal/edge/event_log.go
@@ -11,9 +11,9 @@
 // More are logged as one line with a count, to bound the cost of a fleet-wide change.
 const maxLinesPerTransition = 16
 
-// logEvents logs changes of the known state. from is the upstream, age the staleness of the update.
+// logEvents logs changes of the known state. from is the upstream, staleness that of the update.
 // The state mutex must be held.
-func (n *Node) logEvents(events []directory.Event, from string, age time.Duration) {
+func (n *Node) logEvents(events []directory.Event, from string, staleness time.Duration) {
 	counts := map[directory.Transition]int{}
 	for i := range events {
 		counts[events[i].Transition]++
@@ -27,26 +27,26 @@
 	}
 	slices.Sort(transitions)
 	for _, transition := range transitions {
-		n.log.Info("many: "+string(transition), "count", counts[transition], "revision", n.viewRevision.Load(), "from", from, "age_ms", age.Milliseconds())
+		n.log.Info("many: "+string(transition), "count", counts[transition], "revision", n.viewRevision.Load(), "from", from, "age_ms", staleness.Milliseconds())
 	}
 	n.logExpired(events, from)
 	for i := range events {
 		if !aggregated(events[i].Transition) {
-			n.logEvent(&events[i], from, age)
+			n.logEvent(&events[i], from, staleness)
 		}
 	}
 }
 
-func (n *Node) logEvent(event *directory.Event, from string, age time.Duration) {
+func (n *Node) logEvent(event *directory.Event, from string, staleness time.Duration) {
 	switch event.Transition {
 	case directory.SettingsApplied:
-		n.log.Info(string(event.Transition), "version", event.Version, "revision", event.Revision, "from", from, "age_ms", age.Milliseconds())
+		n.log.Info(string(event.Transition), "version", event.Version, "revision", event.Revision, "from", from, "age_ms", staleness.Milliseconds())
 	case directory.SettingsRejected:
 		n.log.Error(string(event.Transition), "version", event.Version, "revision", event.Revision, "from", from, "error", event.Err)
 	case directory.ZoneEvacuated, directory.ZoneRestored:
-		n.log.Info(string(event.Transition), "zone", event.Zone, "revision", event.Revision, "from", from, "age_ms", age.Milliseconds())
+		n.log.Info(string(event.Transition), "zone", event.Zone, "revision", event.Revision, "from", from, "age_ms", staleness.Milliseconds())
 	default:
 		n.log.Info(string(event.Transition), "backend", backendName(event.Backend.ID), "group", event.Backend.Group,
-			"address", event.Backend.Address, "zone", event.Backend.Zone, "revision", event.Revision, "from", from, "age_ms", age.Milliseconds())
+			"address", event.Backend.Address, "zone", event.Backend.Zone, "revision", event.Revision, "from", from, "age_ms", staleness.Milliseconds())
 	}
 }
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -31,9 +31,9 @@
 		n.log.Error("settings file refused, the last one stays in force", "error", faults[0], "faults", len(faults))
 		return
 	}
-	changed, fixed := n.reconfigure(&next)
+	changed, needRestart := n.reconfigure(&next)
 	if requested || !first {
-		n.log.Info("reloaded", "changed", changed, "needs_restart", fixed)
+		n.log.Info("reloaded", "changed", changed, "needs_restart", needRestart)
 	}
 }
 
--- a/internal/edge/wire_format_test.go
+++ b/internal/edge/wire_format_test.go
@@ -34,7 +34,7 @@
 		ReplyRequested:      true,
 		Loads:               []peers.Load{{Tag: 11, Requests: 12, Steady: 13, Answers: 14, AnswerMillis: 15}, {Tag: 16, Requests: 17, Steady: 18, Answers: 19, AnswerMillis: 20}},
 		Failures:            []peers.Failure{{Tag: 21, Count: 22}, {Tag: 23, Count: 24}},
-		Baselines:           []steering.Baseline{{Service: address(4), Length: 31, Time: 32, FailureRate: 33}, {Service: address(5), Length: 34, Time: 35, FailureRate: 36}},
+		Baselines:           []steering.Baseline{{Service: address(4), Length: 31, Latency: 32, FailureRate: 33}, {Service: address(5), Length: 34, Latency: 35, FailureRate: 36}},
 		Suspects:            []settings.BackendID{41, 42},
 		UnresponsiveReports: []steering.UnresponsiveReport{{Backend: 51, Callers: 52, Silence: 53, Down: 54}, {Backend: 55, Callers: 56, Silence: 57, Down: 58}},
 		Full:                true,
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -64,7 +64,7 @@
 	return &short
 }
 
-// Load is the recent work that a balancer sent to a back end.
+// Load is the recent load of a balancer at a back end.
 type Load struct {
 	// Tag identifies the back end in fewer bytes than its identifier.
 	Tag directory.Tag
@@ -102,7 +102,7 @@
 			Requests:     uint32(load.Requests / LoadUnit),
 			Steady:       uint32(load.Steady / LoadUnit),
 			Answers:      uint32(load.Answers / LoadUnit),
-			AnswerMillis: uint32(load.Time * 1000),
+			AnswerMillis: uint32(load.TotalLatency * 1000),
 		})
 	}
 	return encoded
@@ -110,7 +110,7 @@
 
 // toSteering converts a load of a hello for package steering.
 func (l *Load) toSteering() steering.Load {
-	return steering.Load{Requests: float64(l.Requests) * LoadUnit, Steady: float64(l.Steady) * LoadUnit, Answers: float64(l.Answers) * LoadUnit, Time: float64(l.AnswerMillis) / 1000}
+	return steering.Load{Requests: float64(l.Requests) * LoadUnit, Steady: float64(l.Steady) * LoadUnit, Answers: float64(l.Answers) * LoadUnit, TotalLatency: float64(l.AnswerMillis) / 1000}
 }
 
 // Introduction names another balancer.
--- a/internal/steering/backend.go
+++ b/internal/steering/backend.go
@@ -49,8 +49,8 @@
 	// yet.
 	flows   int
 	opening int
-	// active counts the pending requests.
-	active int
+	// pending counts the pending requests.
+	pending int
 	// recent counts requests through this balancer, decaying; others is the load that other
 	// balancers reported.
 	recent float64
@@ -74,9 +74,9 @@
 	// pool learns.
 	answers answers
 	pool    *poolState
-	// slowness is the ratio of the latency to the typical one as last measured, 1 unless it is
+	// slowdown is the ratio of the latency to the typical one as last measured, 1 unless it is
 	// clearly higher.
-	slowness float64
+	slowdown float64
 	// probing is set while a flow probes whether a slow back end has recovered.
 	probing bool
 	// lastResponse is when the back end last responded, 0 if never.
@@ -123,13 +123,13 @@
 	}
 	pool := s.poolOf(member.Group)
 	if pool.unobserved == nil {
-		pool.unobserved = &backendState{pool: pool, slowness: 1, events: &s.events}
+		pool.unobserved = &backendState{pool: pool, slowdown: 1, events: &s.events}
 	}
 	return pool.unobserved
 }
 
 func (s *Steerer) newState(member *directory.Member) *backendState {
-	state := &backendState{id: member.ID, startTime: member.StartTime, events: &s.events, pool: s.poolOf(member.Group), slowness: 1, steadySpan: s.initialSteadySpan(member)}
+	state := &backendState{id: member.ID, startTime: member.StartTime, events: &s.events, pool: s.poolOf(member.Group), slowdown: 1, steadySpan: s.initialSteadySpan(member)}
 	s.backends[member.ID] = state
 	if member.Removed {
 		s.removed[member.ID] = state
@@ -150,7 +150,7 @@
 		b.opening++
 	}
 	if rec.requestPending {
-		b.active++
+		b.pending++
 	}
 }
 
@@ -162,21 +162,21 @@
 		b.opening--
 	}
 	if rec.requestPending {
-		b.active--
+		b.pending--
 	}
 }
 
 // recordAnswer records the latency of an answered request. During warm-up it only counts towards
 // the warm-up slowdown of the pool.
 func (b *backendState) recordAnswer(now, latency time.Duration, warmingUp bool) {
-	b.active--
-	b.pool.cooldown.noteAnswer(now)
+	b.pending--
+	b.pool.cooldown.recordAnswer(now)
 	if warmingUp {
-		b.pool.noteWarmUpLatency(latency)
+		b.pool.recordWarmUpLatency(latency)
 		return
 	}
 	if b.probing && b.pool.typicalLatency > 0 {
-		b.setSlowness(latency.Seconds() / b.pool.typicalLatency)
+		b.setSlowdown(latency.Seconds() / b.pool.typicalLatency)
 	}
 	b.probing = false
 	b.answers.add(now, latency)
@@ -190,7 +190,7 @@
 	}
 	b.lastResponse = now
 	b.unansweredFlows = 0
-	b.pool.noteRetransmits(len(b.unansweredCallers))
+	b.pool.recordRetransmits(len(b.unansweredCallers))
 	b.unansweredCallers, b.downUntil, b.idleResetUntil = b.unansweredCallers[:0], 0, 0
 	b.silentUntil, b.silentPeriod = 0, 0
 	b.unansweredSince, b.suspectUntil, b.suspectPeriod, b.reportedSuspectUntil = 0, 0, 0, 0
@@ -259,25 +259,25 @@
 	b.recordEvent(Silent, now-sentAt, b.silentUntil)
 }
 
-// isSilent reports whether the back end gets neither new flows nor copies of opening packets,
+// isUnresponsive reports whether the back end gets neither new flows nor copies of opening packets,
 // because it is silent or down.
-func (b *backendState) isSilent(now time.Duration) bool {
+func (b *backendState) isUnresponsive(now time.Duration) bool {
 	return now < b.silentUntil || now < b.downUntil
 }
 
 // recordRequestFailure counts a request sent at sentAt that was left unanswered.
 func (b *backendState) recordRequestFailure(now, sentAt time.Duration) {
 	b.requestFailures++
-	b.pool.noteUnanswered(now, sentAt)
+	b.pool.recordUnanswered(now, sentAt)
 	if b.requestFailures >= requestFailuresHigh && !b.failingRequests {
 		b.failingRequests = true
 		b.recordEvent(RequestFailures, now-sentAt, 0)
 	}
 }
 
-// work returns the recent load from this balancer, in requests. An unanswered request counts as
+// recentLoad returns the recent load from this balancer, in requests. An unanswered request counts as
 // requestFailureCost, since another back end would have answered it.
-func (b *backendState) work() float64 {
+func (b *backendState) recentLoad() float64 {
 	return b.recent + requestFailureCost*b.requestFailures
 }
 
@@ -286,10 +286,10 @@
 
 // idle reports whether the state holds no more than a new one.
 func (b *backendState) idle(now time.Duration) bool {
-	if b.flows > 0 || b.opening > 0 || b.active > 0 || now-max(b.lastResponse, b.placedAt) < idleTimeout {
+	if b.flows > 0 || b.opening > 0 || b.pending > 0 || now-max(b.lastResponse, b.placedAt) < idleTimeout {
 		return false
 	}
-	if b.failingRequests || b.ejected || b.ended || b.probing || b.slowness > 1 || b.unansweredSince != 0 || len(b.unansweredCallers) > 0 {
+	if b.failingRequests || b.ejected || b.ended || b.probing || b.slowdown > 1 || b.unansweredSince != 0 || len(b.unansweredCallers) > 0 {
 		return false
 	}
 	if now < max(b.ignoreReportsUntil, b.suspectUntil, b.reportedSuspectUntil, b.silentUntil, b.downUntil, b.idleResetUntil, b.warmUpNext) {
--- a/internal/steering/baseline.go
+++ b/internal/steering/baseline.go
@@ -44,8 +44,8 @@
 
 // answerBaseline describes the typical answers under one key.
 type answerBaseline struct {
-	// length is the lower quartile of the lengths in bytes, time the median latency in seconds.
-	length, time quantile
+	// length is the lower quartile of the lengths in bytes, latency the median latency in seconds.
+	length, latency quantile
 	// classified counts the answers compared with the baseline, and failures those that look like
 	// failures, both decaying.
 	classified, failures float64
@@ -56,9 +56,9 @@
 func (a *answerBaseline) add(length uint32, latency time.Duration) (evidence float64) {
 	const lowerQuartile, median = 0.25, 0.5
 	ready := a.length.count >= minBaselineAnswers
-	failure := ready && float64(length) < shortAnswerRatio*a.length.value && latency.Seconds() < quickAnswerRatio*a.time.value
+	failure := ready && float64(length) < shortAnswerRatio*a.length.value && latency.Seconds() < quickAnswerRatio*a.latency.value
 	a.length.add(float64(length), lowerQuartile)
-	a.time.add(latency.Seconds(), median)
+	a.latency.add(latency.Seconds(), median)
 	if !ready {
 		return 0
 	}
@@ -85,9 +85,9 @@
 // Baseline describes the typical answers at an address of a service, as one balancer sees them.
 type Baseline struct {
 	Service netip.AddrPort
-	// Length is the lower quartile of the lengths in bytes, Time the median latency.
-	Length uint32
-	Time   time.Duration
+	// Length is the lower quartile of the lengths in bytes, Latency the median latency.
+	Length  uint32
+	Latency time.Duration
 	// FailureRate is the number of answers in 100,000 that look like failures.
 	FailureRate uint32
 }
@@ -100,7 +100,7 @@
 	var baselines []Baseline
 	for key, baseline := range s.baselines {
 		if key.part == "" && baseline.length.count >= minBaselineAnswers {
-			baselines = append(baselines, Baseline{key.service, uint32(baseline.length.value), time.Duration(baseline.time.value * float64(time.Second)), uint32(baseline.failureRate() / failureRateUnit)})
+			baselines = append(baselines, Baseline{key.service, uint32(baseline.length.value), time.Duration(baseline.latency.value * float64(time.Second)), uint32(baseline.failureRate() / failureRateUnit)})
 		}
 	}
 	slices.SortFunc(baselines, func(a, b Baseline) int {
@@ -113,13 +113,13 @@
 // answers of its own.
 func (s *Steerer) ReceiveBaselines(baselines []Baseline) {
 	for _, reported := range baselines {
-		if reported.Length == 0 || reported.Time <= 0 || !reported.Service.IsValid() {
+		if reported.Length == 0 || reported.Latency <= 0 || !reported.Service.IsValid() {
 			continue
 		}
 		baseline := s.baselineOf(baselineKey{service: reported.Service})
 		if baseline.length.count < minBaselineAnswers {
 			baseline.length = quantile{float64(reported.Length), minBaselineAnswers}
-			baseline.time = quantile{reported.Time.Seconds(), minBaselineAnswers}
+			baseline.latency = quantile{reported.Latency.Seconds(), minBaselineAnswers}
 			baseline.classified, baseline.failures = priorAnswers, priorAnswers*float64(reported.FailureRate)*failureRateUnit
 		}
 	}
--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -21,7 +21,7 @@
 	local  bool
 	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
 	hashScore float64
-	// load is the work relative to slots, and expectedLoad includes flows placed in the last
+	// load is in requests per slot, and expectedLoad includes flows placed in the last
 	// moments.
 	load, expectedLoad float64
 	// balanceLoad is compared where requests hardly wait: load, or in a large zone the longer-term
@@ -158,10 +158,10 @@
 	typicalLatency := s.placement.typicalLatency
 	pool := s.poolOf(p.group.Discover)
 	pool.typicalLatency = typicalLatency
-	rotation := pool.rotation
-	pool.rotation++
-	local := s.best(typicalLatency, true, rotation)
-	remote := s.best(typicalLatency, false, rotation)
+	offset := pool.subsetOffset
+	pool.subsetOffset++
+	local := s.best(typicalLatency, true, offset)
+	remote := s.best(typicalLatency, false, offset)
 	best, spilled := local, false
 	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
@@ -180,7 +180,7 @@
 
 // busy reports whether this balancer alone has a pending request for each slot.
 func (c *candidate) busy() bool {
-	return c.state.active >= max(c.member.Slots, 1)
+	return c.state.pending >= max(c.member.Slots, 1)
 }
 
 // meanLoad is over all zones.
@@ -194,7 +194,7 @@
 
 // best returns the best candidate inside or outside the own zone, or nil. In a large zone it
 // compares the current subset only, unless the best of that is busy or ejected.
-func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
+func (s *Steerer) best(typicalLatency float64, local bool, offset int) *candidate {
 	if s.membership.Count < minBalancersForSubsets {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
@@ -204,7 +204,7 @@
 			total++
 		}
 	}
-	best := bestIn(s.candidates, typicalLatency, local, s.membership.subset(total, rotation))
+	best := bestIn(s.candidates, typicalLatency, local, s.membership.subset(total, offset))
 	if best != nil && (best.busy() || best.state.ejected) {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
--- a/internal/steering/cooldown.go
+++ b/internal/steering/cooldown.go
@@ -30,8 +30,8 @@
 	probing bool
 }
 
-// noteUnanswered counts a request sent at sentAt that stayed unanswered.
-func (c *cooldown) noteUnanswered(now, sentAt time.Duration) {
+// recordUnanswered counts a request sent at sentAt that stayed unanswered.
+func (c *cooldown) recordUnanswered(now, sentAt time.Duration) {
 	if c.lastAnswer > 0 && sentAt <= c.lastAnswer {
 		// Others were answered meanwhile: the part is slow but responds.
 		return
@@ -46,8 +46,8 @@
 	c.until = now + c.duration
 }
 
-// noteAnswer resets the cooldown after a response.
-func (c *cooldown) noteAnswer(now time.Duration) { *c = cooldown{lastAnswer: now} }
+// recordAnswer resets the cooldown after a response.
+func (c *cooldown) recordAnswer(now time.Duration) { *c = cooldown{lastAnswer: now} }
 
 // blocks reports whether the part is in cooldown. After a cooldown a single flow probes the part.
 func (c *cooldown) blocks(now time.Duration) bool {
--- a/internal/steering/down.go
+++ b/internal/steering/down.go
@@ -45,7 +45,7 @@
 		return
 	}
 	if b.lastResponse >= rec.sentAt {
-		b.pool.noteRetransmits(1)
+		b.pool.recordRetransmits(1)
 		return
 	}
 	b.lastUnansweredAt = now
--- a/internal/steering/down_test.go
+++ b/internal/steering/down_test.go
@@ -267,8 +267,8 @@
 		if responded := state.lastResponse > before; responded != test.living {
 			t.Errorf("%s: counted as a response: %v", name, responded)
 		}
-		if test.data > 0 && state.active != 1 || test.data == 0 && state.active != 0 {
-			t.Errorf("%s: %d active requests", name, state.active)
+		if test.data > 0 && state.pending != 1 || test.data == 0 && state.pending != 0 {
+			t.Errorf("%s: %d active requests", name, state.pending)
 		}
 	}
 }
--- a/internal/steering/filters.go
+++ b/internal/steering/filters.go
@@ -27,9 +27,9 @@
 	return state == p.avoid && !s.config.Mechanisms.NoSuspicion
 }
 
-// filterSilent excludes back ends that are suspect, silent or down.
-func filterSilent(s *Steerer, p *placementState, _ *directory.Member, state *backendState) bool {
-	return !s.config.Mechanisms.NoSuspicion && (state.isSilent(p.now) || s.checkSuspect(p.now, state))
+// filterUnresponsive excludes back ends that are suspect, silent or down.
+func filterUnresponsive(s *Steerer, p *placementState, _ *directory.Member, state *backendState) bool {
+	return !s.config.Mechanisms.NoSuspicion && (state.isUnresponsive(p.now) || s.checkSuspect(p.now, state))
 }
 
 // filterPastGrace excludes back ends whose entries were removed too long ago, or expired in an outage
--- a/internal/steering/herd_test.go
+++ b/internal/steering/herd_test.go
@@ -150,7 +150,7 @@
 
 // subtract returns the load less a part of it.
 func subtract(load, part Load) Load {
-	return load.Plus(Load{-part.Requests, -part.Steady, -part.Failures, -part.Answers, -part.Time})
+	return load.Plus(Load{-part.Requests, -part.Steady, -part.Failures, -part.Answers, -part.TotalLatency})
 }
 
 // Long flows that are opened at the same moment must be spread, though no balancer has received
--- a/internal/steering/outlier.go
+++ b/internal/steering/outlier.go
@@ -58,11 +58,11 @@
 	}
 }
 
-// weighFailures raises the load of ejected back ends, which are idle and would otherwise attract
+// applyEjection raises the load of ejected back ends, which are idle and would otherwise attract
 // all new flows: to at least the mean load plus, per failure, the mean load or requestFailureCost
 // requests, whichever is more. A restored back end has at least the mean load for a while, so that
 // its first flows show whether it still fails.
-func (s *Steerer) weighFailures() {
+func (s *Steerer) applyEjection() {
 	ejected := 0
 	for i := range s.candidates {
 		if c := &s.candidates[i]; c.state.updateEjected(c.failures) {
--- a/internal/steering/outlier_test.go
+++ b/internal/steering/outlier_test.go
@@ -181,7 +181,7 @@
 	if len(baselines) != 1 || baselines[0].Service != running.address {
 		t.Fatalf("baselines %v", baselines)
 	}
-	started.ReceiveBaselines([]Baseline{{Service: running.address}, {Length: 100, Time: time.Second}, {Service: running.address, Length: 1, Time: -time.Second}})
+	started.ReceiveBaselines([]Baseline{{Service: running.address}, {Length: 100, Latency: time.Second}, {Service: running.address, Length: 1, Latency: -time.Second}})
 	if len(started.baselines) != 0 {
 		t.Errorf("invalid baselines are adopted: %v", started.baselines)
 	}
--- a/internal/steering/parts_test.go
+++ b/internal/steering/parts_test.go
@@ -148,7 +148,7 @@
 	f := newFleet(t)
 	f.countParts(0, 100)
 	for id := settings.BackendID(11); id <= 12; id++ {
-		f.state(id).active += 2
+		f.state(id).pending += 2
 	}
 	if counts := f.countParts(100, 100); counts["upload turn"] < 22 || counts["upload turn"] > 28 || len(counts) != 2 {
 		t.Errorf("%v", counts)
@@ -159,15 +159,15 @@
 func TestSlowPartEntersNoCooldown(t *testing.T) {
 	r := cooldown{}
 	for at := time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
-		r.noteAnswer(at)
-		r.noteUnanswered(at+50*time.Millisecond, at-500*time.Millisecond)
+		r.recordAnswer(at)
+		r.recordUnanswered(at+50*time.Millisecond, at-500*time.Millisecond)
 		if r.blocks(at + 60*time.Millisecond) {
 			t.Fatalf("in cooldown at %v", at)
 		}
 	}
 	pool := poolState{typicalLatency: 0.5}
 	for range 2 * cooldownThreshold {
-		pool.noteUnanswered(2*time.Second, time.Second)
+		pool.recordUnanswered(2*time.Second, time.Second)
 	}
 	if pool.cooldown.unanswered != 0 {
 		t.Errorf("requests of twice the typical time count: %+v", pool.cooldown)
@@ -329,7 +329,7 @@
 func TestEarlierRequestsDoNotExtendCooldown(t *testing.T) {
 	r := cooldown{}
 	for i := range 10 {
-		r.noteUnanswered(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
+		r.recordUnanswered(time.Second+time.Duration(i)*20*time.Millisecond, 500*time.Millisecond)
 	}
 	if r.duration != minCooldown || r.blocks(time.Second+40*time.Millisecond+minCooldown) {
 		t.Errorf("%+v", r)
@@ -337,11 +337,11 @@
 	if !r.blocks(1700 * time.Millisecond) {
 		t.Error("a second flow probes the part beside the first")
 	}
-	r.noteUnanswered(1900*time.Millisecond, 1500*time.Millisecond)
+	r.recordUnanswered(1900*time.Millisecond, 1500*time.Millisecond)
 	if r.duration != 2*minCooldown || !r.blocks(2800*time.Millisecond) {
 		t.Errorf("after a failed probe: %+v", r)
 	}
-	r.noteAnswer(2700 * time.Millisecond)
+	r.recordAnswer(2700 * time.Millisecond)
 	if r.blocks(2800 * time.Millisecond) {
 		t.Error("in cooldown after a response")
 	}
--- a/internal/steering/placements.go
+++ b/internal/steering/placements.go
@@ -37,7 +37,7 @@
 		return 0
 	}
 	placers := s.placers(local)
-	counted := min(placers*state.recentPlaced, state.work()+state.others.Requests)
+	counted := min(placers*state.recentPlaced, state.recentLoad()+state.others.Requests)
 	return placers*state.recentPlacements(now)*recentWindow/placedWindow.Seconds() - counted
 }
 
--- a/internal/steering/placing.go
+++ b/internal/steering/placing.go
@@ -41,14 +41,14 @@
 // tiers are in order of preference: healthy back ends, those near their limit of flows,
 // unresponsive ones, and those whose entries were removed recently, perhaps by mistake.
 var tiers = []tier{
-	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterConnections}, true},
-	{openMembers, []filter{filterWarmingUp, filterPrevious, filterSilent, filterFull}, true},
+	{openMembers, []filter{filterWarmingUp, filterPrevious, filterUnresponsive, filterConnections}, true},
+	{openMembers, []filter{filterWarmingUp, filterPrevious, filterUnresponsive, filterFull}, true},
 	{openMembers, []filter{filterWarmingUp, filterFull}, false},
 	{removedMembers, []filter{filterPastGrace, filterWarmingUp, filterFull}, false},
 }
 
 // scorers set the load first, then what makes the same load slower.
-var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreTypicalLatency, scoreSlowness, scoreTime}
+var scorers = []scorer{scoreLoad, scoreWarmUp, scoreFailures, scoreTypicalLatency, scoreSlowdown, scoreTime}
 
 func openMembers(pool *directory.Pool) []*directory.Member { return pool.Open }
 
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -34,8 +34,8 @@
 	unobserved *backendState
 	// startedAt is when this balancer began to observe.
 	startedAt time.Duration
-	// rotation counts the placements in the pool and rotates the subset.
-	rotation int
+	// subsetOffset counts the placements in the pool and moves the subset around the ring.
+	subsetOffset int
 	// typicalLatency is the typical latency at the last placement in seconds, 0 while unknown.
 	typicalLatency float64
 	// warmUpSlowdown is the measured slowdown of back ends that are warming up.
@@ -87,36 +87,36 @@
 	return int(math.Ceil(math.Log(maxProbability) / math.Log(probability)))
 }
 
-// noteOpened counts an opened flow; copied is set if that took a copy of its opening packet.
-func (p *poolState) noteOpened(copied bool) {
+// recordOpened counts an opened flow; copied is set if that took a copy of its opening packet.
+func (p *poolState) recordOpened(copied bool) {
 	p.openingRetransmits.requests++
 	if copied {
 		p.openingRetransmits.retransmitted++
 	}
 }
 
-// noteUnanswered counts an unanswered request that has waited much longer than is typical.
-func (p *poolState) noteUnanswered(now, sentAt time.Duration) {
+// recordUnanswered counts an unanswered request that has waited much longer than is typical.
+func (p *poolState) recordUnanswered(now, sentAt time.Duration) {
 	if (now - sentAt).Seconds() >= overdueFactor*p.typicalLatency {
-		p.cooldown.noteUnanswered(now, sentAt)
+		p.cooldown.recordUnanswered(now, sentAt)
 	}
 }
 
-// noteWarmUpLatency updates the slowdown with a response of a back end that is warming up.
-func (p *poolState) noteWarmUpLatency(latency time.Duration) {
+// recordWarmUpLatency updates the slowdown with a response of a back end that is warming up.
+func (p *poolState) recordWarmUpLatency(latency time.Duration) {
 	if p.typicalLatency > 0 {
-		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.typicalLatency, 1), maxSlowness) - p.warmUpSlowdown)
+		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.typicalLatency, 1), maxSlowdown) - p.warmUpSlowdown)
 	}
 }
 
-// noteRequest counts a request that was sent.
-func (p *poolState) noteRequest() {
+// recordRequest counts a request that was sent.
+func (p *poolState) recordRequest() {
 	p.retransmits.requests++
 	p.retransmitsLong.requests++
 }
 
-// noteRetransmits counts requests that were retransmitted though the back end was healthy.
-func (p *poolState) noteRetransmits(count int) {
+// recordRetransmits counts requests that were retransmitted though the back end was healthy.
+func (p *poolState) recordRetransmits(count int) {
 	p.retransmits.retransmitted += float64(count)
 	p.retransmitsLong.retransmitted += float64(count)
 }
--- a/internal/steering/pool_test.go
+++ b/internal/steering/pool_test.go
@@ -80,7 +80,7 @@
 		}
 		for count := 1; count <= test.flows; count++ {
 			b.recordUnansweredFlow(test.now, test.now-time.Millisecond)
-			if silent := b.isSilent(test.now); silent != (count >= test.silentAfter) {
+			if silent := b.isUnresponsive(test.now); silent != (count >= test.silentAfter) {
 				t.Errorf("%s, after %d flows: silent %v", test.name, count, silent)
 			}
 		}
--- a/internal/steering/record.go
+++ b/internal/steering/record.go
@@ -114,7 +114,7 @@
 	r.lastSeen = now
 	if r.opening {
 		r.opening = false
-		r.backend.pool.noteOpened(r.countedSilent)
+		r.backend.pool.recordOpened(r.countedSilent)
 		r.acknowledged = packet.Acknowledged
 		r.sequence = packet.Sequence
 		r.backend.recordResponse(now)
@@ -165,7 +165,7 @@
 		return
 	}
 	r.requestPending = false
-	r.backend.active--
+	r.backend.pending--
 }
 
 // request processes data of the caller: a new request, more of one, or a retransmission. It reports
@@ -186,8 +186,8 @@
 	}
 	r.requestPending, r.unanswered = true, false
 	r.sentAt, r.responseStart = now, r.acknowledged
-	r.backend.active++
-	r.backend.pool.noteRequest()
+	r.backend.pending++
+	r.backend.pool.recordRequest()
 	if !r.requested {
 		// The first request was counted when the flow was placed.
 		r.requested = true
--- a/internal/steering/scorers.go
+++ b/internal/steering/scorers.go
@@ -8,7 +8,7 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		slots := float64(max(c.member.Slots, 1))
-		load := float64(c.state.active+1) + c.state.work() + c.state.others.Requests
+		load := float64(c.state.pending+1) + c.state.recentLoad() + c.state.others.Requests
 		balanceLoad := load
 		if s.membership.Count >= minBalancersForSubsets {
 			balanceLoad = c.state.steadyRate()
@@ -33,13 +33,13 @@
 }
 
 // scoreFailures increases the load of ejected back ends.
-func scoreFailures(s *Steerer, _ *placementState) { s.weighFailures() }
+func scoreFailures(s *Steerer, _ *placementState) { s.applyEjection() }
 
 // scoreTypicalLatency computes the typical latency of the candidates.
 func scoreTypicalLatency(s *Steerer, p *placementState) { p.typicalLatency = s.typicalLatency() }
 
-// scoreSlowness sets the slowdown of back ends that respond slowly.
-func scoreSlowness(s *Steerer, p *placementState) { s.weighSlowness(p.now, p.typicalLatency) }
+// scoreSlowdown sets the slowdown of back ends that respond slowly.
+func scoreSlowdown(s *Steerer, p *placementState) { s.applySlowdown(p.now, p.typicalLatency) }
 
 // scoreTime computes the expected time of a request at each candidate.
 func scoreTime(s *Steerer, p *placementState) { s.estimateTimes(p.typicalLatency) }
--- a/internal/steering/share.go
+++ b/internal/steering/share.go
@@ -10,20 +10,20 @@
 	"gaugeyard/internal/settings"
 )
 
-// Load is the recent work at a back end. All counts decay each second.
+// Load is the recent load at a back end. All counts decay each second.
 type Load struct {
 	// Requests counts the requests that were sent. One that stayed unanswered counts as several.
 	// Steady is the same over a longer time, by which loads are balanced in large zones.
 	Requests, Steady float64
 	// Failures counts the requests whose responses look like failures.
 	Failures float64
-	// Answers counts the responses, and Time is the sum of their latencies in seconds.
-	Answers, Time float64
+	// Answers counts the responses, and TotalLatency is the sum of their latencies in seconds.
+	Answers, TotalLatency float64
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(other Load) Load {
-	return Load{l.Requests + other.Requests, l.Steady + other.Steady, l.Failures + other.Failures, l.Answers + other.Answers, l.Time + other.Time}
+	return Load{l.Requests + other.Requests, l.Steady + other.Steady, l.Failures + other.Failures, l.Answers + other.Answers, l.TotalLatency + other.TotalLatency}
 }
 
 // Decay holds the factors that age a load by some time.
@@ -39,7 +39,7 @@
 
 // Decayed returns the load after decay.
 func (l Load) Decayed(by Decay) Load {
-	return Load{l.Requests * by.recent, l.Steady * by.steady, l.Failures * by.recent, l.Answers * by.recent, l.Time * by.recent}
+	return Load{l.Requests * by.recent, l.Steady * by.steady, l.Failures * by.recent, l.Answers * by.recent, l.TotalLatency * by.recent}
 }
 
 // SetPeerLoads replaces the loads that other balancers reported for each back end. The steerer
@@ -81,7 +81,7 @@
 func (s *Steerer) Suspects(now time.Duration, count int) []settings.BackendID {
 	var suspects []settings.BackendID
 	for id, state := range s.backends {
-		if state.suspectPeriod > 0 && now < state.suspectUntil && !state.pool.lossy() || state.isSilent(now) {
+		if state.suspectPeriod > 0 && now < state.suspectUntil && !state.pool.lossy() || state.isUnresponsive(now) {
 			suspects = append(suspects, id)
 		}
 	}
@@ -89,13 +89,13 @@
 	return suspects[:min(count, len(suspects))]
 }
 
-// RecentLoad returns the recent work of this balancer at each back end, largest first, at most
+// RecentLoad returns the recent load of this balancer at each back end, largest first, at most
 // count.
 func (s *Steerer) RecentLoad(count int) []BackendLoad {
 	var loads []BackendLoad
 	for id, state := range s.backends {
-		if work := state.steadyWork(); work >= minReportedLoad {
-			loads = append(loads, BackendLoad{id, Load{Requests: state.work(), Steady: work, Answers: state.answers.count, Time: state.answers.time}})
+		if steady := state.steadyLoad(); steady >= minReportedLoad {
+			loads = append(loads, BackendLoad{id, Load{Requests: state.recentLoad(), Steady: steady, Answers: state.answers.count, TotalLatency: state.answers.totalLatency}})
 		}
 	}
 	slices.SortFunc(loads, func(a, b BackendLoad) int {
@@ -119,7 +119,7 @@
 	return failing[:min(count, len(failing))]
 }
 
-// BackendLoad is the recent work of one balancer at a back end.
+// BackendLoad is the recent load of one balancer at a back end.
 type BackendLoad struct {
 	Backend settings.BackendID
 	Load
--- a/internal/steering/slowness.go
+++ b/internal/steering/slowness.go
@@ -9,10 +9,10 @@
 	// minAnswers is the number of recent answers through all balancers from which on their mean
 	// latency is used.
 	minAnswers = 5
-	// minSlowness is the ratio to the typical latency above which a back end counts as slow, and
-	// maxSlowness the upper bound of that ratio.
-	minSlowness = 1.6
-	maxSlowness = 8
+	// minSlowdown is the ratio to the typical latency above which a back end counts as slow, and
+	// maxSlowdown the upper bound of that ratio.
+	minSlowdown = 1.6
+	maxSlowdown = 8
 	// minLocalAnswers is the number of answers through this balancer from which on their moving
 	// average, with weight localGain per answer, is preferred to the mean of all balancers, since
 	// it follows changes at once. It expires localLifetime after the last answer.
@@ -27,8 +27,8 @@
 // answers holds the latencies of a back end's answers through this balancer. The zero value is
 // empty.
 type answers struct {
-	// count and time are the decaying number of answers and the sum of their latencies in seconds.
-	count, time float64
+	// count and totalLatency are the decaying number of answers and the sum of their latencies in seconds.
+	count, totalLatency float64
 	// mean is the moving average of the newest latencies in seconds, and recentCount their number,
 	// up to minLocalAnswers.
 	mean        float64
@@ -38,7 +38,7 @@
 
 func (a *answers) add(now, latency time.Duration) {
 	a.count++
-	a.time += latency.Seconds()
+	a.totalLatency += latency.Seconds()
 	a.last = now
 	a.recentCount = min(a.recentCount+1, minLocalAnswers)
 	if a.recentCount == 1 {
@@ -50,7 +50,7 @@
 // decay ages the counts by one second.
 func (a *answers) decay(now time.Duration) {
 	a.count *= recentDecay
-	a.time *= recentDecay
+	a.totalLatency *= recentDecay
 	if now-a.last > localLifetime {
 		a.mean, a.recentCount = 0, 0
 	}
@@ -66,7 +66,7 @@
 	if count < minAnswers {
 		return 0
 	}
-	return (b.answers.time + b.others.Time) / count
+	return (b.answers.totalLatency + b.others.TotalLatency) / count
 }
 
 // typicalLatency returns the lower median of the candidates' mean latencies in seconds, 0 while
@@ -85,9 +85,9 @@
 	return s.latencies[(len(s.latencies)-1)/2]
 }
 
-// weighSlowness raises the slowdown of candidates that answer clearly slower than typical. Too few
+// applySlowdown raises the slowdown of candidates that answer clearly slower than typical. Too few
 // flows then go there to show a recovery; a single flow probes it.
-func (s *Steerer) weighSlowness(now time.Duration, typical float64) {
+func (s *Steerer) applySlowdown(now time.Duration, typical float64) {
 	if typical == 0 || s.config.Mechanisms.NoPace {
 		return
 	}
@@ -96,19 +96,19 @@
 		mean := c.state.meanLatency()
 		switch {
 		case mean > 0:
-			c.state.setSlowness(mean / typical)
-		case c.state.slowness > 1 && !c.state.probing && now-c.state.placedAt > probeInterval:
+			c.state.setSlowdown(mean / typical)
+		case c.state.slowdown > 1 && !c.state.probing && now-c.state.placedAt > probeInterval:
 			c.probe = true
 			continue
 		}
-		c.slowdown = max(c.slowdown, c.state.slowness)
+		c.slowdown = max(c.slowdown, c.state.slowdown)
 	}
 }
 
-// setSlowness sets the ratio of the latency to the typical one.
-func (b *backendState) setSlowness(slowness float64) {
-	b.slowness = 1
-	if slowness > minSlowness {
-		b.slowness = min(slowness, maxSlowness)
+// setSlowdown sets the slowdown from the ratio of the latency to the typical one.
+func (b *backendState) setSlowdown(ratio float64) {
+	b.slowdown = 1
+	if ratio > minSlowdown {
+		b.slowdown = min(ratio, maxSlowdown)
 	}
 }
--- a/internal/steering/slowness_test.go
+++ b/internal/steering/slowness_test.go
@@ -10,7 +10,7 @@
 
 // loadWithLatency returns the load that another balancer reports of a back end with the latency.
 func loadWithLatency(latency time.Duration) Load {
-	return Load{Requests: 20, Answers: 20, Time: 20 * latency.Seconds()}
+	return Load{Requests: 20, Answers: 20, TotalLatency: 20 * latency.Seconds()}
 }
 
 // placeEach opens a flow per interval, answers its request after the latency, and counts the flows
--- a/internal/steering/start_test.go
+++ b/internal/steering/start_test.go
@@ -8,11 +8,11 @@
 	"gaugeyard/internal/settings"
 )
 
-// restartAs announces a start of back end 1 with the given birth.
-func (f *fleet) restartAs(birth directory.StartTime) {
+// restartAs announces a start of back end 1 with the given start time.
+func (f *fleet) restartAs(startTime directory.StartTime) {
 	f.revision++
 	backend := f.directory.View().Member(1).Backend
-	backend.StartTime = birth
+	backend.StartTime = startTime
 	f.directory.AdvanceConfirmedAt(f.now)
 	f.directory.Apply(f.now, &directory.Changes{Revision: f.revision, Records: []directory.Record{{Backend: backend, Revision: f.revision}}})
 	f.steerer.SetView(f.directory.View())
@@ -39,7 +39,7 @@
 	f.advance(10 * time.Second)
 	recent := f.openAtFirst(2000)
 	before := f.state(1)
-	before.failures, before.slowness, before.others.Failures = 5, 4, 5
+	before.failures, before.slowdown, before.others.Failures = 5, 4, 5
 	before.silentUntil = f.now + time.Minute
 	f.steerer.TakeEvents()
 	f.restartAs(200)
@@ -59,7 +59,7 @@
 		t.Errorf("the old flow was reset: %v, the recent one: %v", ended[old], ended[recent])
 	}
 	state := f.state(1)
-	if state.failures != 0 || state.slowness != 1 || state.isSilent(f.now) || state.flows == 0 || state.flows >= before.flows+len(resets)+1 {
+	if state.failures != 0 || state.slowdown != 1 || state.isUnresponsive(f.now) || state.flows == 0 || state.flows >= before.flows+len(resets)+1 {
 		t.Errorf("state of the previous start remains: %+v", state)
 	}
 	events := f.steerer.TakeEvents()
@@ -72,8 +72,8 @@
 	}
 }
 
-// Reports of other balancers on a restarted back end are ignored until they have received the
-// news.
+// Reports of other balancers on a restarted back end are ignored until they know of the
+// restart.
 func TestReportsAreIgnoredAfterRestart(t *testing.T) {
 	f := newFleet(t)
 	f.restartAs(100)
@@ -150,7 +150,7 @@
 		t.Errorf("%d back ends have a state after all flows have ended", states)
 	}
 	for _, pool := range f.steerer.pools {
-		if unobserved := pool.unobserved; unobserved != nil && (unobserved.recent != 0 || unobserved.flows != 0 || unobserved.suspectPeriod != 0 || unobserved.slowness != 1) {
+		if unobserved := pool.unobserved; unobserved != nil && (unobserved.recent != 0 || unobserved.flows != 0 || unobserved.suspectPeriod != 0 || unobserved.slowdown != 1) {
 			t.Errorf("the shared state of unobserved back ends was written to: %+v", unobserved)
 		}
 	}
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -21,15 +21,15 @@
 	settleTime = 5 * time.Second
 )
 
-// steadyWork returns the work of this balancer at the back end over the longer time, in requests.
-func (b *backendState) steadyWork() float64 {
+// steadyLoad returns the load of this balancer at the back end over the longer time, in requests.
+func (b *backendState) steadyLoad() float64 {
 	return b.steady + requestFailureCost*b.requestFailures
 }
 
-// steadyRate returns the work of all balancers at the back end in requests per second, over the
+// steadyRate returns the load of all balancers at the back end in requests per second, over the
 // longer time or since it was first known.
 func (b *backendState) steadyRate() float64 {
-	return (b.steadyWork() + b.others.Steady) / (steadyOffset + b.steadySpan)
+	return (b.steadyLoad() + b.others.Steady) / (steadyOffset + b.steadySpan)
 }
 
 // initialSteadySpan returns the seconds that the steady count covers for a back end without
--- a/internal/steering/steerer.go
+++ b/internal/steering/steerer.go
@@ -137,14 +137,14 @@
 	s.view = view
 	s.handleRestarts(changed)
 	for _, id := range changed {
-		s.noteMember(id, view.Member(id))
+		s.updateRemoved(id, view.Member(id))
 	}
 	s.resetReplaced()
 }
 
-// noteMember updates whether the entry of a back end is removed. member is nil once no flow can be
+// updateRemoved updates removed, and ended, for a back end that changed in the view. member is nil once no flow can be
 // pinned to it.
-func (s *Steerer) noteMember(id settings.BackendID, member *directory.Member) {
+func (s *Steerer) updateRemoved(id settings.BackendID, member *directory.Member) {
 	b := s.backends[id]
 	if b == nil {
 		return
@@ -248,7 +248,7 @@
 // acceptsCopy reports whether the back end of a flow that is still opening may take it by the
 // newest view.
 func (s *Steerer) acceptsCopy(now time.Duration, service *settings.Service, rec *record) bool {
-	if rec.backend.isSilent(now) && !s.config.Mechanisms.NoSuspicion {
+	if rec.backend.isUnresponsive(now) && !s.config.Mechanisms.NoSuspicion {
 		return false
 	}
 	for i := range service.Groups {
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -211,7 +211,7 @@
 func TestSlowBackEndsGetFewerFlows(t *testing.T) {
 	f := newFleet(t)
 	ticked := f.now
-	work := func(from, to int, latency func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
+	placeFlows := func(from, to int, latency func(id settings.BackendID) time.Duration) map[settings.BackendID]int {
 		counts := map[settings.BackendID]int{}
 		for caller := from; caller < to; caller++ {
 			member := f.opened(caller, feedAddress)
@@ -226,7 +226,7 @@
 		}
 		return counts
 	}
-	slow := work(0, 400, func(id settings.BackendID) time.Duration {
+	slow := placeFlows(0, 400, func(id settings.BackendID) time.Duration {
 		if id == 1 {
 			return 100 * time.Millisecond
 		}
@@ -235,7 +235,7 @@
 	if slow[1] > 60 {
 		t.Errorf("a back end five times slower has %d of 400 flows", slow[1])
 	}
-	recovered := work(400, 1200, func(settings.BackendID) time.Duration { return 20 * time.Millisecond })
+	recovered := placeFlows(400, 1200, func(settings.BackendID) time.Duration { return 20 * time.Millisecond })
 	if recovered[1] < 150 {
 		t.Errorf("after it recovered it has %d of 800 flows", recovered[1])
 	}
@@ -490,7 +490,7 @@
 	}
 	f.established(500, feedAddress, silent.Tag, 1, 0)
 	f.established(500, feedAddress, silent.Tag, 2, 0)
-	if f.steerer.stateOf(silent).isSilent(f.now) {
+	if f.steerer.stateOf(silent).isUnresponsive(f.now) {
 		t.Error("a back end that answers again still counts as silent")
 	}
 }
@@ -524,7 +524,7 @@
 	if second := f.open(1, feedAddress, 1); second.Backend != first.Backend {
 		t.Error("a flow moves after one copy")
 	}
-	if f.steerer.stateOf(first.Backend).isSilent(f.now) {
+	if f.steerer.stateOf(first.Backend).isUnresponsive(f.now) {
 		t.Error("one copy marks the back end silent")
 	}
 }
@@ -537,7 +537,7 @@
 		f.open(caller, feedAddress, 1)
 	}
 	for _, state := range f.steerer.backends {
-		if state.isSilent(f.now) {
+		if state.isUnresponsive(f.now) {
 			t.Fatal("a back end that had no time to answer counts as silent")
 		}
 	}
@@ -608,7 +608,7 @@
 		t.Errorf("%d flows after their life", f.steerer.Flows())
 	}
 	for id, state := range f.steerer.backends {
-		if state.flows != 0 || state.opening != 0 || state.active != 0 {
+		if state.flows != 0 || state.opening != 0 || state.pending != 0 {
 			t.Errorf("back end %d still has counts: %+v", id, *state)
 		}
 	}
@@ -636,7 +636,7 @@
 		t.Errorf("%d flows are recorded", f.steerer.Flows())
 	}
 	for _, state := range f.steerer.backends {
-		if state.flows < 0 || state.opening < 0 || state.active < 0 {
+		if state.flows < 0 || state.opening < 0 || state.pending < 0 {
 			t.Errorf("negative counts: %+v", *state)
 		}
 	}
@@ -711,8 +711,8 @@
 		rec.checkUnanswered(time.Second + answerTimeout)
 		rec.unanswered = false
 	}
-	if state.requestFailures != 3 || state.work() != 3*requestFailureCost {
-		t.Errorf("%v faults, work %v", state.requestFailures, state.work())
+	if state.requestFailures != 3 || state.recentLoad() != 3*requestFailureCost {
+		t.Errorf("%v request failures, load %v", state.requestFailures, state.recentLoad())
 	}
 	if events := s.TakeEvents(); len(events) != 1 || events[0].Observation != RequestFailures || events[0].Silence != answerTimeout {
 		t.Errorf("events %+v", events)
@@ -720,8 +720,8 @@
 	for range 20 {
 		state.decay(10 * time.Second)
 	}
-	if state.failingRequests || state.work() > 1 {
-		t.Errorf("after 20 s: faulty %v, work %v", state.failingRequests, state.work())
+	if state.failingRequests || state.recentLoad() > 1 {
+		t.Errorf("after 20 s: failing requests %v, load %v", state.failingRequests, state.recentLoad())
 	}
 }
 
--- a/internal/steering/subset.go
+++ b/internal/steering/subset.go
@@ -34,9 +34,9 @@
 	first, length, total int
 }
 
-// subset returns the range of back ends to compare at a rotation. Balancers start at even
+// subset returns the range of back ends to compare at an offset. Balancers start at even
 // distances on the ring and advance with each flow, which spreads flows until loads are exchanged.
-func (p Membership) subset(total, rotation int) subset {
+func (p Membership) subset(total, offset int) subset {
 	if total == 0 {
 		return subset{}
 	}
@@ -44,7 +44,7 @@
 	if length >= total {
 		return subset{}
 	}
-	return subset{first: (p.Index*total/p.Count + rotation) % total, length: length, total: total}
+	return subset{first: (p.Index*total/p.Count + offset) % total, length: length, total: total}
 }
 
 // contains reports whether a position on the ring is in the subset.
--- a/internal/steering/unanswered_test.go
+++ b/internal/steering/unanswered_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// suspendProcess simulates a pause that is longer than callers wait.
+// pauseProcess simulates a pause that is longer than callers wait.
 func (f *fleet) pauseProcess() {
 	f.now += 2 * time.Second
 	f.steerer.Pulse(f.now)
