--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -12,7 +12,8 @@
 //   - A step is the difference between two versions of the settings.
 //   - A view is the immutable state by which packets are steered.
 //   - An evacuation is the operators' request that a zone take no new flows.
-//   - A removed back end is one whose entry is removed. It takes no new flows and keeps its tag.
+//   - A removed back end is one whose entry is removed. It keeps its tag, and takes new flows
+//     only for a short time while its group has no other back end for them.
 //   - An expired back end was removed in an outage of the store, and may still take new flows
 //     for a short time after the store's return.
 //
--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -31,7 +31,7 @@
 		t.Error("a newer confirmation is not sent")
 	}
 	if !c.IsNewerThan(2*time.Second, 300*time.Millisecond) || c.IsNewerThan(2*time.Second, 100*time.Millisecond) {
-		t.Error("whether a confirmation is newer does not depend on the age of the other one")
+		t.Error("whether a confirmation is newer does not depend on the staleness of the other one")
 	}
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -123,7 +123,7 @@
 	} {
 		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamStaleness: test.age})
 		if call.Kind != QueryPeer || call.Wait != test.wait || call.Timeout != test.wait+peerSlack {
-			t.Errorf("age %v: %+v, want a wait of %v", test.age, call, test.wait)
+			t.Errorf("staleness %v: %+v, want a wait of %v", test.age, call, test.wait)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -66,7 +66,7 @@
 		t.Error("two of three are no quorum")
 	}
 	if fresh, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
-		t.Error("an overtaken heartbeat was accepted")
+		t.Error("an older heartbeat was accepted")
 	}
 	if len(d.Live(time.Second+DeadAfter+1)) != 1 {
 		t.Error("a silent peer is alive")
