--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -249,7 +249,7 @@
 			case 4:
 				d.Forget(now)
 			}
-			before, kept := d.view, fmt.Sprint(describe(d.view))
+			before, described := d.view, fmt.Sprint(describe(d.view))
 			got := describe(d.View())
 			whole := &Directory{live: d.live, removed: d.removed, view: &View{}, changed: map[settings.BackendID]bool{}}
 			for id := range d.live {
@@ -261,8 +261,8 @@
 			if want := describe(whole.View()); !reflect.DeepEqual(got, want) {
 				t.Fatalf("revision %d:\n%v\nwant\n%v", revision, got, want)
 			}
-			if now := fmt.Sprint(describe(before)); now != kept {
-				t.Fatalf("the previous view has changed to\n%s\nfrom\n%s", now, kept)
+			if now := fmt.Sprint(describe(before)); now != described {
+				t.Fatalf("the previous view has changed to\n%s\nfrom\n%s", now, described)
 			}
 		}
 	})
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -116,14 +116,14 @@
 
 // TestPeerCallEndsBeforeStateIsStale, so that the state is hardly staler when an upstream stops responding.
 func TestPeerCallEndsBeforeStateIsStale(t *testing.T) {
-	for _, test := range []struct{ age, wait time.Duration }{
+	for _, test := range []struct{ staleness, wait time.Duration }{
 		{0, MaxPeerStaleness(bound)},
 		{MaxPeerStaleness(bound) - 400*time.Millisecond, 400 * time.Millisecond},
 		{MaxPeerStaleness(bound), minPeerWait},
 	} {
-		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamStaleness: test.age})
+		call := New(bound, 0).Next(State{Revision: 5, Upstream: upstream, UpstreamStaleness: test.staleness})
 		if call.Kind != QueryPeer || call.Wait != test.wait || call.Timeout != test.wait+peerSlack {
-			t.Errorf("staleness %v: %+v, want a wait of %v", test.age, call, test.wait)
+			t.Errorf("staleness %v: %+v, want a wait of %v", test.staleness, call, test.wait)
 		}
 	}
 }
@@ -318,8 +318,8 @@
 }
 
 // outageState is the state of a balancer whose upstream is stale.
-func outageState(zoneRank, failingPeers int) State {
-	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: zoneRank, PeersWithoutStore: failingPeers}
+func outageState(zoneRank, peersWithoutStore int) State {
+	return State{Now: time.Minute, Revision: 5, Backup: true, ZoneRank: zoneRank, PeersWithoutStore: peersWithoutStore}
 }
 
 // storeTakeoverAfter returns how long after its upstream is stale a balancer polls the store, a minute if it
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -65,7 +65,7 @@
 	if !d.HasQuorum(time.Second) || len(d.Live(time.Second)) != 2 {
 		t.Error("two of three are no quorum")
 	}
-	if fresh, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
+	if accepted, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); accepted || len(d.Live(time.Second)) != 2 {
 		t.Error("an older heartbeat was accepted")
 	}
 	if len(d.Live(time.Second+DeadAfter+1)) != 1 {
@@ -82,7 +82,7 @@
 			t.Error("DecidedWithout is not set for a peer that is out of the view")
 		}
 	}
-	if _, broke := d.Receive(6*time.Second, other, Report{Sequence: 7, Invalidations: 1}); !broke {
+	if _, invalidated := d.Receive(6*time.Second, other, Report{Sequence: 7, Invalidations: 1}); !invalidated {
 		t.Error("an invalidation was not reported")
 	}
 	for _, target := range d.Targets(1) {
