--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -239,15 +239,15 @@
 	second := newTestNode(t, &fakeSource{})
 	source := &peerSource{second, netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	const wait = 10 * time.Second
-	ask := func(age time.Duration) (took, staleness time.Duration) {
+	request := func(age time.Duration) (took, staleness time.Duration) {
 		began := time.Now()
 		answer, err := source.changes(context.Background(), peerRequest{after: 5, base: 1}, age, wait)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return time.Since(began), answer.Age
+		return time.Since(began), answer.Staleness
 	}
-	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+	if took, staleness := request(time.Minute); took > wait/2 || staleness > wait/2 {
 		t.Errorf("a follower with an older confirmation receives a newer one after %v: %v old", took, staleness)
 	}
 	// Make the last confirmation an old one.
@@ -256,7 +256,7 @@
 	first.confirmed.Update(first.now(), time.Minute)
 	first.stateMutex.Unlock()
 	time.AfterFunc(50*time.Millisecond, func() { first.apply(&directory.Changes{Revision: 5}, "store", 0) })
-	if took, staleness := ask(time.Minute); took > wait/2 || staleness > wait/2 {
+	if took, staleness := request(time.Minute); took > wait/2 || staleness > wait/2 {
 		t.Errorf("a waiting follower receives a newer confirmation after %v: %v old", took, staleness)
 	}
 }
@@ -340,7 +340,7 @@
 func FuzzPeerAnswer(f *testing.F) {
 	var bodies [][]byte
 	for _, answer := range []peerAnswer{
-		{Age: time.Second, Listing: listing(&testing.T{}, 5)},
+		{Staleness: time.Second, Listing: listing(&testing.T{}, 5)},
 		{Changes: &directory.Changes{Revision: 3, Removed: []directory.Removal{{ID: 1, Revision: 3}}}},
 	} {
 		body, err := msgpack.Marshal(&answer)
@@ -592,14 +592,14 @@
 	first.replace(listing(t, 5), "store", 0)
 	server := httptest.NewServer(first.controlHandler())
 	defer server.Close()
-	knowing := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
+	withState := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 	second := newTestNode(t, &fakeSource{})
 	seed := netip.MustParseAddrPort("127.0.0.1:2")
 	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}}})
 	if second.fetchingListing.Load() {
 		t.Error("a listing is requested from a balancer without state")
 	}
-	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: knowing, Zone: "a", HasView: true}}})
+	second.receiveHello(context.Background(), &peers.Hello{Control: seed, Zone: "a", Started: 1, Introductions: []peers.Introduction{{Control: seed, Zone: "a"}, {Control: withState, Zone: "a", HasView: true}}})
 	for deadline := time.Now().Add(10 * time.Second); second.revision() != 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("revision %d", second.revision())
@@ -647,7 +647,7 @@
 		}
 		length, _, err := backend.ReadFromUDPAddrPort(buffer)
 		if err != nil && try < 3 && node.metrics.dropped[errkind.Stale].Get() > stale {
-			// The test process was suspended meanwhile, so that the delayed datagram was dropped.
+			// The test process was paused meanwhile, so that the delayed datagram was dropped.
 			continue
 		}
 		if err != nil || string(buffer[:length]) != "copy" {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -23,11 +23,11 @@
 		for i := range count {
 			members = append(members, member(i, zones[i%len(zones)]))
 		}
-		lost := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
+		scope := rapid.SampledFrom([]string{"node", "zone"}).Draw(t, "gone")
 		failed := members[rapid.IntRange(0, count-1).Draw(t, "struck")]
 		var rest []Member
 		for _, m := range members {
-			if m.ID != failed.ID && (lost == "node" || m.Zone != failed.Zone) {
+			if m.ID != failed.ID && (scope == "node" || m.Zone != failed.Zone) {
 				rest = append(rest, m)
 			}
 		}
@@ -65,8 +65,8 @@
 	if !d.HasQuorum(time.Second) || len(d.Live(time.Second)) != 2 {
 		t.Error("two of three are no quorum")
 	}
-	if fresh, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); fresh || len(d.Live(time.Second)) != 2 {
-		t.Error("an overtaken heartbeat was accepted")
+	if accepted, _ := d.Receive(time.Second, other, Report{Sequence: 4, Absent: true}); accepted || len(d.Live(time.Second)) != 2 {
+		t.Error("an older heartbeat was accepted")
 	}
 	if len(d.Live(time.Second+DeadAfter+1)) != 1 {
 		t.Error("a silent peer is alive")
@@ -82,7 +82,7 @@
 			t.Error("DecidedWithout is not set for a peer that is out of the view")
 		}
 	}
-	if _, broke := d.Receive(6*time.Second, other, Report{Sequence: 7, Invalidations: 1}); !broke {
+	if _, invalidated := d.Receive(6*time.Second, other, Report{Sequence: 7, Invalidations: 1}); !invalidated {
 		t.Error("an invalidation was not reported")
 	}
 	for _, target := range d.Targets(1) {
--- a/internal/steering/choose.go
+++ b/internal/steering/choose.go
@@ -21,7 +21,7 @@
 	local  bool
 	// hashScore is the rendezvous score for the flow's hash. It breaks ties.
 	hashScore float64
-	// load is the work relative to slots, and expectedLoad includes flows placed in the last
+	// load is in requests per slot, and expectedLoad includes flows placed in the last
 	// moments.
 	load, expectedLoad float64
 	// balanceLoad is compared where requests hardly wait: load, or in a large zone the longer-term
@@ -29,9 +29,9 @@
 	balanceLoad float64
 	// failures counts recent failed requests, through all balancers.
 	failures float64
-	// slowdown is the response time relative to the typical one, at least 1.
+	// slowdown is the latency relative to the typical one, at least 1.
 	slowdown float64
-	// expectedTime is in multiples of the typical response time.
+	// expectedTime is in multiples of the typical latency.
 	expectedTime float64
 	// probe is set where the flow would test whether a slow back end has recovered.
 	probe bool
@@ -119,7 +119,7 @@
 	if !pass.skipFailing {
 		return true, PartScheduled
 	}
-	// Being busy is no failure: with few back ends a request in each slot is normal.
+	// Being busy is no failure: with few back ends a request for each slot is normal.
 	allEjected := true
 	for i := range s.candidates {
 		allEjected = allEjected && s.candidates[i].state.ejected
@@ -158,10 +158,10 @@
 	typicalLatency := s.placement.typicalLatency
 	pool := s.poolOf(p.group.Discover)
 	pool.typicalLatency = typicalLatency
-	rotation := pool.rotation
-	pool.rotation++
-	local := s.best(typicalLatency, true, rotation)
-	remote := s.best(typicalLatency, false, rotation)
+	offset := pool.subsetOffset
+	pool.subsetOffset++
+	local := s.best(typicalLatency, true, offset)
+	remote := s.best(typicalLatency, false, offset)
 	best, spilled := local, false
 	if local == nil || remote != nil && remote.load < local.load && s.shouldSpill(local, remote, service) {
 		best, spilled = remote, true
@@ -178,9 +178,9 @@
 	return local.load > service.LoadFactor*meanLoad(s.candidates)+loadSlack
 }
 
-// busy reports whether this balancer alone has a request in progress in each slot.
+// busy reports whether this balancer alone has a pending request for each slot.
 func (c *candidate) busy() bool {
-	return c.state.active >= max(c.member.Slots, 1)
+	return c.state.pending >= max(c.member.Slots, 1)
 }
 
 // meanLoad is over all zones.
@@ -194,7 +194,7 @@
 
 // best returns the best candidate inside or outside the own zone, or nil. In a large zone it
 // compares the current subset only, unless the best of that is busy or ejected.
-func (s *Steerer) best(typicalLatency float64, local bool, rotation int) *candidate {
+func (s *Steerer) best(typicalLatency float64, local bool, offset int) *candidate {
 	if s.membership.Count < minBalancersForSubsets {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
@@ -204,7 +204,7 @@
 			total++
 		}
 	}
-	best := bestIn(s.candidates, typicalLatency, local, s.membership.subset(total, rotation))
+	best := bestIn(s.candidates, typicalLatency, local, s.membership.subset(total, offset))
 	if best != nil && (best.busy() || best.state.ejected) {
 		return bestIn(s.candidates, typicalLatency, local, subset{})
 	}
--- a/internal/steering/pool.go
+++ b/internal/steering/pool.go
@@ -21,9 +21,8 @@
 	// unanswered packet is most likely lost. Suspects are then not reported urgently, which costs
 	// a datagram per balancer, and do not confirm each other.
 	lossyShare = 0.04
-	// lossyOpeningShare is the same for opening packets, whose answers may be lost where nothing
-	// else is: copies that moved would be answered by two back ends. A single retransmission among
-	// few flows does not reach it.
+	// lossyOpeningShare is the same for opening packets. Above it a copy that moves may be answered
+	// by two back ends. A single retransmission among few flows does not reach it.
 	lossyOpeningShare = 0.1
 	// longDecay is the factor per second for counts over about half a minute.
 	longDecay = 0.97
@@ -35,10 +34,9 @@
 	unobserved *backendState
 	// startedAt is when this balancer began to observe.
 	startedAt time.Duration
-	// rotation counts the placements in the pool and rotates the subset.
-	rotation int
-	// typicalLatency is the typical response time at the last placement in seconds, 0 while
-	// unknown.
+	// subsetOffset counts the placements in the pool and moves the subset around the ring.
+	subsetOffset int
+	// typicalLatency is the typical latency at the last placement in seconds, 0 while unknown.
 	typicalLatency float64
 	// warmUpSlowdown is the measured slowdown of back ends that are warming up.
 	warmUpSlowdown float64
@@ -71,9 +69,9 @@
 	return p.openingRetransmits.upperBound() >= lossyOpeningShare
 }
 
-// minSilentFlows returns how many flows in a row must go unanswered before a back end counts as
-// silent.
-func (p *poolState) minSilentFlows() int {
+// minUnansweredFlows returns how many flows in a row must go unanswered before a back end of the
+// pool is silent.
+func (p *poolState) minUnansweredFlows() int {
 	return max(minUnansweredFlows, minRunLength(silentFalsePositiveRate, p.openingRetransmits.upperBound()))
 }
 
@@ -89,36 +87,36 @@
 	return int(math.Ceil(math.Log(maxProbability) / math.Log(probability)))
 }
 
-// noteOpened counts an opened flow; copied is set if that took a copy of its opening packet.
-func (p *poolState) noteOpened(copied bool) {
+// recordOpened counts an opened flow; copied is set if that took a copy of its opening packet.
+func (p *poolState) recordOpened(copied bool) {
 	p.openingRetransmits.requests++
 	if copied {
 		p.openingRetransmits.retransmitted++
 	}
 }
 
-// noteUnanswered counts an unanswered request that has waited much longer than is typical.
-func (p *poolState) noteUnanswered(now, askedAt time.Duration) {
-	if (now - askedAt).Seconds() >= overdueFactor*p.typicalLatency {
-		p.cooldown.noteUnanswered(now, askedAt)
+// recordUnanswered counts an unanswered request that has waited much longer than is typical.
+func (p *poolState) recordUnanswered(now, sentAt time.Duration) {
+	if (now - sentAt).Seconds() >= overdueFactor*p.typicalLatency {
+		p.cooldown.recordUnanswered(now, sentAt)
 	}
 }
 
-// noteWarmUpLatency updates the slowdown with a response of a back end that is warming up.
-func (p *poolState) noteWarmUpLatency(latency time.Duration) {
+// recordWarmUpLatency updates the slowdown with a response of a back end that is warming up.
+func (p *poolState) recordWarmUpLatency(latency time.Duration) {
 	if p.typicalLatency > 0 {
-		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.typicalLatency, 1), maxSlowness) - p.warmUpSlowdown)
+		p.warmUpSlowdown += warmUpSlowdownGain * (min(max(latency.Seconds()/p.typicalLatency, 1), maxSlowdown) - p.warmUpSlowdown)
 	}
 }
 
-// noteRequest counts a request that was sent.
-func (p *poolState) noteRequest() {
+// recordRequest counts a request that was sent.
+func (p *poolState) recordRequest() {
 	p.retransmits.requests++
 	p.retransmitsLong.requests++
 }
 
-// noteRetransmits counts requests that were retransmitted though the back end was healthy.
-func (p *poolState) noteRetransmits(count int) {
+// recordRetransmits counts requests that were retransmitted though the back end was healthy.
+func (p *poolState) recordRetransmits(count int) {
 	p.retransmits.retransmitted += float64(count)
 	p.retransmitsLong.retransmitted += float64(count)
 }
--- a/internal/steering/steady.go
+++ b/internal/steering/steady.go
@@ -21,23 +21,23 @@
 	settleTime = 5 * time.Second
 )
 
-// steadyWork returns the work of this balancer at the back end over the longer time, in requests.
-func (b *backendState) steadyWork() float64 {
+// steadyLoad returns the load of this balancer at the back end over the longer time, in requests.
+func (b *backendState) steadyLoad() float64 {
 	return b.steady + requestFailureCost*b.requestFailures
 }
 
-// steadyRate returns the work of all balancers at the back end in requests per second, over the
+// steadyRate returns the load of all balancers at the back end in requests per second, over the
 // longer time or since it was first known.
 func (b *backendState) steadyRate() float64 {
-	return (b.steadyWork() + b.others.Steady) / (steadyOffset + b.steadySpan)
+	return (b.steadyLoad() + b.others.Steady) / (steadyOffset + b.steadySpan)
 }
 
 // initialSteadySpan returns the seconds that the steady count covers for a back end without
 // observations: as long as it has been known here.
 func (s *Steerer) initialSteadySpan(member *directory.Member) float64 {
-	const longest = 1 / (1 - steadyDecay)
+	const maxSpan = 1 / (1 - steadyDecay)
 	if member.StartSeenAt-s.startedAt < settleTime {
-		return longest
+		return maxSpan
 	}
-	return longest * (1 - math.Pow(steadyDecay, max(s.pulse-member.StartSeenAt, 0).Seconds()))
+	return maxSpan * (1 - math.Pow(steadyDecay, max(s.pulse-member.StartSeenAt, 0).Seconds()))
 }
