--- a/internal/datapath/datapath_bench_test.go
+++ b/internal/datapath/datapath_bench_test.go
@@ -41,7 +41,7 @@
 	peer := netip.MustParseAddrPort("127.0.0.1:5611")
 	core := balancer.New(balancer.Config{
 		Self:           membership.Member{ID: membership.IDOf(peer, 1), Zone: "a", Address: peer},
-		Measure:        wire.Measure,
+		Measure:        wire.EncodedSize,
 		BootstrapUntil: time.Hour,
 	})
 	var effects balancer.Effects
--- a/internal/datapath/node.go
+++ b/internal/datapath/node.go
@@ -63,7 +63,7 @@
 			Zone:    config.Zone,
 			Address: config.Peer,
 		},
-		Measure: wire.Measure,
+		Measure: wire.EncodedSize,
 	}
 	if config.Bootstrap {
 		core.BootstrapUntil = bootstrapPeriod
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -42,7 +42,7 @@
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (r Records) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	var c columns
-	groups, zones := codec.Names{}, codec.Names{}
+	groups, zones := codec.NameTable{}, codec.NameTable{}
 	hostBytes := hostBytes4
 	for i := range r {
 		if !r[i].Backend.Address.Addr().Is4() {
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -169,7 +169,7 @@
 			reply, err = commitReply(s.Store.Commit(ctx, state, next, newEdit))
 			call = protocol.Committed(reply)
 		default:
-			reply, err = verifyReply(s.Store.Settle(ctx, newEdit))
+			reply, err = verifyReply(s.Store.WasAccepted(ctx, newEdit))
 			call = protocol.Settled(reply)
 		}
 		if err != nil && reply != edit.Lost {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -71,7 +71,7 @@
 		},
 		Strategy:   n.world.options.Strategy,
 		Mechanisms: n.world.options.Mechanisms,
-		Measure:    wire.Measure,
+		Measure:    wire.EncodedSize,
 	}
 	if first {
 		config.BootstrapUntil = bootstrapUntil
@@ -182,7 +182,7 @@
 
 func (n *node) sendPeer(effect *balancer.Effect) {
 	message := effect.Message
-	size := wire.Measure(message) + balancer.DatagramOverhead
+	size := wire.EncodedSize(message) + balancer.DatagramOverhead
 	if message.Relay != nil {
 		n.relays.add(n.world.Now, size)
 	} else {
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -96,7 +96,7 @@
 // sets have equal encodings.
 func encode(part, parts int, records []directory.Record) ([]byte, error) {
 	encoded := content{Part: part, Parts: parts, Backends: make([]backend, len(records))}
-	groups, zones := codec.Names{}, codec.Names{}
+	groups, zones := codec.NameTable{}, codec.NameTable{}
 	for i := range records {
 		b := &records[i].Backend
 		encoded.Backends[i] = backend{
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -84,7 +84,7 @@
 
 // WasAccepted reports whether the edit is in the history. It resolves a Commit whose
 // response was lost.
-func (s *Client) Settle(ctx context.Context, edit Edit) (accepted bool, err error) {
+func (s *Client) WasAccepted(ctx context.Context, edit Edit) (accepted bool, err error) {
 	var response rangeResponse
 	if err := s.post(ctx, "/v3/kv/range", rangeRequest{Key: []byte(historyKey(edit.Revision))}, &response); err != nil {
 		return false, err
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -31,7 +31,7 @@
 
 // EncodedSize returns the length of a message's datagram in bytes, or MaxDatagram
 // if the message cannot be encoded.
-func Measure(message *balancer.Message) int {
+func EncodedSize(message *balancer.Message) int {
 	datagram, err := EncodeMessage(message)
 	if err != nil {
 		return MaxDatagram
