--- a/internal/datapath/admin.go
+++ b/internal/datapath/admin.go
@@ -74,7 +74,7 @@
 
 // apply validates a tree and passes it to the core.
 func (n *Node) apply(revision uint64, tree settings.Tree) error {
-	checked, err := settings.Checked(tree)
+	checked, err := settings.Normalize(tree)
 	if err != nil {
 		return err
 	}
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -13,7 +13,7 @@
 	// Verify reads back whether the edit is in the history.
 	Verify
 	// PauseThenVerify is Verify after a short wait.
-	PauseThenSettle
+	PauseThenVerify
 	// PauseThenCommit is Commit after a short wait.
 	PauseThenCommit
 	// Done ends the protocol; Machine.Result has the outcome.
@@ -45,7 +45,7 @@
 	// No: the comparison failed, or the edit is not in the history.
 	No
 	// NoReply: there was no reply; a commit may have taken effect.
-	Lost
+	NoReply
 )
 
 // maxAttempts limits the repeated calls of one edit.
@@ -66,7 +66,7 @@
 }
 
 // HandleCommit processes the reply to Commit and returns the next call.
-func (m *Machine) Committed(reply Reply) Call {
+func (m *Machine) HandleCommit(reply Reply) Call {
 	switch reply {
 	case Yes:
 		return m.finish(Accepted)
@@ -75,11 +75,11 @@
 		m.rejected = true
 		return m.retry(Verify)
 	}
-	return m.retry(PauseThenSettle)
+	return m.retry(PauseThenVerify)
 }
 
 // HandleVerify processes the reply to Verify and returns the next call.
-func (m *Machine) Settled(reply Reply) Call {
+func (m *Machine) HandleVerify(reply Reply) Call {
 	switch {
 	case reply == Yes:
 		return m.finish(Accepted)
@@ -88,7 +88,7 @@
 	case reply == No:
 		return m.retry(PauseThenCommit)
 	}
-	return m.retry(PauseThenSettle)
+	return m.retry(PauseThenVerify)
 }
 
 func (m *Machine) finish(result Result) Call {
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -13,20 +13,20 @@
 	}{
 		{"a plain edit", []Reply{Yes}, Accepted},
 		{"another edit came first", []Reply{No, No}, Conflict},
-		{"the reply was lost, the write took effect", []Reply{Lost, Yes}, Accepted},
-		{"the write was lost and is repeated", []Reply{Lost, No, Yes}, Accepted},
-		{"the write took effect after verification", []Reply{Lost, No, No, Yes}, Accepted},
-		{"lost, then another edit came first", []Reply{Lost, No, No, No}, Conflict},
-		{"the reply to verification is lost too", []Reply{Lost, Lost, Yes}, Accepted},
+		{"the reply was lost, the write took effect", []Reply{NoReply, Yes}, Accepted},
+		{"the write was lost and is repeated", []Reply{NoReply, No, Yes}, Accepted},
+		{"the write took effect after verification", []Reply{NoReply, No, No, Yes}, Accepted},
+		{"lost, then another edit came first", []Reply{NoReply, No, No, No}, Conflict},
+		{"the reply to verification is lost too", []Reply{NoReply, NoReply, Yes}, Accepted},
 	}
 	for _, c := range cases {
 		m := Machine{}
 		call := m.Start()
 		for _, reply := range c.replies {
 			if call == Commit || call == PauseThenCommit {
-				call = m.Committed(reply)
+				call = m.HandleCommit(reply)
 			} else {
-				call = m.Settled(reply)
+				call = m.HandleVerify(reply)
 			}
 		}
 		if call != Done || m.Result != c.result {
@@ -36,9 +36,9 @@
 	m := Machine{}
 	for call := m.Start(); call != Done; {
 		if call == Commit || call == PauseThenCommit {
-			call = m.Committed(Lost)
+			call = m.HandleCommit(NoReply)
 		} else {
-			call = m.Settled(Lost)
+			call = m.HandleVerify(NoReply)
 		}
 	}
 	if m.Result != Unknown {
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -104,7 +104,7 @@
 	// Ran is what the answer states about the request.
 	Ran Ran
 	// HasMaxAge reports whether the answer carries Max-Age, the seconds to wait before a new request.
-	Retry bool
+	HasMaxAge bool
 }
 
 var table = [kindCount]Answer{
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -16,7 +16,7 @@
 		names[row.Name] = true
 		switch row.Reply {
 		case Unavailable:
-			if row.Ran != RanNo || !row.Retry {
+			if row.Ran != RanNo || !row.HasMaxAge {
 				t.Errorf("%s: 5.03 must state that the request did not run and when to retry", row.Name)
 			}
 		case Timeout:
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -159,7 +159,7 @@
 	var lastErr error
 	call := protocol.Start()
 	for call != edit.Done {
-		if call == edit.PauseThenSettle || call == edit.PauseThenCommit {
+		if call == edit.PauseThenVerify || call == edit.PauseThenCommit {
 			time.Sleep(retryDelay)
 		}
 		var reply edit.Reply
@@ -167,12 +167,12 @@
 		switch call {
 		case edit.Commit, edit.PauseThenCommit:
 			reply, err = commitReply(s.Store.Commit(ctx, state, next, newEdit))
-			call = protocol.Committed(reply)
+			call = protocol.HandleCommit(reply)
 		default:
 			reply, err = verifyReply(s.Store.WasAccepted(ctx, newEdit))
-			call = protocol.Settled(reply)
+			call = protocol.HandleVerify(reply)
 		}
-		if err != nil && reply != edit.Lost {
+		if err != nil && reply != edit.NoReply {
 			return err
 		}
 		if err != nil {
@@ -195,7 +195,7 @@
 	case errors.Is(err, store.ErrConflict):
 		return edit.No, nil
 	case store.Unavailable.Has(err):
-		return edit.Lost, err
+		return edit.NoReply, err
 	}
 	return edit.No, err
 }
@@ -203,7 +203,7 @@
 func verifyReply(accepted bool, err error) (edit.Reply, error) {
 	switch {
 	case err != nil:
-		return edit.Lost, err
+		return edit.NoReply, err
 	case accepted:
 		return edit.Yes, nil
 	}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -293,7 +293,7 @@
 
 // Normalize returns the tree in canonical form, or the first error found. It is for
 // trees from external sources, such as the store.
-func Checked(tree Tree) (Tree, error) {
+func Normalize(tree Tree) (Tree, error) {
 	normalized := Tree{"": Values{}}
 	for _, path := range tree.Paths() {
 		if parsed, err := ParsePath(string(path)); err != nil || parsed != path {
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -84,7 +84,7 @@
 // commit stores a tree derived from the base revision, if base is still the latest.
 func (s *store) commit(base uint64, tree settings.Tree, id int) edit.Reply {
 	if s.down {
-		return edit.Lost
+		return edit.NoReply
 	}
 	allowed := base == s.head().snapshot.Revision || s.world.options.Operators.NoCompare
 	if !allowed {
@@ -100,7 +100,7 @@
 	s.notifyWatches(snapshot)
 	if s.repliesToLose > 0 {
 		s.repliesToLose--
-		return edit.Lost
+		return edit.NoReply
 	}
 	return edit.Yes
 }
@@ -125,7 +125,7 @@
 // hasEdit answers a read-back: Yes if the history contains the edit, Lost during an outage.
 func (s *store) hasEdit(id int) edit.Reply {
 	if s.down {
-		return edit.Lost
+		return edit.NoReply
 	}
 	for _, revision := range s.history {
 		if revision.edit == id {
@@ -173,7 +173,7 @@
 func (e *operatorEdit) perform(call edit.Call) {
 	w := e.world
 	wait := time.Duration(0)
-	if call == edit.PauseThenCommit || call == edit.PauseThenSettle {
+	if call == edit.PauseThenCommit || call == edit.PauseThenVerify {
 		wait = storeRetryDelay
 	}
 	switch call {
@@ -182,17 +182,17 @@
 	case edit.Commit, edit.PauseThenCommit:
 		w.After(wait+w.Between(minStoreDelay, maxStoreDelay), func() { e.handleCommitReply(w.store.commit(e.base.Revision, e.tree, e.id)) })
 	default:
-		w.After(wait+w.Between(minStoreDelay, maxStoreDelay), func() { e.perform(e.machine.Settled(w.store.hasEdit(e.id))) })
+		w.After(wait+w.Between(minStoreDelay, maxStoreDelay), func() { e.perform(e.machine.HandleVerify(w.store.hasEdit(e.id))) })
 	}
 }
 
 func (e *operatorEdit) handleCommitReply(reply edit.Reply) {
-	if reply == edit.Lost && e.world.options.Operators.NoReadBack {
+	if reply == edit.NoReply && e.world.options.Operators.NoReadBack {
 		// Without read-back the operator assumes that the edit failed and repeats it.
 		e.read()
 		return
 	}
-	e.perform(e.machine.Committed(reply))
+	e.perform(e.machine.HandleCommit(reply))
 }
 
 // complete pushes an accepted edit to some balancers and reports the result.
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -50,7 +50,7 @@
 		answer.Type = message.Acknowledgement
 		answer.MessageID = int32(packet.MessageID)
 	}
-	if row.Retry {
+	if row.HasMaxAge {
 		seconds := uint32(math.Ceil(retry.Seconds()))
 		buffer := make([]byte, 8)
 		answer.Options, _, err = answer.Options.SetUint32(buffer, message.MaxAge, seconds)
