--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -59,7 +59,7 @@
 	case follow.WatchStore:
 		outcome.Changes, err = n.watchStore(ctx, call.Wait)
 	case follow.QueryPeer:
-		outcome.Age, err = n.requestFromPeer(ctx, call)
+		outcome.Staleness, err = n.requestFromPeer(ctx, call)
 	}
 	switch {
 	case err != nil && n.superseded.Load():
@@ -280,7 +280,7 @@
 
 // staleness returns the time since the store last confirmed the known state. The state mutex must be held.
 func (n *Node) staleness() time.Duration {
-	return n.confirmed.Age(n.now())
+	return n.confirmed.Staleness(n.now())
 }
 
 // applyDefaults adds the process's own defaults to the root of the operators' tree. A nil next is allowed.
--- a/internal/emulator/node_follow.go
+++ b/internal/emulator/node_follow.go
@@ -89,7 +89,7 @@
 		end(follow.Outcome{Result: follow.Failed})
 	default:
 		n.applyChanges(changes, staleness)
-		end(follow.Outcome{Age: staleness, Changes: changes.Count()})
+		end(follow.Outcome{Staleness: staleness, Changes: changes.Count()})
 	}
 }
 
@@ -104,7 +104,7 @@
 		withoutEvacuations.Evacuations = nil
 		listing = &withoutEvacuations
 	}
-	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Age(n.now()))
+	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Staleness(n.now()))
 	n.recordEvents(n.directory.Replace(n.now(), listing))
 	n.updateView(staleness)
 }
@@ -113,7 +113,7 @@
 	if n.world.options.Without.Evacuations {
 		changes.Evacuations = nil
 	}
-	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Age(n.now()))
+	n.directory.AdvanceConfirmedAt(n.now() - n.confirmed.Staleness(n.now()))
 	n.recordConfirmed(staleness, changes.FromPeer)
 	n.recordEvents(n.directory.Apply(n.now(), changes))
 	n.updateView(staleness)
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -16,7 +16,7 @@
 	if peer == nil || n.partitionedFromPeers || peer.partitionedFromPeers {
 		return
 	}
-	after, base, staleness := n.directory.Revision(), n.directory.SettingsRevision(), n.confirmed.Age(n.now())
+	after, base, staleness := n.directory.Revision(), n.directory.SettingsRevision(), n.confirmed.Staleness(n.now())
 	inProcess, conn := n.forThisProcess(), n.connect(call.Peer)
 	runOnRequester := func(do func()) {
 		if conn.isBlackholed() {
@@ -60,7 +60,7 @@
 // prepareAnswer collects the changes after a revision, or a full listing if these are unknown, and
 // returns a function that passes them to the requester.
 func (n *node) prepareAnswer(requester *node, runOnRequester func(do func()), after, base uint64, end func(follow.Outcome)) func() {
-	staleness := n.confirmed.Age(n.now())
+	staleness := n.confirmed.Staleness(n.now())
 	changes, known := n.directory.ChangesSince(after, base)
 	listing := n.directory.Listing()
 	passStoreReturn := n.captureStoreReturn()
@@ -73,7 +73,7 @@
 				return
 			}
 			requester.applyListing(listing, staleness)
-			end(follow.Outcome{Age: staleness})
+			end(follow.Outcome{Staleness: staleness})
 		})
 	}
 }
@@ -108,7 +108,7 @@
 func (n *node) hello() *peers.Hello {
 	return &peers.Hello{
 		Control: n.control, Zone: n.zone, Started: int64(n.startedAt) + 1, Leaving: n.leaving, StoreUnavailable: n.storeUnavailable,
-		Revision: n.directory.Revision(), StoreAge: n.confirmed.Age(n.now()), Capacity: n.capacity,
+		Revision: n.directory.Revision(), StoreAge: n.confirmed.Staleness(n.now()), Capacity: n.capacity,
 	}
 }
 
@@ -239,7 +239,7 @@
 	peer, inProcess := n.world.nodeAt(hello.Control), n.forThisProcess()
 	n.world.After(n.world.delay(n.zone, peer.zone), func() {
 		peer.whileRunning(0, func() {
-			listing, staleness := peer.directory.Listing(), peer.confirmed.Age(peer.now())
+			listing, staleness := peer.directory.Listing(), peer.confirmed.Staleness(peer.now())
 			passStoreReturn := peer.captureStoreReturn()
 			n.world.After(n.world.delay(n.zone, peer.zone), func() {
 				inProcess(func() {
--- a/internal/emulator/node_store_return.go
+++ b/internal/emulator/node_store_return.go
@@ -7,7 +7,7 @@
 // itself.
 func (n *node) recordConfirmed(staleness time.Duration, fromPeer bool) {
 	if !fromPeer {
-		n.directory.DetectStoreReturn(n.now(), staleness, n.confirmed.Age(n.now()))
+		n.directory.DetectStoreReturn(n.now(), staleness, n.confirmed.Staleness(n.now()))
 	}
 }
 
--- a/internal/follow/call.go
+++ b/internal/follow/call.go
@@ -101,7 +101,7 @@
 type Outcome struct {
 	Result Result
 	// Staleness is the time since the store confirmed the state that another balancer sent.
-	Age time.Duration
+	Staleness time.Duration
 	// Changes is the number of changes in the store's response.
 	Changes int
 }
--- a/internal/follow/confirmation.go
+++ b/internal/follow/confirmation.go
@@ -33,11 +33,11 @@
 // IsNewerThan reports whether this confirmation is newer, by minRenewal at least, than one of the
 // given staleness.
 func (c *Confirmation) IsNewerThan(now, staleness time.Duration) bool {
-	return c.Age(now)+minRenewal <= staleness
+	return c.Staleness(now)+minRenewal <= staleness
 }
 
 // Staleness returns the time since the store confirmed the state, neverConfirmed if it never did.
-func (c *Confirmation) Age(now time.Duration) time.Duration {
+func (c *Confirmation) Staleness(now time.Duration) time.Duration {
 	if !c.known {
 		return neverConfirmed
 	}
--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -9,11 +9,11 @@
 // a restart does not make a stale state look fresh to others.
 func TestConfirmationOlderThanProcess(t *testing.T) {
 	var c Confirmation
-	if staleness := c.Age(100 * time.Millisecond); staleness != neverConfirmed {
+	if staleness := c.Staleness(100 * time.Millisecond); staleness != neverConfirmed {
 		t.Errorf("staleness %v before the first confirmation, want %v", staleness, neverConfirmed)
 	}
 	c.Update(50*time.Millisecond, 1600*time.Millisecond)
-	if staleness := c.Age(250 * time.Millisecond); staleness != 1800*time.Millisecond {
+	if staleness := c.Staleness(250 * time.Millisecond); staleness != 1800*time.Millisecond {
 		t.Errorf("staleness %v, want 1.8s", staleness)
 	}
 }
@@ -39,11 +39,11 @@
 	var c Confirmation
 	c.Update(3*time.Second, 0)
 	c.Update(4*time.Second, 2*time.Second)
-	if staleness := c.Age(5 * time.Second); staleness != 2*time.Second {
+	if staleness := c.Staleness(5 * time.Second); staleness != 2*time.Second {
 		t.Errorf("staleness %v, want 2 s", staleness)
 	}
 	c.Update(5*time.Second, 500*time.Millisecond)
-	if staleness := c.Age(5 * time.Second); staleness != 500*time.Millisecond {
+	if staleness := c.Staleness(5 * time.Second); staleness != 500*time.Millisecond {
 		t.Errorf("staleness %v, want 0.5 s", staleness)
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -179,7 +179,7 @@
 			f.catchUp = true
 			return Unchanged
 		}
-		f.storeNext = outcome.Result != Done || outcome.Age > MaxPeerStaleness(f.contactBound)
+		f.storeNext = outcome.Result != Done || outcome.Staleness > MaxPeerStaleness(f.contactBound)
 		if f.storeNext {
 			return Unchanged
 		}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -107,10 +107,10 @@
 func TestUpstreamIsFollowed(t *testing.T) {
 	f := running()
 	state := State{Revision: 5, Upstream: upstream}
-	step(t, f, state, QueryPeer, Outcome{Age: time.Second})
+	step(t, f, state, QueryPeer, Outcome{Staleness: time.Second})
 	step(t, f, state, QueryPeer, Outcome{Result: Failed})
 	step(t, f, state, WatchStore, Outcome{})
-	step(t, f, state, QueryPeer, Outcome{Age: MaxPeerStaleness(bound) + 1})
+	step(t, f, state, QueryPeer, Outcome{Staleness: MaxPeerStaleness(bound) + 1})
 	step(t, f, state, WatchStore, Outcome{})
 }
 
@@ -276,7 +276,7 @@
 	state := State{Revision: 5, Upstream: upstream}
 	step(t, f, State{Revision: 5}, WatchStore, Outcome{Result: Failed})
 	step(t, f, State{Revision: 5}, Pause, Outcome{})
-	if contact := step(t, f, state, QueryPeer, Outcome{Age: 2 * MaxPeerStaleness(bound)}); contact != Unchanged {
+	if contact := step(t, f, state, QueryPeer, Outcome{Staleness: 2 * MaxPeerStaleness(bound)}); contact != Unchanged {
 		t.Errorf("through a stale peer: %v", contact)
 	}
 	step(t, f, state.afterRetries(), WatchStore, Outcome{Result: Failed})
