--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -39,27 +39,27 @@
 	upload
 )
 
-// profile describes one kind of request. work is the time it takes at a server of speed 1, aim its
-// latency target, parts how many data packets it has.
+// profile describes one kind of request. work is the time it takes at a server of speed 1, parts how
+// many data packets it has.
 type profile struct {
-	work, aim, deadline time.Duration
-	parts               int
-	route               route
+	work, latencyTarget, deadline time.Duration
+	parts                         int
+	route                         route
 	// answerLength is the median length of an answer, in bytes.
 	answerLength uint32
 }
 
 var profiles = [...]profile{
-	stream: {work: 20 * time.Millisecond, aim: 120 * time.Millisecond, deadline: 1500 * time.Millisecond, parts: 1, route: routeFeed, answerLength: 4000},
-	lookup: {work: 25 * time.Millisecond, aim: 150 * time.Millisecond, deadline: 2 * time.Second, parts: 1, route: routeLookup, answerLength: 800},
-	upload: {work: 5 * time.Millisecond, aim: 500 * time.Millisecond, deadline: 8 * time.Second, parts: 12, route: routeUpload, answerLength: 300},
+	stream: {work: 20 * time.Millisecond, latencyTarget: 120 * time.Millisecond, deadline: 1500 * time.Millisecond, parts: 1, route: routeFeed, answerLength: 4000},
+	lookup: {work: 25 * time.Millisecond, latencyTarget: 150 * time.Millisecond, deadline: 2 * time.Second, parts: 1, route: routeLookup, answerLength: 800},
+	upload: {work: 5 * time.Millisecond, latencyTarget: 500 * time.Millisecond, deadline: 8 * time.Second, parts: 12, route: routeUpload, answerLength: 300},
 }
 
 type outcome uint8
 
 const (
 	pending outcome = iota
-	inAim
+	withinTarget
 	late
 	refusedByRoute
 	failed
@@ -302,8 +302,8 @@
 		c.world.retry(c, r)
 		return
 	}
-	if c.world.Now-r.started <= profiles[r.kind].aim {
-		c.world.endRequest(r, inAim)
+	if c.world.Now-r.started <= profiles[r.kind].latencyTarget {
+		c.world.endRequest(r, withinTarget)
 		return
 	}
 	c.world.endRequest(r, late)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -65,9 +65,9 @@
 	t.Parallel()
 	const defaultSeeds = 8
 	for _, test := range []struct {
-		scenario      string
-		inAim, served float64
-		seeds         int
+		scenario             string
+		withinTarget, served float64
+		seeds                int
 	}{
 		{"calm", 0.995, 1, defaultSeeds},
 		{"rolling-restart", 0.99, 0.999, defaultSeeds},
@@ -88,14 +88,14 @@
 	} {
 		t.Run(test.scenario, func(t *testing.T) {
 			t.Parallel()
-			var inAim, served float64
+			var meanWithinTarget, served float64
 			for seed := range test.seeds {
 				result := runNamed(t, test.scenario, 1+uint64(seed), Without{})
-				inAim += result.InAim / float64(test.seeds)
+				meanWithinTarget += result.WithinTarget / float64(test.seeds)
 				served += result.Served / float64(test.seeds)
 			}
-			if inAim < test.inAim || served < test.served {
-				t.Errorf("%.4f in aim, want %.3f; %.4f served, want %.3f", inAim, test.inAim, served, test.served)
+			if meanWithinTarget < test.withinTarget || served < test.served {
+				t.Errorf("%.4f within target, want %.3f; %.4f served, want %.3f", meanWithinTarget, test.withinTarget, served, test.served)
 			}
 		})
 	}
@@ -128,19 +128,19 @@
 		{"packets name their server", "address-reuse", 1, Without{ServerNames: true}, ruleRoute},
 		{"calls have deadlines", "store-silent", 1, Without{Deadlines: true}, ruleConfig},
 		{"calls have deadlines", "store-silent-late", 1, Without{Deadlines: true}, ruleLost},
-		{"calls have deadlines, or peers tell more", "store-cut", 1, Without{Deadlines: true, Peers: true}, ruleDrain},
-		{"calls have deadlines, or peers tell more", "connections-silent", 1, Without{Deadlines: true, Peers: true}, ruleConfig},
-		{"a listing tells by difference what is gone", "store-compact", 1, Without{Differences: true}, ruleDrain},
-		{"a listing anew is finished", "store-compact", 1, Without{ListingsAnew: true}, ruleDrain},
-		{"balancers that are turned away hear from others", "store-turns-away", 1, Without{Peers: true}, ruleDrain},
-		{"copies wait that another balancer may have placed", "lossy-answers", 159, Without{CopyWait: true}, ruleFlow},
-		{"copies go where the first one went, or pins hold", "lossy", 1, Without{CopyMemory: true, Pins: true}, ruleFlow},
-		{"copies go where the first one went, or others are asked", "lossy", 1, Without{CopyMemory: true, Inquiries: true}, ruleFlow},
-		{"a flow that is open stays where it is", "lossy", 81, Without{Pins: true}, ruleFlow},
-		{"a flow that is open stays where it is", "lossy-answers", 1, Without{Pins: true}, ruleFlow},
-		{"an evacuation is heard of", "evacuate", 1, Without{Evacuations: true}, ruleEvacuation},
-		{"an evacuation is heard of from others", "evacuate-turned-away", 1, Without{Peers: true}, ruleEvacuation},
-		{"opening packets that waited are dropped", "chaos", 1, Without{Standstill: true}, ruleFlow},
+		{"calls have deadlines, or peers provide changes", "store-cut", 1, Without{Deadlines: true, Peers: true}, ruleDrain},
+		{"calls have deadlines, or peers provide changes", "connections-silent", 1, Without{Deadlines: true, Peers: true}, ruleConfig},
+		{"a listing removes entries that it lacks", "store-compact", 1, Without{Differences: true}, ruleDrain},
+		{"a repeated listing is completed", "store-compact", 1, Without{ListingsAnew: true}, ruleDrain},
+		{"rejected balancers receive changes from peers", "store-turns-away", 1, Without{Peers: true}, ruleDrain},
+		{"copies wait if another balancer may have placed the flow", "lossy-answers", 159, Without{CopyWait: true}, ruleFlow},
+		{"copies follow the first one, or open flows are pinned", "lossy", 1, Without{CopyMemory: true, Pins: true}, ruleFlow},
+		{"copies follow the first one, or peers receive inquiries", "lossy", 1, Without{CopyMemory: true, Inquiries: true}, ruleFlow},
+		{"open flows are pinned", "lossy", 81, Without{Pins: true}, ruleFlow},
+		{"open flows are pinned", "lossy-answers", 1, Without{Pins: true}, ruleFlow},
+		{"evacuations are applied", "evacuate", 1, Without{Evacuations: true}, ruleEvacuation},
+		{"evacuations are received from peers", "evacuate-turned-away", 1, Without{Peers: true}, ruleEvacuation},
+		{"opening packets queued during a pause are dropped", "chaos", 1, Without{Standstill: true}, ruleFlow},
 	} {
 		t.Run(test.name+" "+test.scenario, func(t *testing.T) {
 			t.Parallel()
@@ -171,26 +171,28 @@
 		without        Without
 		worse          func(with, without Result) bool
 	}{
-		{"departed back ends are remembered", "restart-and-release-quiet", Without{Departed: true}, func(a, b Result) bool { return b.InAim < a.InAim-0.003 && a.Failed == 0 && b.Failed >= 10 }},
-		{"silent back ends are suspected", "servers-hang", Without{Suspicion: true}, func(a, b Result) bool { return b.InAim < a.InAim }},
-		{"flows at lost back ends are reset", "servers-hang", Without{Resets: true}, func(a, b Result) bool { return 2*a.Failed < b.Failed }},
+		{"removed back ends are retained", "restart-and-release-quiet", Without{Departed: true}, func(a, b Result) bool {
+			return b.WithinTarget < a.WithinTarget-0.003 && a.Failed == 0 && b.Failed >= 10
+		}},
+		{"unresponsive back ends are suspected", "servers-hang", Without{Suspicion: true}, func(a, b Result) bool { return b.WithinTarget < a.WithinTarget }},
+		{"flows at back ends that are down are reset", "servers-hang", Without{Resets: true}, func(a, b Result) bool { return 2*a.Failed < b.Failed }},
 		{"back ends that leave requests unanswered get fewer flows", "servers-grey-reset", Without{Faults: true}, func(a, b Result) bool { return 2*a.Failed < b.Failed }},
 		{"back ends that leave requests unanswered get fewer flows", "servers-grey-mute", Without{Faults: true}, func(a, b Result) bool { return 2*a.Failed < b.Failed }},
 		{"back ends that answer errors get fewer flows", "servers-errors", Without{Outliers: true}, func(a, b Result) bool { return 3*a.Failed < b.Failed }},
 		{"back ends that answer errors get fewer flows", "servers-errors-part", Without{Outliers: true}, func(a, b Result) bool { return 2*a.Failed < b.Failed }},
-		{"slow back ends get fewer flows", "servers-slow", Without{Pace: true}, func(a, b Result) bool { return b.InAim < a.InAim-0.01 }},
-		{"balancers learn from each other", "start-in-outage", Without{Peers: true}, func(a, b Result) bool { return b.InAim < a.InAim }},
-		{"balancers follow each other", "calm", Without{Peers: true}, func(a, b Result) bool { return b.StoreCalls > 2*a.StoreCalls }},
-		{"a stopping balancer forwards until routers let go", "rolling-restart", Without{Release: true}, func(a, b Result) bool { return b.InAim < a.InAim-0.004 }},
-		{"a listing tells by difference which zone was taken back", "evacuate-compact", Without{Differences: true}, func(a, b Result) bool { return b.Busiest > a.Busiest+0.08 }},
+		{"slow back ends get fewer flows", "servers-slow", Without{Pace: true}, func(a, b Result) bool { return b.WithinTarget < a.WithinTarget-0.01 }},
+		{"balancers receive state from peers", "start-in-outage", Without{Peers: true}, func(a, b Result) bool { return b.WithinTarget < a.WithinTarget }},
+		{"balancers follow peers", "calm", Without{Peers: true}, func(a, b Result) bool { return b.StoreCalls > 2*a.StoreCalls }},
+		{"a stopping balancer forwards until routers eject it", "rolling-restart", Without{Release: true}, func(a, b Result) bool { return b.WithinTarget < a.WithinTarget-0.004 }},
+		{"a listing ends evacuations that it lacks", "evacuate-compact", Without{Differences: true}, func(a, b Result) bool { return b.Busiest > a.Busiest+0.08 }},
 		{"placement evens the load", "calm", Without{Load: true}, func(a, b Result) bool { return b.Busiest > a.Busiest+0.08 }},
 	} {
 		t.Run(test.name+" "+test.scenario, func(t *testing.T) {
 			t.Parallel()
 			with, without := meanResult(t, test.scenario, Without{}), meanResult(t, test.scenario, test.without)
 			if !test.worse(with, without) {
-				t.Errorf("with and without the mechanism: in aim %.4f and %.4f, store calls %d and %d, busiest %.2f and %.2f",
-					with.InAim, without.InAim, with.StoreCalls, without.StoreCalls, with.Busiest, without.Busiest)
+				t.Errorf("with and without the mechanism: within target %.4f and %.4f, store calls %d and %d, busiest %.2f and %.2f",
+					with.WithinTarget, without.WithinTarget, with.StoreCalls, without.StoreCalls, with.Busiest, without.Busiest)
 			}
 		})
 	}
@@ -203,7 +205,7 @@
 	var mean Result
 	for seed := range uint64(seeds) {
 		result := runNamed(t, scenario, 1+seed, without)
-		mean.InAim += result.InAim / seeds
+		mean.WithinTarget += result.WithinTarget / seeds
 		mean.Busiest += result.Busiest / seeds
 		mean.Failed += result.Failed
 		mean.StoreCalls += result.StoreCalls
@@ -220,8 +222,8 @@
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			with, without := meanResult(t, scenario, Without{}), meanResult(t, scenario, Without{Outliers: true})
-			if with.Busiest > without.Busiest+0.05 || with.InAim < without.InAim-0.002 {
-				t.Errorf("busiest %.3f and %.3f, in aim %.4f and %.4f", with.Busiest, without.Busiest, with.InAim, without.InAim)
+			if with.Busiest > without.Busiest+0.05 || with.WithinTarget < without.WithinTarget-0.002 {
+				t.Errorf("busiest %.3f and %.3f, within target %.4f and %.4f", with.Busiest, without.Busiest, with.WithinTarget, without.WithinTarget)
 			}
 		})
 	}
--- a/internal/emulator/large_zone_test.go
+++ b/internal/emulator/large_zone_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestLoadIsEvenInALargeZone covers a zone in which each balancer sees few of the flows and rarely
-// hears from half of its peers, and long-lived flows differ in their request rates.
+// receives hellos from half of its peers, and long-lived flows differ in their request rates.
 func TestLoadIsEvenInALargeZone(t *testing.T) {
 	t.Parallel()
 	const seeds = 2
--- a/internal/emulator/listing.go
+++ b/internal/emulator/listing.go
@@ -18,9 +18,9 @@
 	revision uint64
 	settings *directory.Settings
 	records  []directory.Record
-	// evacuations stand on the first page, before the servers.
+	// evacuations are on the first page only, before the servers.
 	evacuations []directory.Evacuation
-	// snapshotParts stand on the first page as well.
+	// snapshotParts are on the first page only.
 	snapshotParts []snapshot.Stored
 	// more is set if the listing continues after the entry last.
 	more bool
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -238,10 +238,10 @@
 }
 
 func (n *node) sendPendingReplies() {
-	polls := n.pendingReplies
+	replies := n.pendingReplies
 	n.pendingReplies = nil
-	for _, poll := range polls {
-		poll()
+	for _, reply := range replies {
+		reply()
 	}
 }
 
--- a/internal/emulator/node_peers.go
+++ b/internal/emulator/node_peers.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// inquire asks all live peers for the back ends of flows.
+// inquire requests the back ends of flows from all live peers.
 func (n *node) inquire(inquiries []steering.Inquiry) {
 	hello := n.hello()
 	hello.Inquiries = inquiries
--- a/internal/emulator/node_store_return.go
+++ b/internal/emulator/node_store_return.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// captureStoreReturn records when the store returned and returns a function that passes this to a
-// balancer, together with the entries that expired.
+// captureStoreReturn returns a function that reports to another balancer when the store returned, as
+// known at this call. Without a recent return, that function does nothing.
 func (n *node) captureStoreReturn() func(requester *node) {
 	age, returning := n.directory.ReturnAge(n.now())
 	return func(requester *node) {
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -9,7 +9,7 @@
 	"gaugeyard/internal/settings"
 )
 
-// Rules that the observer checks, by their names in the platform's rules.
+// Names of the rules that the observer checks, as they appear in violations.
 const (
 	ruleRoute      = "ROUTE"
 	ruleDrain      = "DRAIN"
@@ -92,11 +92,11 @@
 		if i+1 < len(o.versions) && o.versions[i+1].at < since {
 			continue
 		}
-		parts := version.services[address]
-		if len(parts) == 0 {
+		names := version.services[address]
+		if len(names) == 0 {
 			absent = true
 		}
-		services = append(services, parts...)
+		services = append(services, names...)
 	}
 	return services, absent
 }
@@ -267,7 +267,7 @@
 			continue
 		}
 		after++
-		if r.outcome == inAim || r.outcome == late {
+		if r.outcome == withinTarget || r.outcome == late {
 			served++
 		}
 	}
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -105,15 +105,16 @@
 	}
 }
 
-// mustSet sets a value and panics if it is invalid: the model makes up valid values alone.
+// mustSet sets a value and panics if it is invalid: the model sets only valid values.
 func mustSet(tree settings.Tree, path settings.Path, key settings.Key, value string) {
 	if err := tree.Set(path, key, value); err != nil {
 		panic(err)
 	}
 }
 
-// probeClients sends opening packets to the probe route regularly, whether the route exists or not.
-func (w *world) probeClients() {
+// startProbeClient regularly sends opening packets to the probe route, whether the route exists or
+// not.
+func (w *world) startProbeClient() {
 	w.Every(100*time.Millisecond, func() {
 		if w.Now > w.options.Scenario.duration()-quietPeriod {
 			return
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -14,10 +14,11 @@
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Requests int    `json:"requests"`
-	// InAim and Served are the shares of requests answered within their aim, and at all.
-	InAim  float64 `json:"in_aim"`
-	Served float64 `json:"served"`
-	Failed int     `json:"failed"`
+	// WithinTarget and Served are the shares of requests answered within their latency target, and
+	// at all.
+	WithinTarget float64 `json:"in_aim"`
+	Served       float64 `json:"served"`
+	Failed       int     `json:"failed"`
 	// Busiest is the largest number of requests started at a feed server over the mean, counting
 	// servers that were up for the whole run; 0 if there are fewer than two.
 	Busiest float64 `json:"busiest_over_mean"`
@@ -32,9 +33,9 @@
 	BusiestBySpeed float64 `json:"busiest_by_speed"`
 	// SmallShare is the share of lookups that ran at the smaller group of a split route.
 	SmallShare float64 `json:"small_share"`
-	// LookupsInAim is the share of lookups answered within their aim.
-	LookupsInAim float64 `json:"lookups_in_aim"`
-	StoreCalls   int     `json:"store_calls"`
+	// LookupsWithinTarget is the share of lookups answered within their latency target.
+	LookupsWithinTarget float64 `json:"lookups_in_aim"`
+	StoreCalls          int     `json:"store_calls"`
 	// HellosPerSecond is the mean number of hellos that a balancer sends per second.
 	HellosPerSecond float64 `json:"hellos_per_second"`
 	// HelloBytesPerSecond is their approximate size, in bytes per second and balancer.
@@ -74,7 +75,7 @@
 	w.Every(heartbeatInterval/4, w.store.expireOverdue)
 	w.At(trafficStart, func() {
 		w.startClients()
-		w.probeClients()
+		w.startProbeClient()
 	})
 	options.Scenario.schedule(w)
 	w.RunUntil(options.Scenario.duration())
@@ -89,17 +90,17 @@
 	}
 	result.HellosPerSecond = float64(w.hellos) / float64(len(w.nodes)) / w.Now.Seconds()
 	result.HelloBytesPerSecond = float64(w.helloBytes) / float64(len(w.nodes)) / w.Now.Seconds()
-	inAimCount, served, lookups, lookupsInAim := 0, 0, 0, 0
+	withinTargetCount, served, lookups, lookupsWithinTarget := 0, 0, 0, 0
 	for _, r := range w.observer.requests {
 		if r.kind == lookup {
 			lookups++
-			if r.outcome == inAim {
-				lookupsInAim++
+			if r.outcome == withinTarget {
+				lookupsWithinTarget++
 			}
 		}
 		switch r.outcome {
-		case inAim:
-			inAimCount++
+		case withinTarget:
+			withinTargetCount++
 			served++
 		case late:
 			served++
@@ -107,11 +108,11 @@
 			result.Failed++
 		}
 	}
-	result.InAim = float64(inAimCount) / float64(len(w.observer.requests))
+	result.WithinTarget = float64(withinTargetCount) / float64(len(w.observer.requests))
 	result.Served = float64(served) / float64(len(w.observer.requests))
 	result.Busiest, result.Spread, result.BusiestBySpeed = w.evenness()
 	result.SmallShare = w.smallShare()
-	result.LookupsInAim = float64(lookupsInAim) / float64(max(1, lookups))
+	result.LookupsWithinTarget = float64(lookupsWithinTarget) / float64(max(1, lookups))
 	result.BusiestDuringReturn = w.busiestDuringReturn
 	return result
 }
@@ -119,19 +120,19 @@
 // evenness measures how evenly the feed servers that were up for the whole run were used: the
 // busiest and the standard deviation over the mean, and the busiest by work over the mean.
 func (w *world) evenness() (busiest, spread, bySpeed float64) {
-	var begun, work []float64
+	var requests, work []float64
 	for _, s := range w.incarnations {
 		if s.service != serviceFeed || s.warmUpStart > 0 || s.crashed || s.draining || s.slowdown != 1 || s.hung {
 			continue
 		}
-		begun = append(begun, float64(s.requestsStarted))
+		requests = append(requests, float64(s.requestsStarted))
 		work = append(work, float64(s.requestsStarted)/s.speed)
 	}
-	if len(begun) < 2 || floats.Sum(begun) == 0 {
+	if len(requests) < 2 || floats.Sum(requests) == 0 {
 		return 0, 0, 0
 	}
-	mean, deviation := stat.MeanStdDev(begun, nil)
-	return floats.Max(begun) / mean, deviation / mean, floats.Max(work) / stat.Mean(work, nil)
+	mean, deviation := stat.MeanStdDev(requests, nil)
+	return floats.Max(requests) / mean, deviation / mean, floats.Max(work) / stat.Mean(work, nil)
 }
 
 // smallShare returns the share of lookups that the smaller group served after sharesMeasuredFrom.
--- a/internal/emulator/scenario_expiry.go
+++ b/internal/emulator/scenario_expiry.go
@@ -48,12 +48,12 @@
 		counts = append(counts, count{s, s.requestsStarted})
 	}
 	w.After(returnPeriod/2, func() {
-		var begun []float64
+		var requests []float64
 		for _, c := range counts {
-			begun = append(begun, float64(c.server.requestsStarted-c.before))
+			requests = append(requests, float64(c.server.requestsStarted-c.before))
 		}
-		if floats.Sum(begun) > 0 {
-			w.busiestDuringReturn = floats.Max(begun) / stat.Mean(begun, nil)
+		if floats.Sum(requests) > 0 {
+			w.busiestDuringReturn = floats.Max(requests) / stat.Mean(requests, nil)
 		}
 	})
 }
--- a/internal/emulator/scenario_store.go
+++ b/internal/emulator/scenario_store.go
@@ -106,12 +106,12 @@
 // cutSources partitions the balancers that most others follow from the store alone, so that they
 // still answer their peers, and restarts the others in rotation while servers leave.
 func (w *world) cutSources() {
-	const cutTime = 14 * time.Second
+	const partitionTime = 14 * time.Second
 	ranked := w.ranked()
 	sources, others := ranked[:2], ranked[2:]
 	w.At(faultStart, func() {
 		for _, n := range sources {
-			n.partition(cutTime, false)
+			n.partition(partitionTime, false)
 		}
 	})
 	for i := range 2 * len(others) {
@@ -127,10 +127,10 @@
 // loseHighCapacity kills as many of the first balancers by rank as there are zones, and partitions
 // them from the store when they are back.
 func (w *world) loseHighCapacity() {
-	const killTime, cutTime = 6 * time.Second, 10 * time.Second
+	const killTime, partitionTime = 6 * time.Second, 10 * time.Second
 	for _, n := range w.ranked()[:len(w.zones)] {
 		w.At(faultStart, func() { n.kill(killTime) })
-		w.At(faultStart+killTime+time.Second, func() { n.partition(cutTime, false) })
+		w.At(faultStart+killTime+time.Second, func() { n.partition(partitionTime, false) })
 	}
 	w.release()
 }
--- a/internal/emulator/scenario_warmup.go
+++ b/internal/emulator/scenario_warmup.go
@@ -44,7 +44,8 @@
 	})
 }
 
-// partitionHalf partitions half of the balancers while the servers are down and after their return.
+// partitionHalf partitions every second balancer. In coldReturn, this begins while the servers are
+// down and lasts beyond their return.
 func (w *world) partitionHalf() { w.partitionEverySecond(faultStart+3*time.Second, 6*time.Second) }
 
 // coldEvacuation makes the servers of an evacuated zone register as warming up just before the
--- a/internal/emulator/split_test.go
+++ b/internal/emulator/split_test.go
@@ -13,19 +13,19 @@
 	found, _ := Find("split-mute")
 	for seed := uint64(1); seed <= 2; seed++ {
 		result := Run(Options{Scenario: found, Seed: seed, BalancersPerZone: 8})
-		if result.LookupsInAim < 0.95 {
-			t.Errorf("seed %d: %.3f of the split route's requests were answered within their aim", seed, result.LookupsInAim)
+		if result.LookupsWithinTarget < 0.95 {
+			t.Errorf("seed %d: %.3f of the split route's requests were answered within their latency target", seed, result.LookupsWithinTarget)
 		}
 	}
 }
 
-// TestSharesAfterTrouble checks that after a fault of a group, or a shift of its weight, the shares
+// TestSharesAfterFaults checks that after a fault of a group, or a shift of its weight, the shares
 // follow the weights again, and that the other group served the requests meanwhile.
 func TestSharesAfterFaults(t *testing.T) {
 	t.Parallel()
 	for scenario, c := range map[string]struct {
-		perZone  int
-		minInAim float64
+		perZone         int
+		minWithinTarget float64
 	}{"split-dark": {8, 0.95}, "split-mute": {3, 0.95}, "split-empty": {8, 0.98}, "split-release": {8, 0.98}, "split-shift": {8, 0.98}} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
@@ -38,15 +38,15 @@
 					t.Errorf("seed %d: %+v", seed, result.Violations[0])
 				}
 				small += result.SmallShare / seeds
-				lookups += result.LookupsInAim / seeds
+				lookups += result.LookupsWithinTarget / seeds
 			}
 			if math.Abs(small-0.3) > 0.02 {
 				t.Errorf("the group with weight 0.3 received %.3f of the requests", small)
 			}
-			if lookups < c.minInAim {
-				t.Errorf("%.3f of the split route's requests were answered within their aim", lookups)
+			if lookups < c.minWithinTarget {
+				t.Errorf("%.3f of the split route's requests were answered within their latency target", lookups)
 			}
-			t.Logf("share %.3f, lookups in aim %.3f", small, lookups)
+			t.Logf("share %.3f, lookups within target %.3f", small, lookups)
 		})
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -221,9 +221,9 @@
 
 // setRejected makes the store reject the calls of some nodes, pending watches included, or accept
 // them again.
-func (s *store) setRejected(nodes []*node, away bool) {
+func (s *store) setRejected(nodes []*node, rejected bool) {
 	for _, n := range nodes {
-		n.rejectedByStore = away
+		n.rejectedByStore = rejected
 	}
 	for _, watcher := range s.watchers {
 		if watcher.node.rejectedByStore {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -74,7 +74,7 @@
 	Standstill bool
 	// Peers disables all exchange between balancers; each uses the store alone.
 	Peers bool
-	// Release ends a process as soon as it is asked to stop.
+	// Release ends a process as soon as a planned stop begins.
 	Release bool
 	// Deadlines lets calls to the store block until hangTimeout.
 	Deadlines bool
@@ -223,13 +223,13 @@
 
 // isHighCapacity reports whether the next machine of a zone has high capacity.
 func (w *world) isHighCapacity(zone string) bool {
-	number := 0
+	index := 0
 	for _, n := range w.nodes {
 		if n.zone == zone {
-			number++
+			index++
 		}
 	}
-	return number < w.options.BalancersPerZone && number >= w.options.BalancersPerZone-w.options.HighCapacityPerZone
+	return index < w.options.BalancersPerZone && index >= w.options.BalancersPerZone-w.options.HighCapacityPerZone
 }
 
 func (w *world) nextSpeed(service string) float64 {
--- a/internal/sim/backend.go
+++ b/internal/sim/backend.go
@@ -65,7 +65,7 @@
 	slots    int
 
 	up          bool
-	frozen      bool
+	hung        bool
 	incarnation int
 	started     time.Duration
 	busySlots   int
@@ -77,7 +77,7 @@
 
 func (b *backend) start() {
 	b.up = true
-	b.frozen = false
+	b.hung = false
 	b.incarnation++
 	b.started = b.world.Now
 	b.busySlots = 0
@@ -90,9 +90,9 @@
 	b.flows = map[flow.Key]*backendFlow{}
 }
 
-// receive processes a datagram from a balancer; a back end that is down or frozen drops it.
+// receive processes a datagram from a balancer; a back end that is down or hung drops it.
 func (b *backend) receive(packet *balancer.Packet) {
-	if !b.up || b.frozen {
+	if !b.up || b.hung {
 		return
 	}
 	w := b.world
@@ -255,7 +255,7 @@
 	if !b.up || b.incarnation != incarnation || stale || attempt > maxRetransmissions {
 		return
 	}
-	if !b.frozen {
+	if !b.hung {
 		packet := &balancer.Packet{
 			Kind:        balancer.Answer,
 			Flow:        f.key,
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -13,7 +13,7 @@
 const (
 	// bootstrapUntil is BootstrapUntil of the balancers that start with the fleet.
 	bootstrapUntil = 8 * time.Second
-	// socketQueueLength is the number of datagrams that the sockets of a frozen process buffer.
+	// socketQueueLength is the number of datagrams that the sockets of a paused process buffer.
 	socketQueueLength = 512
 	// machineListDelay is the delay with which the machine list and the fabric show a change.
 	machineListDelay = 2 * time.Second
@@ -21,7 +21,7 @@
 	machineListInterval = 500 * time.Millisecond
 )
 
-// node is one balancer: the real core in a modelled process that can crash and freeze.
+// node is one balancer: the real core in a modelled process that can crash and be paused.
 type node struct {
 	world       *world
 	address     netip.AddrPort
@@ -30,7 +30,7 @@
 	incarnation uint64
 	started     time.Duration
 	up          bool
-	frozen      bool
+	paused      bool
 	queue       []balancer.Event
 	// stopped is called at the end of a planned stop; it may be nil.
 	stopped func()
@@ -59,7 +59,7 @@
 func (n *node) start(first bool) {
 	n.incarnation++
 	n.up = true
-	n.frozen = false
+	n.paused = false
 	n.started = n.world.Now
 	n.reachableSince = n.world.Now
 	n.revision = 0
@@ -87,7 +87,7 @@
 	if !n.up || incarnation != n.incarnation {
 		return
 	}
-	if !n.frozen {
+	if !n.paused {
 		n.step(&balancer.Tick{})
 	}
 	if n.core.Finished() {
@@ -112,15 +112,15 @@
 	n.step(&balancer.Leave{})
 }
 
-// freeze suspends the process for a time; its sockets buffer datagrams.
-func (n *node) freeze(length time.Duration) {
-	n.frozen = true
+// pause suspends the process for a time; its sockets buffer datagrams.
+func (n *node) pause(length time.Duration) {
+	n.paused = true
 	incarnation := n.incarnation
 	n.world.After(length, func() {
 		if !n.up || incarnation != n.incarnation {
 			return
 		}
-		n.frozen = false
+		n.paused = false
 		n.reachableSince = n.world.Now
 		queued := n.queue
 		n.queue = nil
@@ -130,15 +130,15 @@
 	})
 }
 
-// receive passes an external event to the core, or buffers it while the process is frozen.
+// receive passes an external event to the core, or buffers it while the process is paused.
 func (n *node) receive(event balancer.Event) {
 	_, isRevision := event.(*balancer.SettingsRevision)
 	switch {
 	case !n.up:
-	case n.frozen && (isRevision || len(n.queue) < socketQueueLength):
+	case n.paused && (isRevision || len(n.queue) < socketQueueLength):
 		// Revisions arrive over a stream, so the socket limit does not drop them.
 		n.queue = append(n.queue, event)
-	case !n.frozen:
+	case !n.paused:
 		n.step(event)
 	}
 }
@@ -220,7 +220,7 @@
 
 // healthy reports whether a health check of the process would succeed.
 func (n *node) healthy() bool {
-	return n.up && !n.frozen && n.core.Ready()
+	return n.up && !n.paused && n.core.Ready()
 }
 
 // updateMachineList updates the fabric and sends the list to every running balancer.
@@ -233,7 +233,7 @@
 		}
 	}
 	for _, n := range w.nodes {
-		if n.up && !n.frozen {
+		if n.up && !n.paused {
 			n.sendMachineList()
 		}
 	}
@@ -282,18 +282,18 @@
 }
 
 // add counts size bytes at now.
-func (v *window) add(now time.Duration, size int) {
+func (w *window) add(now time.Duration, size int) {
 	slot := now / windowSlotLength
-	for ; v.slot < slot; v.slot++ {
-		if slot-v.slot > time.Duration(windowSlots) {
-			v.slot = slot - time.Duration(windowSlots)
+	for ; w.slot < slot; w.slot++ {
+		if slot-w.slot > time.Duration(windowSlots) {
+			w.slot = slot - time.Duration(windowSlots)
 		}
-		next := (v.slot + 1) % time.Duration(windowSlots)
-		v.current -= v.slots[next]
-		v.slots[next] = 0
+		next := (w.slot + 1) % time.Duration(windowSlots)
+		w.current -= w.slots[next]
+		w.slots[next] = 0
 	}
-	v.slots[slot%time.Duration(windowSlots)] += size
-	v.current += size
-	v.total += size
-	v.largest = max(v.largest, v.current)
+	w.slots[slot%time.Duration(windowSlots)] += size
+	w.current += size
+	w.total += size
+	w.largest = max(w.largest, w.current)
 }
--- a/internal/sim/observer.go
+++ b/internal/sim/observer.go
@@ -147,7 +147,7 @@
 	for _, b := range o.world.backends[:o.world.options.Deployment.MainServers] {
 		busy := o.busySamples[b]
 		o.busySamples[b] = 0
-		if !b.up || b.frozen || b.drainingSince > 0 || o.world.Now-b.started < 3*warmUpTime && b.started > 0 {
+		if !b.up || b.hung || b.drainingSince > 0 || o.world.Now-b.started < 3*warmUpTime && b.started > 0 {
 			continue
 		}
 		// Back ends of twice the weight should carry twice the flows.
@@ -195,7 +195,7 @@
 // finish accounts for revisions that have not arrived and feeds that are silent at the end.
 func (o *observer) finish() {
 	for _, n := range o.world.nodes {
-		if !n.up || n.frozen || n.revision == 0 {
+		if !n.up || n.paused || n.revision == 0 {
 			continue
 		}
 		for r := n.revision + 1; r <= o.world.store.head().snapshot.Revision; r++ {
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -47,7 +47,7 @@
 	{Name: "operator-race", Description: "pairs of operators edit the same settings at the same moment", Planned: true, Length: shortLength, schedule: operatorRace},
 	{Name: "lease-holder-pause", Description: "an operator's command is paused between read and write while others edit", Planned: true, Length: shortLength, schedule: pausedOperator},
 	{Name: "zone-partition", Description: "one zone is cut off from the others for 20 s", Length: longLength, schedule: zonePartition},
-	{Name: "balancer-freeze-and-resume", Description: "a balancer stands still for 6 s, twice", Length: longLength, schedule: freezeAndResume},
+	{Name: "balancer-freeze-and-resume", Description: "a balancer stands still for 6 s, twice", Length: longLength, schedule: pauseAndResume},
 	{Name: "late-reordered-duplicated", Description: "1% loss, 5% duplicates, 5% reordered, late copies, while a balancer dies under overload", Length: longLength,
 		Network: NetworkProfile{Loss: 0.01, Duplicate: 0.05, Reorder: 0.05, LateCopy: 0.05}, schedule: lateCopies},
 	{Name: "everything", Description: "a mix of all of the above, drawn from the seed", Length: 150 * time.Second,
@@ -240,10 +240,10 @@
 	w.store.recover()
 }
 
-func freezeAndResume(w *world) {
+func pauseAndResume(w *world) {
 	const length = 6 * time.Second
-	w.At(eventTime, func() { w.nodes[0].freeze(length) })
-	w.At(eventTime+15*time.Second, func() { w.nodes[5].freeze(length) })
+	w.At(eventTime, func() { w.nodes[0].pause(length) })
+	w.At(eventTime+15*time.Second, func() { w.nodes[5].pause(length) })
 }
 
 func lateCopies(w *world) {
@@ -260,7 +260,7 @@
 const (
 	FaultCrash FaultKind = iota
 	FaultLeave
-	FaultFreeze
+	FaultPause
 	FaultDrain
 	FaultUndrain
 	FaultEdit
@@ -314,8 +314,8 @@
 		w.crashAndRestart(n, length)
 	case FaultLeave:
 		w.leaveAndRestart(n, length)
-	case FaultFreeze:
-		w.freezeIfHealthy(n, length)
+	case FaultPause:
+		w.pauseIfHealthy(n, length)
 	case FaultDrain:
 		w.edit(0, w.setState(b, "drain"), nil)
 	case FaultUndrain:
@@ -351,9 +351,9 @@
 	}
 }
 
-func (w *world) freezeIfHealthy(n *node, length time.Duration) {
+func (w *world) pauseIfHealthy(n *node, length time.Duration) {
 	if n.healthy() {
-		n.freeze(length)
+		n.pause(length)
 	}
 }
 
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -201,7 +201,7 @@
 	if e.machine.Result == edit.Accepted && !w.options.Operators.NoPush {
 		remaining := pushTargets
 		for _, n := range w.listedNodes {
-			if remaining > 0 && n.up && !n.frozen {
+			if remaining > 0 && n.up && !n.paused {
 				remaining--
 				w.After(w.Between(minStoreDelay, maxStoreDelay), func() { n.applySettings(settings.Resolve(e.tree, e.base.Revision+1)) })
 			}
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -11,8 +11,8 @@
 const (
 	// latenessInterval is the interval between measurements.
 	latenessInterval = 20 * time.Millisecond
-	// maxLateness is the maximum lateness of the soak's timers at which timed rules are checked.
-	// On a more overloaded machine, the balancers are late as well.
+	// maxLateness is the maximum lateness of the soak's timers at which rules with a time
+	// bound are checked. On a more overloaded machine, the balancers are late as well.
 	maxLateness = 250 * time.Millisecond
 )
 
@@ -40,14 +40,14 @@
 	return l.max
 }
 
-// partitionBreaches divides breaches into those that count and those of timed rules, which are
-// excluded if lateness exceeds maxLateness.
-func partitionBreaches(breaches []tagged.Breach, lateness time.Duration) (counted, excluded []tagged.Breach) {
-	for _, breach := range breaches {
-		if lateness > maxLateness && breach.Rule.Timed() {
-			excluded = append(excluded, breach)
+// partitionViolations divides violations into those that count and those of rules with a time bound,
+// which are excluded if lateness exceeds maxLateness.
+func partitionViolations(violations []tagged.Breach, lateness time.Duration) (counted, excluded []tagged.Breach) {
+	for _, violation := range violations {
+		if lateness > maxLateness && violation.Rule.Timed() {
+			excluded = append(excluded, violation)
 		} else {
-			counted = append(counted, breach)
+			counted = append(counted, violation)
 		}
 	}
 	return counted, excluded
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -20,8 +20,8 @@
 	FaultCounts map[Kind]int   `json:"hits"`
 	Report      tagged.Report  `json:"report"`
 	Latency     []LatencyShare `json:"latency"`
-	// MaxLateness is the maximum lateness of the soak's own timers. Excluded are the breaches
-	// of timed rules that do not count because of it.
+	// MaxLateness is the maximum lateness of the soak's own timers. Excluded are the violations
+	// of rules with a time bound that do not count because of it.
 	MaxLateness time.Duration   `json:"late"`
 	Excluded    []tagged.Breach `json:"unjudged,omitempty"`
 	// ProcessFailures describes processes that failed to start, exited unexpectedly, or did not
@@ -48,7 +48,7 @@
 		FaultCounts: r.faultCounts, Report: r.world.Report(), ProcessFailures: r.fleet.processFailures(), Logs: r.options.Folder, start: start,
 	}
 	result.MaxLateness = r.lateness.worst()
-	result.Report.Broken, result.Excluded = partitionBreaches(result.Report.Broken, result.MaxLateness)
+	result.Report.Broken, result.Excluded = partitionViolations(result.Report.Broken, result.MaxLateness)
 	for _, share := range latencyShares {
 		result.Latency = append(result.Latency, LatencyShare{share, result.Report.Quantile(share)})
 	}
@@ -95,15 +95,15 @@
 		}
 		p.Line("  %-8s %6d  %s", rule, r.Report.Occasions[rule], status)
 	}
-	for i, breach := range r.Report.Broken {
-		if i == maxListedBreaches {
+	for i, violation := range r.Report.Broken {
+		if i == maxListedViolations {
 			p.Line("  and %d more", len(r.Report.Broken)-i)
 			break
 		}
-		p.Line("  %7.2f s  %s: %s", breach.At, breach.Rule, breach.Text)
+		p.Line("  %7.2f s  %s: %s", violation.At, violation.Rule, violation.Text)
 	}
-	for _, breach := range r.Excluded {
-		p.Line("  %7.2f s  not judged, timers came too late: %s: %s", breach.At, breach.Rule, breach.Text)
+	for _, violation := range r.Excluded {
+		p.Line("  %7.2f s  not judged, timers came too late: %s: %s", violation.At, violation.Rule, violation.Text)
 	}
 	for _, failure := range r.ProcessFailures {
 		p.Line("  %s", failure)
@@ -111,5 +111,5 @@
 	return p.Err
 }
 
-// maxListedBreaches is the maximum number of breaches that Write lists.
-const maxListedBreaches = 20
+// maxListedViolations is the maximum number of violations that Write lists.
+const maxListedViolations = 20
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -92,8 +92,8 @@
 }
 
 // randomKinds are the kinds that a phase chooses from at random. The last five kinds occur a
-// fixed number of times per phase and have their own random sequences, so that the other
-// faults of a seed's schedule do not depend on them.
+// fixed number of times per phase, EntriesExpired in every second one, and have their own random
+// sequences, so that the other faults of a seed's schedule do not depend on them.
 var randomKinds = Kinds[:len(Kinds)-5]
 
 // quietKinds follow each phase. Without other faults, they must take effect within the bounds
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -77,11 +77,11 @@
 }
 
 func TestTimedRulesAreExcludedOnASlowMachine(t *testing.T) {
-	breaches := []tagged.Breach{{Rule: tagged.Drain}, {Rule: tagged.Flow}}
-	if counted, excluded := partitionBreaches(breaches, maxLateness); len(counted) != 2 || excluded != nil {
+	violations := []tagged.Breach{{Rule: tagged.Drain}, {Rule: tagged.Flow}}
+	if counted, excluded := partitionViolations(violations, maxLateness); len(counted) != 2 || excluded != nil {
 		t.Errorf("in time: %v, %v", counted, excluded)
 	}
-	if counted, excluded := partitionBreaches(breaches, maxLateness+1); len(counted) != 1 || counted[0].Rule != tagged.Flow || len(excluded) != 1 {
+	if counted, excluded := partitionViolations(violations, maxLateness+1); len(counted) != 1 || counted[0].Rule != tagged.Flow || len(excluded) != 1 {
 		t.Errorf("too late: %v, %v", counted, excluded)
 	}
 }
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -21,7 +21,8 @@
 	Unknown int `arg:"--allow-unknown" help:"unknown outcomes allowed"`
 }
 
-// comparison sums up what callers were told and what back ends ran.
+// comparison holds the sums of the callers' reports and the counts of contradictions with what back
+// ends ran.
 type comparison struct {
 	callers                          caller.Report
 	misrouted, doubleRuns, falseRuns int
@@ -33,8 +34,8 @@
 
 const readTimeout = 5 * time.Second
 
-// judge compares what callers were told with what back ends ran and prints a
-// table. It returns errGuaranteeViolated if any guarantee was violated.
+// judge compares the outcomes that callers saw with what back ends ran and prints a table. It returns
+// errGuaranteeViolated if any guarantee was violated.
 func judge(command *judgeCommand, out io.Writer) error {
 	runs, uploads := map[string]int{}, map[string]int{}
 	v := comparison{}
--- a/internal/standin/tagged/actions.go
+++ b/internal/standin/tagged/actions.go
@@ -202,9 +202,9 @@
 // and the store, without closing them. New connections work. It counts as a disturbance of
 // all balancers; the caller silences the connections between balancers.
 func (w *World) SilenceConnections() {
-	for i, front := range w.endpoints {
+	for i, endpoint := range w.endpoints {
 		w.disturb(i, 0)
-		front.silencer.Silence()
+		endpoint.silencer.Silence()
 	}
 	w.logf("open connections to the store drop all traffic")
 }
@@ -259,8 +259,8 @@
 	w.checker.disturbances.markBalancer(w.config.Balancers[balancer].Data, time.Now().Add(length))
 }
 
-// LoseRoute rewrites the configuration without the newest added route and does not tell the
-// checker. It shows that the rule LOST can fail.
+// LoseRoute rewrites the configuration without the newest added route and does not record that
+// in the checker. It shows that the rule LOST can fail.
 func (w *World) ForgetConfiguration() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/standin/tagged/client.go
+++ b/internal/standin/tagged/client.go
@@ -166,9 +166,9 @@
 // exchange sends and retransmits a request until it is answered, the flow is reset or the
 // deadline passes. It returns false without an answer.
 func (c *client) exchange(f *flow, request string, deadline time.Time) (string, bool) {
-	for repeat := initialRetransmitDelay; time.Now().Before(deadline); repeat = min(2*repeat, 8*initialRetransmitDelay) {
+	for retransmitDelay := initialRetransmitDelay; time.Now().Before(deadline); retransmitDelay = min(2*retransmitDelay, 8*initialRetransmitDelay) {
 		c.router.send(c.zone, f.packet(c.service, flagACK, []byte(request)))
-		p, ok := c.await(f, repeat)
+		p, ok := c.await(f, retransmitDelay)
 		if !ok {
 			continue
 		}
--- a/internal/standin/tagged/disturbances.go
+++ b/internal/standin/tagged/disturbances.go
@@ -37,26 +37,26 @@
 }
 
 // markStore records that the store is disturbed until the given time.
-func (t *disturbances) markStore(until time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if until.After(t.store) {
-		t.store = until
+func (d *disturbances) markStore(until time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if until.After(d.store) {
+		d.store = until
 	}
 }
 
 // markBalancer records that a balancer is disturbed until the given time.
-func (t *disturbances) markBalancer(balancer netip.AddrPort, until time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if until.After(t.balancers[balancer]) {
-		t.balancers[balancer] = until
+func (d *disturbances) markBalancer(balancer netip.AddrPort, until time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if until.After(d.balancers[balancer]) {
+		d.balancers[balancer] = until
 	}
 }
 
 // undisturbedSince reports whether neither the balancer nor the store was disturbed since then.
-func (t *disturbances) undisturbedSince(balancer netip.AddrPort, then time.Time) bool {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return !then.Before(t.balancers[balancer]) && !then.Before(t.store)
+func (d *disturbances) undisturbedSince(balancer netip.AddrPort, then time.Time) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return !then.Before(d.balancers[balancer]) && !then.Before(d.store)
 }
--- a/internal/standin/tagged/endpoint.go
+++ b/internal/standin/tagged/endpoint.go
@@ -54,32 +54,32 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &storeEndpoint{store: store, changed: make(chan struct{})}
-	server := &http.Server{Handler: f}
+	e := &storeEndpoint{store: store, changed: make(chan struct{})}
+	server := &http.Server{Handler: e}
 	context.AfterFunc(ctx, func() { server.Close() })
-	go server.Serve(f.silencer.Listener(listener))
-	return f, nil
+	go server.Serve(e.silencer.Listener(listener))
+	return e, nil
 }
 
 // setFault changes the fault and ends the requests that wait.
-func (f *storeEndpoint) setFault(fault StoreFault) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.fault, f.snapshot = fault, nil
+func (e *storeEndpoint) setFault(fault StoreFault) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.fault, e.snapshot = fault, nil
 	if fault == StaleStore {
-		f.snapshot = f.store.clone()
+		e.snapshot = e.store.clone()
 	}
-	close(f.changed)
-	f.changed = make(chan struct{})
+	close(e.changed)
+	e.changed = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler.
-func (f *storeEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.mutex.Lock()
-	fault, frozen, changed := f.fault, f.snapshot, f.changed
-	f.requests++
-	odd := f.requests%2 == 1
-	f.mutex.Unlock()
+func (e *storeEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e.mutex.Lock()
+	fault, snapshot, changed := e.fault, e.snapshot, e.changed
+	e.requests++
+	odd := e.requests%2 == 1
+	e.mutex.Unlock()
 	switch fault {
 	case SilentStore:
 		select {
@@ -97,19 +97,19 @@
 		if odd {
 			if r.Method == http.MethodPost {
 				// The write takes effect although its answer is lost.
-				f.store.ServeHTTP(discardWriter{}, r)
+				e.store.ServeHTTP(discardWriter{}, r)
 			}
 			resetConnection(w)
 			return
 		}
-		f.serveUntil(changed, w, r)
+		e.serveUntil(changed, w, r)
 	case SlowStore:
 		time.Sleep(slowDelay)
-		f.serveUntil(changed, w, r)
+		e.serveUntil(changed, w, r)
 	case StaleStore:
-		frozen.ServeHTTP(w, r)
+		snapshot.ServeHTTP(w, r)
 	default:
-		f.serveUntil(changed, w, r)
+		e.serveUntil(changed, w, r)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (discardWriter) WriteHeader(int)             {}
 
 // serveUntil passes the request to the store and cancels it when changed is closed.
-func (f *storeEndpoint) serveUntil(changed <-chan struct{}, w http.ResponseWriter, r *http.Request) {
+func (e *storeEndpoint) serveUntil(changed <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	go func() {
@@ -131,7 +131,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	f.store.ServeHTTP(w, r.WithContext(ctx))
+	e.store.ServeHTTP(w, r.WithContext(ctx))
 }
 
 // resetConnection resets the connection of a request.
--- a/internal/standin/tagged/linger_test.go
+++ b/internal/standin/tagged/linger_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestOpenFlowsStickToLingeringBalancer checks that packets of open flows go to a lingering
-// balancer until it is gone, and that new flows do not.
+// balancer until its process has ended, and that new flows do not.
 func TestOpenFlowsStickToLingeringBalancer(t *testing.T) {
 	stopping, other := &member{Balancer: Balancer{Data: netip.MustParseAddrPort("127.0.0.1:1")}}, &member{Balancer: Balancer{Data: netip.MustParseAddrPort("127.0.0.2:1")}}
 	r := &router{lingering: map[netip.AddrPort]bool{}, lastTargets: map[netip.AddrPort]*member{}}
--- a/internal/standin/tagged/relay.go
+++ b/internal/standin/tagged/relay.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		return nil, err
 	}
-	udpTo, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(target, peer)))
+	udpTarget, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(netip.AddrPortFrom(target, peer)))
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, datagram: datagram, udpTarget: udpTo, tcpTarget: netip.AddrPortFrom(target, control), connections: map[*net.TCPConn]bool{}}
+	r := &Relay{listener: listener, datagram: datagram, udpTarget: udpTarget, tcpTarget: netip.AddrPortFrom(target, control), connections: map[*net.TCPConn]bool{}}
 	context.AfterFunc(ctx, r.close)
 	go r.forwardDatagrams()
 	go r.acceptConnections()
@@ -58,10 +58,10 @@
 
 // SetPartitioned starts or ends a partition: datagrams are dropped and bytes of connections
 // held back, and neither end is notified.
-func (r *Relay) SetCut(cut bool) {
+func (r *Relay) SetCut(partitioned bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.partitioned = cut
+	r.partitioned = partitioned
 }
 
 // SetDelay sets the delay of all traffic.
@@ -72,23 +72,23 @@
 }
 
 // SetReordering starts or ends the reordering and duplication of datagrams.
-func (r *Relay) SetDisorder(disorder bool) {
+func (r *Relay) SetDisorder(reordering bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reordering = disorder
+	r.reordering = reordering
 }
 
 // drawReordering returns the extra delay of a datagram, and whether it is duplicated.
-func (r *Relay) drawReordering() (later time.Duration, twice bool) {
+func (r *Relay) drawReordering() (extraDelay time.Duration, duplicated bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.reordering {
 		return 0, false
 	}
 	if rand.IntN(reorderOneIn) == 0 {
-		later = rand.N(maxReorderDelay)
+		extraDelay = rand.N(maxReorderDelay)
 	}
-	return later, rand.IntN(reorderOneIn) == 0
+	return extraDelay, rand.IntN(reorderOneIn) == 0
 }
 
 // Reset resets all connections.
@@ -107,7 +107,7 @@
 	r.silencer.Silence()
 }
 
-func (r *Relay) state() (cut bool, delay time.Duration) {
+func (r *Relay) state() (partitioned bool, delay time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.partitioned, r.delay
@@ -120,15 +120,15 @@
 		if err != nil {
 			return
 		}
-		cut, delay := r.state()
-		if cut {
+		partitioned, delay := r.state()
+		if partitioned {
 			continue
 		}
 		data := append([]byte(nil), buffer[:length]...)
 		// Write errors are ignored: the balancer may be down.
-		later, twice := r.drawReordering()
-		time.AfterFunc(delay+later, func() { _, _ = r.udpTarget.Write(data) })
-		if twice {
+		extraDelay, duplicated := r.drawReordering()
+		time.AfterFunc(delay+extraDelay, func() { _, _ = r.udpTarget.Write(data) })
+		if duplicated {
 			time.AfterFunc(delay+rand.N(maxReorderDelay), func() { _, _ = r.udpTarget.Write(data) })
 		}
 	}
@@ -177,8 +177,8 @@
 		if err != nil {
 			return
 		}
-		cut, delay := r.state()
-		for ; cut; cut, _ = r.state() {
+		partitioned, delay := r.state()
+		for ; partitioned; partitioned, _ = r.state() {
 			time.Sleep(partitionPollInterval)
 		}
 		time.Sleep(delay)
--- a/internal/standin/tagged/router.go
+++ b/internal/standin/tagged/router.go
@@ -184,11 +184,11 @@
 // eligible returns the zone's balancers that are in service, or all of the zone when fewer
 // than half are, or those of other zones when none is.
 func (r *router) eligible(zone string) []*member {
-	var all, in, elsewhere []*member
+	var all, inService, elsewhere []*member
 	for _, m := range r.members {
 		switch {
 		case m.Zone == zone && m.inService:
-			in = append(in, m)
+			inService = append(inService, m)
 			all = append(all, m)
 		case m.Zone == zone:
 			all = append(all, m)
@@ -197,10 +197,10 @@
 		}
 	}
 	switch {
-	case len(in) == 0 && len(elsewhere) > 0:
+	case len(inService) == 0 && len(elsewhere) > 0:
 		return elsewhere
-	case 2*len(in) < len(all):
+	case 2*len(inService) < len(all):
 		return all
 	}
-	return in
+	return inService
 }
--- a/internal/standin/tagged/server.go
+++ b/internal/standin/tagged/server.go
@@ -129,10 +129,10 @@
 // drain announces the state draining; the server still serves its flows.
 func (s *server) drain() {
 	s.mutex.Lock()
-	ended := s.stopped
+	stopped := s.stopped
 	s.draining = true
 	s.mutex.Unlock()
-	if ended {
+	if stopped {
 		return
 	}
 	if s.sabotage != HiddenDrain {
@@ -144,10 +144,10 @@
 // undrain announces that the server takes new flows again.
 func (s *server) undrain() {
 	s.mutex.Lock()
-	ended := s.stopped
+	stopped := s.stopped
 	s.draining = false
 	s.mutex.Unlock()
-	if ended {
+	if stopped {
 		return
 	}
 	s.announce(stateReady)
--- a/internal/standin/tagged/store.go
+++ b/internal/standin/tagged/store.go
@@ -205,6 +205,6 @@
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	// Errors are ignored: the client may be gone.
+	// Errors are ignored: the client may have closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/standin/tagged/world.go
+++ b/internal/standin/tagged/world.go
@@ -121,11 +121,11 @@
 	go func() { w.serveErrors <- listener.ListenAndServe() }()
 	context.AfterFunc(ctx, func() { listener.Close() })
 	for _, address := range config.Fronts {
-		f, err := serveEndpoint(ctx, address, w.store)
+		endpoint, err := serveEndpoint(ctx, address, w.store)
 		if err != nil {
 			return nil, err
 		}
-		w.endpoints = append(w.endpoints, f)
+		w.endpoints = append(w.endpoints, endpoint)
 	}
 	if err := w.build(ctx); err != nil {
 		return nil, err
