--- a/bench/bound/credit.go
+++ b/bench/bound/credit.go
@@ -20,8 +20,8 @@
 	dataSendTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond, 1400 * time.Millisecond, 3 * time.Second, 4600 * time.Millisecond, 6200 * time.Millisecond}
 )
 
-// sendTimes returns the times since its begin at which a request of the class sends packets that
-// can lead to its answer.
+// sendTimes returns when a request of the class sends packets that can lead to its answer, relative
+// to its start.
 func (c *Class) sendTimes() []time.Duration {
 	if !c.fresh() {
 		return dataSendTimes
@@ -36,7 +36,7 @@
 }
 
 // maxCredit returns the maximum mean credit of a request of the class, as a share of its worth,
-// if its packets reach a running balancer only after the time reached since its begin.
+// if no packet that it sends earlier than reached after its start arrives at a running balancer.
 func (s *Site) maxCredit(c *Class, reached time.Duration) float64 {
 	if reached <= 0 {
 		return 1
--- a/bench/bound/outage.go
+++ b/bench/bound/outage.go
@@ -49,7 +49,7 @@
 			runsAgain := until
 			if strings.HasPrefix(event.Kind, "closing") {
 				// The event lasts until all machines are in touch again; the machine runs earlier.
-				runsAgain = spans[i].to - site.contact()
+				runsAgain = spans[i].to - site.outOfTouchTime()
 			}
 			if runsAgain > at {
 				list = append(list, outage{machine, zoneOf(machine), span{at, runsAgain}})
--- a/bench/bound/site.go
+++ b/bench/bound/site.go
@@ -50,8 +50,8 @@
 // fresh reports whether each request opens a flow.
 func (c *Class) fresh() bool { return c.Habit == "fresh" }
 
-// contact is how long a machine stays out of touch after a disturbance.
-func (s *Site) contact() time.Duration { return milliseconds(s.Bounds.TouchMs) }
+// outOfTouchTime returns how long a machine stays out of touch after a disturbance.
+func (s *Site) outOfTouchTime() time.Duration { return milliseconds(s.Bounds.TouchMs) }
 
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -73,7 +73,8 @@
 	Count      int    `json:"count,omitempty"`
 }
 
-// Messages that the log tools recognize. Package edge writes them.
+// Messages that the log tools recognize. Package edge writes them; packages directory and steering
+// define the texts of their events.
 const (
 	Started                = "started"
 	Stopped                = "stopped"
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -288,9 +288,9 @@
 		if slot-w.slot > time.Duration(windowSlots) {
 			w.slot = slot - time.Duration(windowSlots)
 		}
-		next := (w.slot + 1) % time.Duration(windowSlots)
-		w.current -= w.slots[next]
-		w.slots[next] = 0
+		expired := (w.slot + 1) % time.Duration(windowSlots)
+		w.current -= w.slots[expired]
+		w.slots[expired] = 0
 	}
 	w.slots[slot%time.Duration(windowSlots)] += size
 	w.current += size
--- a/internal/standin/tagged/linger_test.go
+++ b/internal/standin/tagged/linger_test.go
@@ -25,7 +25,7 @@
 	r.stickyTarget(open, stopping)
 	r.setLingering(stopping.Data, false)
 	if to := r.stickyTarget(open, other); to != other {
-		t.Errorf("a packet goes to %s, which is gone", to.Data)
+		t.Errorf("a packet goes to %s, whose process has ended", to.Data)
 	}
 }
 
