--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -54,7 +54,7 @@
 	if status != operator.ExitOK {
 		return status
 	}
-	view := timeline.Of(lines)
+	view := timeline.FromLines(lines)
 	if c.Plot != "" {
 		if err := view.Draw(c.Plot); err != nil {
 			fmt.Fprintln(errOut, err)
--- a/internal/logs/timeline/timeline.go
+++ b/internal/logs/timeline/timeline.go
@@ -89,7 +89,7 @@
 }
 
 // FromLines returns the timeline of lines, which must be sorted by time.
-func Of(lines []logs.Line) Timeline {
+func FromLines(lines []logs.Line) Timeline {
 	timeline := Timeline{}
 	if len(lines) == 0 {
 		return timeline
--- a/internal/logs/timeline/timeline_test.go
+++ b/internal/logs/timeline/timeline_test.go
@@ -20,7 +20,7 @@
 // sampleTimeline returns a timeline in which n1 loses the store for two seconds and is stopped
 // as planned, n2 is killed, and both start again.
 func sampleTimeline() Timeline {
-	return Of([]logs.Line{
+	return FromLines([]logs.Line{
 		at(0, "n1", logs.Started, 0), at(0, "n2", logs.Started, 0),
 		at(1, "n1", logs.SettingsApplied, 4), at(1.5, "n2", logs.SettingsApplied, 4),
 		at(3, "n1", logs.StoreUnreachable, 0), at(5, "n1", logs.StoreReachable, 0),
@@ -50,7 +50,7 @@
 	if last.Running != 2 || last.Newest != 1 || last.StoreUnreachable != 1 {
 		t.Errorf("last sample %+v", last)
 	}
-	if empty := Of(nil); len(empty.Samples) != 0 {
+	if empty := FromLines(nil); len(empty.Samples) != 0 {
 		t.Errorf("no lines: %+v", empty)
 	}
 }
@@ -83,7 +83,7 @@
 		line.Zone, line.Revision = "za", revision
 		return line
 	}
-	timeline := Of([]logs.Line{
+	timeline := FromLines([]logs.Line{
 		at(0, "n1", logs.Started, 0), at(0, "n2", logs.Started, 0),
 		zone(3, "n1", logs.ZoneEvacuated, 40), zone(3.2, "n2", logs.ZoneEvacuated, 40),
 		at(5, "n3", logs.Started, 0), zone(5.1, "n3", logs.ZoneEvacuated, 40),
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -16,13 +16,13 @@
 		return
 	}
 	if isStoreFault {
-		r.world.FaultStore(event.Balancer, storeFault, event.For)
+		r.world.InjectStoreFault(event.Balancer, storeFault, event.For)
 		return
 	}
 	if fault, isLinkFault := linkFaults[event.Kind]; isLinkFault {
-		r.world.FaultLink(event.Balancer, fault, event.For)
+		r.world.InjectLinkFault(event.Balancer, fault, event.For)
 		if event.Kind == Cut {
-			r.world.FaultStore(event.Balancer, tagged.SilentStore, event.For)
+			r.world.InjectStoreFault(event.Balancer, tagged.SilentStore, event.For)
 		}
 		return
 	}
@@ -37,9 +37,9 @@
 	case ConnectionsSilent:
 		r.silenceConnections()
 	case StoreDown:
-		r.world.StopStore(event.For)
+		r.world.SilenceStore(event.For)
 	case EntriesExpired:
-		r.world.LapseEntries(r.rng, event.For)
+		r.world.ExpireEntries(r.rng, event.For)
 	case StoreCompacted:
 		r.world.CompactStore()
 	case ServerReplaced, ServerQuiet:
@@ -84,7 +84,7 @@
 		} else {
 			r.world.DropRoute()
 		}
-		if !sleepUntil(ctx, r.world, r.world.Now()+stormGap) {
+		if !sleepUntil(ctx, r.world, r.world.Elapsed()+stormGap) {
 			return
 		}
 	}
@@ -108,11 +108,11 @@
 		return
 	}
 	relay := r.relays[event.Balancer]
-	r.world.Disturbed(event.Balancer, event.For, false)
+	r.world.RecordDisturbance(event.Balancer, event.For, false)
 	switch event.Kind {
 	case PeersCut:
-		relay.SetCut(true)
-		time.AfterFunc(event.For, func() { relay.SetCut(false) })
+		relay.SetPartitioned(true)
+		time.AfterFunc(event.For, func() { relay.SetPartitioned(false) })
 	case PeersDelayed:
 		relay.SetDelay(peersDelay)
 		time.AfterFunc(event.For, func() { relay.SetDelay(0) })
@@ -129,14 +129,14 @@
 	case Reload:
 		m.reload()
 	case Pause:
-		r.world.Disturbed(m.number, event.For, false)
+		r.world.RecordDisturbance(m.number, event.For, false)
 		m.signal(syscall.SIGSTOP)
-		sleepUntil(ctx, r.world, r.world.Now()+event.For)
+		sleepUntil(ctx, r.world, r.world.Elapsed()+event.For)
 		m.signal(syscall.SIGCONT)
-		r.world.Disturbed(m.number, 0, false)
+		r.world.RecordDisturbance(m.number, 0, false)
 	case Stop:
-		r.world.Disturbed(m.number, event.For, false)
-		r.world.Linger(m.number, r.options.Overlap)
+		r.world.RecordDisturbance(m.number, event.For, false)
+		r.world.SetLingering(m.number, r.options.Overlap)
 		m.signal(syscall.SIGCONT)
 		r.waitStopped(m, m.signal(syscall.SIGTERM))
 		r.restart(ctx, event, m)
@@ -155,7 +155,7 @@
 }
 
 func (r *runner) kill(m *member) {
-	r.world.Disturbed(m.number, 0, false)
+	r.world.RecordDisturbance(m.number, 0, false)
 	m.waitExit(m.signal(syscall.SIGKILL), stopTimeout)
 }
 
@@ -167,25 +167,25 @@
 		r.kill(m)
 	}
 	if r.options.Sabotage == SabotageForget {
-		r.world.ForgetConfiguration()
+		r.world.LoseRoute()
 	}
 	if r.options.Sabotage == SabotageNoRestart {
-		r.world.AllKilled()
+		r.world.RecordAllKilled()
 		return
 	}
 	for _, m := range r.fleet.members {
 		r.restart(ctx, event, m)
 		event.For = 0
 	}
-	r.world.AllKilled()
+	r.world.RecordAllKilled()
 }
 
 // restart starts the member after the event's duration, unless ctx ends first.
 func (r *runner) restart(ctx context.Context, event Event, m *member) {
-	if event.For > 0 && !sleepUntil(ctx, r.world, r.world.Now()+event.For) {
+	if event.For > 0 && !sleepUntil(ctx, r.world, r.world.Elapsed()+event.For) {
 		return
 	}
-	r.world.Disturbed(m.number, 0, true)
+	r.world.RecordDisturbance(m.number, 0, true)
 	if err := r.fleet.start(m); err != nil {
 		m.recordFailure(err.Error())
 	}
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -42,9 +42,9 @@
 
 // partitionViolations divides violations into those that count and those of rules with a time bound,
 // which are excluded if lateness exceeds maxLateness.
-func partitionViolations(violations []tagged.Breach, lateness time.Duration) (counted, excluded []tagged.Breach) {
+func partitionViolations(violations []tagged.Violation, lateness time.Duration) (counted, excluded []tagged.Violation) {
 	for _, violation := range violations {
-		if lateness > maxLateness && violation.Rule.Timed() {
+		if lateness > maxLateness && violation.Rule.HasTimeBound() {
 			excluded = append(excluded, violation)
 		} else {
 			counted = append(counted, violation)
--- a/internal/soak/plot.go
+++ b/internal/soak/plot.go
@@ -28,7 +28,7 @@
 	picture.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	var answered, missing plotter.XYs
 	for _, outcome := range r.Report.Outcomes {
-		at := outcome.AskedS - r.start.Seconds()
+		at := outcome.SentS - r.start.Seconds()
 		if outcome.Answered {
 			answered = append(answered, plotter.XY{X: at, Y: max(0.1, outcome.LatencyMs)})
 		} else {
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -22,8 +22,8 @@
 	Latency     []LatencyShare `json:"latency"`
 	// MaxLateness is the maximum lateness of the soak's own timers. Excluded are the violations
 	// of rules with a time bound that do not count because of it.
-	MaxLateness time.Duration   `json:"late"`
-	Excluded    []tagged.Breach `json:"unjudged,omitempty"`
+	MaxLateness time.Duration      `json:"late"`
+	Excluded    []tagged.Violation `json:"unjudged,omitempty"`
 	// ProcessFailures describes processes that failed to start, exited unexpectedly, or did not
 	// exit in time.
 	ProcessFailures []string `json:"surprises"`
@@ -48,7 +48,7 @@
 		FaultCounts: r.faultCounts, Report: r.world.Report(), ProcessFailures: r.fleet.processFailures(), Logs: r.options.Folder, start: start,
 	}
 	result.MaxLateness = r.lateness.worst()
-	result.Report.Broken, result.Excluded = partitionViolations(result.Report.Broken, result.MaxLateness)
+	result.Report.Violations, result.Excluded = partitionViolations(result.Report.Violations, result.MaxLateness)
 	for _, share := range latencyShares {
 		result.Latency = append(result.Latency, LatencyShare{share, result.Report.Quantile(share)})
 	}
@@ -57,7 +57,7 @@
 
 // Failed reports whether a rule was violated or a process failed.
 func (r *Result) Failed() bool {
-	return len(r.Report.Broken) > 0 || len(r.ProcessFailures) > 0
+	return len(r.Report.Violations) > 0 || len(r.ProcessFailures) > 0
 }
 
 // WriteJSON writes the result as one JSON document.
@@ -72,7 +72,7 @@
 	p := &logs.Printer{Out: out}
 	p.Line("seed %d, %v, sabotage %q, logs in %s", r.Seed, r.Length, r.Sabotage, r.Logs)
 	p.Line("requests: %d asked, %d answered, %d refused, %d failed; %d calls to the store",
-		r.Report.Asked, r.Report.Answered, r.Report.Refused, r.Report.Failed, r.Report.StoreCalls)
+		r.Report.Requests, r.Report.Answered, r.Report.Refused, r.Report.Failed, r.Report.StoreCalls)
 	for _, latency := range r.Latency {
 		p.Line("  %5.1f%% of the answers within %8.1f ms", 100*latency.Share, latency.Ms)
 	}
@@ -85,19 +85,19 @@
 	}
 	p.Line("rules, and how often each had something to judge:")
 	for _, rule := range tagged.Rules {
-		broken := len(slices.DeleteFunc(slices.Clone(r.Report.Broken), func(b tagged.Breach) bool { return b.Rule != rule }))
+		broken := len(slices.DeleteFunc(slices.Clone(r.Report.Violations), func(b tagged.Violation) bool { return b.Rule != rule }))
 		status := "kept"
 		switch {
 		case broken > 0:
 			status = fmt.Sprintf("BROKEN %d times", broken)
-		case r.Report.Occasions[rule] == 0:
+		case r.Report.Checks[rule] == 0:
 			status = "never had anything to judge"
 		}
-		p.Line("  %-8s %6d  %s", rule, r.Report.Occasions[rule], status)
+		p.Line("  %-8s %6d  %s", rule, r.Report.Checks[rule], status)
 	}
-	for i, violation := range r.Report.Broken {
+	for i, violation := range r.Report.Violations {
 		if i == maxListedViolations {
-			p.Line("  and %d more", len(r.Report.Broken)-i)
+			p.Line("  and %d more", len(r.Report.Violations)-i)
 			break
 		}
 		p.Line("  %7.2f s  %s: %s", violation.At, violation.Rule, violation.Text)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -95,7 +95,7 @@
 	}
 	serving, stop := context.WithTimeout(ctx, options.Length)
 	defer stop()
-	start := r.world.Now()
+	start := r.world.Elapsed()
 	r.tasks.Go(func() { r.runSchedule(serving, start) })
 	go r.lateness.run(serving)
 	r.world.Serve(serving)
@@ -123,12 +123,12 @@
 func (r *runner) build(ctx context.Context) error {
 	config := tagged.WorldConfig{
 		Store: netip.AddrPortFrom(r.fleet.loopbackAddress(3, 1), storePort), Balancers: r.fleet.balancers(), ReadyPath: "/readiness",
-		Network: r.options.Network, Untimed: r.options.Untimed,
+		Network: r.options.Network, WithoutTimeBounds: r.options.Untimed,
 		// The world ignores the sabotages that the soak implements.
 		Sabotage: tagged.Sabotage(r.options.Sabotage),
 	}
 	for number := range r.fleet.members {
-		config.Fronts = append(config.Fronts, r.fleet.storeProxyAddress(number))
+		config.StoreEndpoints = append(config.StoreEndpoints, r.fleet.storeProxyAddress(number))
 		relay, err := tagged.NewRelay(ctx, r.fleet.relayAddress(number), r.fleet.balancerAddress(number), controlPort, peerPort)
 		if err != nil {
 			return err
@@ -143,9 +143,9 @@
 // runSchedule injects the events of the schedule at their times, relative to start.
 func (r *runner) runSchedule(ctx context.Context, start time.Duration) {
 	if r.options.Sabotage == SabotageStale {
-		r.world.FaultStore(0, tagged.StaleStore, r.options.Length)
+		r.world.InjectStoreFault(0, tagged.StaleStore, r.options.Length)
 		for _, relay := range r.relays {
-			relay.SetCut(true)
+			relay.SetPartitioned(true)
 		}
 	}
 	for _, event := range r.options.Schedule {
@@ -159,7 +159,7 @@
 
 // sleepUntil waits until the world's clock reaches at. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, world *tagged.World, at time.Duration) bool {
-	timer := time.NewTimer(at - world.Now())
+	timer := time.NewTimer(at - world.Elapsed())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -40,8 +40,8 @@
 		r.tasks.Go(func() { r.reloadSeries(ctx, m) })
 	case PeersDisordered:
 		relay := r.relays[event.Balancer]
-		relay.SetDisorder(true)
-		time.AfterFunc(event.For, func() { relay.SetDisorder(false) })
+		relay.SetReordering(true)
+		time.AfterFunc(event.For, func() { relay.SetReordering(false) })
 	case ServerFlapped:
 		r.world.FlapServer(r.rng, flapGap)
 	case InputHostile:
@@ -62,14 +62,14 @@
 
 // interruptedStop stops a process and signals it again before it has exited.
 func (r *runner) interruptedStop(ctx context.Context, event Event, m *member) {
-	r.world.Disturbed(m.number, event.For, false)
+	r.world.RecordDisturbance(m.number, event.For, false)
 	if event.Kind == StopPaused {
 		m.signal(syscall.SIGSTOP)
-		defer r.world.Disturbed(m.number, 0, false)
+		defer r.world.RecordDisturbance(m.number, 0, false)
 	}
-	r.world.Linger(m.number, true)
+	r.world.SetLingering(m.number, true)
 	exited := m.signal(syscall.SIGTERM)
-	if !sleepUntil(ctx, r.world, r.world.Now()+randomPause()) && event.Kind != StopPaused {
+	if !sleepUntil(ctx, r.world, r.world.Elapsed()+randomPause()) && event.Kind != StopPaused {
 		return
 	}
 	switch event.Kind {
@@ -91,17 +91,17 @@
 		m.signalIfRunning(exited, syscall.SIGKILL)
 		m.waitExit(exited, stopTimeout)
 	}
-	r.world.Linger(m.number, false)
+	r.world.SetLingering(m.number, false)
 }
 
 // stopAfterStart repeatedly stops a process shortly after its start.
 func (r *runner) stopAfterStart(ctx context.Context, event Event, m *member) {
 	for range stopsAfterStart {
-		r.world.Disturbed(m.number, event.For, false)
-		r.world.Linger(m.number, true)
+		r.world.RecordDisturbance(m.number, event.For, false)
+		r.world.SetLingering(m.number, true)
 		r.waitStopped(m, m.signal(syscall.SIGTERM))
 		r.restart(ctx, Event{}, m)
-		if !sleepUntil(ctx, r.world, r.world.Now()+randomPause()) {
+		if !sleepUntil(ctx, r.world, r.world.Elapsed()+randomPause()) {
 			return
 		}
 	}
@@ -113,7 +113,7 @@
 		stop := event
 		stop.Balancer, stop.Kind, stop.For = m.number, Stop, minFaultDuration
 		r.tasks.Go(func() { r.injectProcessFault(ctx, stop) })
-		if !sleepUntil(ctx, r.world, r.world.Now()+rollGap) {
+		if !sleepUntil(ctx, r.world, r.world.Elapsed()+rollGap) {
 			return
 		}
 	}
@@ -123,7 +123,7 @@
 func (r *runner) reloadSeries(ctx context.Context, m *member) {
 	for range reloadCount {
 		m.reload()
-		if !sleepUntil(ctx, r.world, r.world.Now()+reloadSeriesDuration/reloadCount) {
+		if !sleepUntil(ctx, r.world, r.world.Elapsed()+reloadSeriesDuration/reloadCount) {
 			return
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestTimedRulesAreExcludedOnASlowMachine(t *testing.T) {
-	violations := []tagged.Breach{{Rule: tagged.Drain}, {Rule: tagged.Flow}}
+	violations := []tagged.Violation{{Rule: tagged.Drain}, {Rule: tagged.Flow}}
 	if counted, excluded := partitionViolations(violations, maxLateness); len(counted) != 2 || excluded != nil {
 		t.Errorf("in time: %v, %v", counted, excluded)
 	}
@@ -101,9 +101,9 @@
 
 func TestAReportNamesRulesThatWereNeverChecked(t *testing.T) {
 	result := &Result{Seed: 5, Report: tagged.Report{
-		Asked: 3, Answered: 2, Refused: 1,
-		Occasions: map[tagged.Rule]int{tagged.Mixed: 2, tagged.Flow: 9},
-		Broken:    []tagged.Breach{{Rule: tagged.Flow, At: 1.5, Text: "a flow moves"}},
+		Requests: 3, Answered: 2, Refused: 1,
+		Checks:     map[tagged.Rule]int{tagged.Mixed: 2, tagged.Flow: 9},
+		Violations: []tagged.Violation{{Rule: tagged.Flow, At: 1.5, Text: "a flow moves"}},
 	}}
 	var text bytes.Buffer
 	if err := result.Write(&text); err != nil {
@@ -151,7 +151,7 @@
 
 func TestSavePlot(t *testing.T) {
 	result := &Result{Schedule: GenerateSchedule(1, time.Minute, 3), Report: tagged.Report{Outcomes: []tagged.Outcome{
-		{AskedS: 1, Answered: true, LatencyMs: 2}, {AskedS: 2},
+		{SentS: 1, Answered: true, LatencyMs: 2}, {SentS: 2},
 	}}}
 	path := filepath.Join(t.TempDir(), "soak.svg")
 	if err := result.SavePlot(path); err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -184,7 +184,7 @@
 	if err := json.NewEncoder(out).Encode(report); err != nil {
 		return err
 	}
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		return errRuleViolated
 	}
 	return nil
--- a/internal/standin/tagged/actions.go
+++ b/internal/standin/tagged/actions.go
@@ -170,7 +170,7 @@
 }
 
 // SilenceStore stops the store from answering any request for the given time.
-func (w *World) StopStore(length time.Duration) {
+func (w *World) SilenceStore(length time.Duration) {
 	w.checker.disturbances.markStore(time.Now().Add(length))
 	w.store.SetSilent(true)
 	w.logf("the store falls silent")
@@ -188,7 +188,7 @@
 }
 
 // InjectStoreFault applies a fault to one balancer's access to the store for the given time.
-func (w *World) FaultStore(balancer int, fault StoreFault, length time.Duration) {
+func (w *World) InjectStoreFault(balancer int, fault StoreFault, length time.Duration) {
 	if fault != StaleStore {
 		// Stale answers do not suspend the time bounds, so that the rules can fail.
 		w.disturb(balancer, length)
@@ -211,7 +211,7 @@
 
 // InjectLinkFault applies a fault to the link of a balancer to routers and servers for the
 // given time.
-func (w *World) FaultLink(balancer int, fault LinkFault, length time.Duration) {
+func (w *World) InjectLinkFault(balancer int, fault LinkFault, length time.Duration) {
 	w.disturb(balancer, length)
 	data := w.config.Balancers[balancer].Data
 	w.links.set(data, fault)
@@ -220,7 +220,7 @@
 }
 
 // SetLingering sets whether packets of open flows still go to a balancer that is stopping.
-func (w *World) Linger(balancer int, lingers bool) {
+func (w *World) SetLingering(balancer int, lingers bool) {
 	w.router.setLingering(w.config.Balancers[balancer].Data, lingers)
 }
 
@@ -243,7 +243,7 @@
 
 // RecordDisturbance records that a balancer is disturbed for length. If restarted, its
 // process is a new one.
-func (w *World) Disturbed(balancer int, length time.Duration, restarted bool) {
+func (w *World) RecordDisturbance(balancer int, length time.Duration, restarted bool) {
 	w.disturb(balancer, length)
 	if restarted {
 		w.checker.recordRestart(w.config.Balancers[balancer].Data)
@@ -251,7 +251,7 @@
 }
 
 // RecordAllKilled records that all balancers were killed at once and have just restarted.
-func (w *World) AllKilled() {
+func (w *World) RecordAllKilled() {
 	w.checker.recordAllKilled()
 }
 
@@ -261,7 +261,7 @@
 
 // LoseRoute rewrites the configuration without the newest added route and does not record that
 // in the checker. It shows that the rule LOST can fail.
-func (w *World) ForgetConfiguration() {
+func (w *World) LoseRoute() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if len(w.added) == 0 {
--- a/internal/standin/tagged/checker.go
+++ b/internal/standin/tagged/checker.go
@@ -33,7 +33,7 @@
 	// fleetRestarts are the times at which all balancers were up again after all were killed.
 	fleetRestarts []time.Time
 	checks        map[Rule]int
-	violations    []Breach
+	violations    []Violation
 }
 
 // requestState is the outcome of one request so far.
@@ -77,7 +77,7 @@
 
 // addViolation records a violation of a rule. The mutex is held.
 func (c *checker) addViolation(rule Rule, format string, arguments ...any) {
-	c.violations = append(c.violations, Breach{rule, time.Since(c.started).Seconds(), fmt.Sprintf(format, arguments...)})
+	c.violations = append(c.violations, Violation{rule, time.Since(c.started).Seconds(), fmt.Sprintf(format, arguments...)})
 }
 
 func (c *checker) addRequest(request string) {
--- a/internal/standin/tagged/checker_test.go
+++ b/internal/standin/tagged/checker_test.go
@@ -18,7 +18,7 @@
 	c.recordConfiguration(3, map[netip.AddrPort]string{testRoute: feedService})
 	see(c)
 	var rules []Rule
-	for _, breach := range c.report(0).Broken {
+	for _, breach := range c.report(0).Violations {
 		rules = append(rules, breach.Rule)
 	}
 	return rules
--- a/internal/standin/tagged/expiry.go
+++ b/internal/standin/tagged/expiry.go
@@ -11,8 +11,8 @@
 
 // ExpireEntries silences the store for the given time, during which the entries of all servers
 // expire. Running servers rewrite theirs at random times after the outage.
-func (w *World) LapseEntries(random *rand.Rand, length time.Duration) {
-	w.StopStore(length)
+func (w *World) ExpireEntries(random *rand.Rand, length time.Duration) {
+	w.SilenceStore(length)
 	w.mutex.Lock()
 	servers := slices.Clone(w.servers)
 	w.mutex.Unlock()
--- a/internal/standin/tagged/relay.go
+++ b/internal/standin/tagged/relay.go
@@ -58,7 +58,7 @@
 
 // SetPartitioned starts or ends a partition: datagrams are dropped and bytes of connections
 // held back, and neither end is notified.
-func (r *Relay) SetCut(partitioned bool) {
+func (r *Relay) SetPartitioned(partitioned bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.partitioned = partitioned
@@ -72,7 +72,7 @@
 }
 
 // SetReordering starts or ends the reordering and duplication of datagrams.
-func (r *Relay) SetDisorder(reordering bool) {
+func (r *Relay) SetReordering(reordering bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.reordering = reordering
--- a/internal/standin/tagged/report.go
+++ b/internal/standin/tagged/report.go
@@ -4,7 +4,7 @@
 
 // Report summarises a run.
 type Report struct {
-	Asked    int `json:"asked"`
+	Requests int `json:"asked"`
 	Answered int `json:"answered"`
 	// Refused counts requests for which no flow opened.
 	Refused int `json:"refused"`
@@ -16,10 +16,10 @@
 	StoreCalls int `json:"store_calls"`
 	// MaxLoadRatio is the largest number of requests run by a server of the feed service,
 	// divided by the mean.
-	MaxLoadRatio float64  `json:"busiest_over_mean"`
-	Broken       []Breach `json:"broken_rules"`
+	MaxLoadRatio float64     `json:"busiest_over_mean"`
+	Violations   []Violation `json:"broken_rules"`
 	// Checks is how often each rule was checked.
-	Occasions map[Rule]int `json:"occasions"`
+	Checks map[Rule]int `json:"occasions"`
 	// Outcomes are those of all requests, in the order in which they were sent.
 	Outcomes []Outcome `json:"-"`
 }
@@ -28,7 +28,7 @@
 type Outcome struct {
 	Request string
 	// SentS is when it was sent, in seconds since the start of the run.
-	AskedS   float64
+	SentS    float64
 	Answered bool
 	// LatencyMs is the time until the answer, in milliseconds; 0 if not answered.
 	LatencyMs float64
--- a/internal/standin/tagged/rules.go
+++ b/internal/standin/tagged/rules.go
@@ -32,7 +32,7 @@
 var Rules = []Rule{Mixed, Unasked, Route, Flow, Drain, Evac, Config, Lost, Recover}
 
 // HasTimeBound reports whether the rule has a time bound.
-func (r Rule) Timed() bool {
+func (r Rule) HasTimeBound() bool {
 	switch r {
 	case Drain, Evac, Config, Lost, Recover:
 		return true
@@ -41,7 +41,7 @@
 }
 
 // Violation is one violation of a rule.
-type Breach struct {
+type Violation struct {
 	Rule Rule `json:"rule"`
 	// At is the time in seconds since the start of the run.
 	At   float64 `json:"at_s"`
--- a/internal/standin/tagged/run.go
+++ b/internal/standin/tagged/run.go
@@ -52,5 +52,5 @@
 		w.ReplaceServer(random, true)
 	})
 	after(config.CompactAt, w.CompactStore)
-	after(config.SilentAt, func() { w.StopStore(config.SilentFor) })
+	after(config.SilentAt, func() { w.SilenceStore(config.SilentFor) })
 }
--- a/internal/standin/tagged/summary.go
+++ b/internal/standin/tagged/summary.go
@@ -70,13 +70,13 @@
 	defer c.mutex.Unlock()
 	c.checkRecoveries(time.Now())
 	c.countDrainChecks(time.Now())
-	report := Report{StoreCalls: storeCalls, MaxLoadRatio: c.maxLoadRatio(), Broken: slices.Clone(c.violations), Occasions: maps.Clone(c.checks)}
+	report := Report{StoreCalls: storeCalls, MaxLoadRatio: c.maxLoadRatio(), Violations: slices.Clone(c.violations), Checks: maps.Clone(c.checks)}
 	for name, state := range c.requests {
 		if state.abandoned {
 			continue
 		}
-		outcome := Outcome{Request: name, AskedS: state.sentAt.Sub(c.started).Seconds()}
-		report.Asked++
+		outcome := Outcome{Request: name, SentS: state.sentAt.Sub(c.started).Seconds()}
+		report.Requests++
 		switch {
 		case !state.answeredAt.IsZero():
 			report.Answered++
@@ -89,7 +89,7 @@
 		}
 		report.Outcomes = append(report.Outcomes, outcome)
 	}
-	slices.SortFunc(report.Outcomes, func(a, b Outcome) int { return int(1e6 * (a.AskedS - b.AskedS)) })
+	slices.SortFunc(report.Outcomes, func(a, b Outcome) int { return int(1e6 * (a.SentS - b.SentS)) })
 	report.P99 = report.Quantile(0.99)
 	return report
 }
--- a/internal/standin/tagged/world.go
+++ b/internal/standin/tagged/world.go
@@ -67,7 +67,7 @@
 	Store netip.AddrPort
 	// StoreEndpoints are addresses of the store for one balancer each, in the order of
 	// Balancers. It may be empty; InjectStoreFault needs it.
-	Fronts []netip.AddrPort
+	StoreEndpoints []netip.AddrPort
 	// Balancers are the running balancers, at least one, all with the same data port.
 	Balancers []Balancer
 	ReadyPath string
@@ -75,7 +75,7 @@
 	Network  byte
 	Sabotage Sabotage
 	// WithoutTimeBounds disables the rules with a time bound.
-	Untimed bool
+	WithoutTimeBounds bool
 }
 
 // World is the simulated platform, which runs until its context ends. Its methods may be
@@ -116,11 +116,11 @@
 		config: config, store: NewStore(), checker: newChecker(), links: newLinks(), serveErrors: make(chan error, 1), out: out,
 		routes: map[netip.AddrPort]string{feedRoute: feedService, lookupRoute: feedService, ingestRoute: ingestService},
 	}
-	w.checker.checkTimeBounds = !config.Untimed
+	w.checker.checkTimeBounds = !config.WithoutTimeBounds
 	listener := &http.Server{Addr: config.Store.String(), Handler: w.store}
 	go func() { w.serveErrors <- listener.ListenAndServe() }()
 	context.AfterFunc(ctx, func() { listener.Close() })
-	for _, address := range config.Fronts {
+	for _, address := range config.StoreEndpoints {
 		endpoint, err := serveEndpoint(ctx, address, w.store)
 		if err != nil {
 			return nil, err
@@ -295,8 +295,8 @@
 }
 
 func (w *World) logf(format string, arguments ...any) {
-	fmt.Fprintf(w.out, "%6.2f s  %s\n", w.Now().Seconds(), fmt.Sprintf(format, arguments...))
+	fmt.Fprintf(w.out, "%6.2f s  %s\n", w.Elapsed().Seconds(), fmt.Sprintf(format, arguments...))
 }
 
 // Elapsed returns the time since the start of the world.
-func (w *World) Now() time.Duration { return time.Since(w.checker.started) }
+func (w *World) Elapsed() time.Duration { return time.Since(w.checker.started) }
